--- a/crates/roster/benches/merge.rs
+++ b/crates/roster/benches/merge.rs
@@ -1,4 +1,4 @@
-//! A change merged into the roster beside a list that is built anew for it.
+//! Cost of merging one change into the membership, compared with rebuilding the whole list for it.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -1,79 +1,90 @@
-//! Who belongs to the fleet. Rows of discovery, of the configuration and of the disk go in, with probes and sums;
-//! which hosts the decisions are told of, which are to be probed before that, and what is to be kept on disk come
-//! out. No I/O, no clock: `now` is Unix time in ms, because evidence outlives a process.
+//! Membership of the fleet. Inputs are host rows from discovery, from the configuration and from disk, probe results,
+//! and successful answers seen in traffic reports. Outputs are the hosts that the decisions know, the hosts to probe
+//! before they can be trusted, and the records to save on disk. The module does no I/O and reads no clock: `now` is
+//! Unix time in ms, because this evidence outlives a process.
 //!
-//! What it never does: give a host that is gone by the newest evidence, give one whose row is older than its
-//! confirmation without two passes, or let the order of arrival decide.
+//! Three guarantees: a host that is gone by the newest evidence is never emitted; a host whose row was not confirmed
+//! recently is not emitted before it passed two probes, except when a start has no trusted host at all; and the
+//! order in which evidence arrives does not change the result.
 
 mod member;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-pub use member::{Health, Learnt, Member, Row, Seen, Source, Stand, Told, UnixMs};
+pub use member::{Health, LearnedState, Member, Observations, Row, Source, Stand, Told, UnixMs};
 
-/// How long a row counts as confirmed after discovery told it: a list that is watched is told at least every ten
-/// minutes by those known, and hosts are replaced in minutes.
+/// How long a row counts as confirmed after discovery reported it, ms. The known discovery systems send a watched
+/// list at least every ten minutes, and hosts are replaced within minutes.
 pub const CONFIRMED_FOR: f64 = 120_000.0;
-/// A row that nobody confirmed for so long is not even probed: names and addresses are given to others by then.
+/// A row that was not confirmed for this long (ms) is not even probed: its name and address may belong to another
+/// host by then.
 pub const FORGOTTEN_AFTER: f64 = 7.0 * 24.0 * 3_600_000.0;
-/// As many passes as lift a gate.
-const PASSES: u32 = 2;
-const PROBE_EVERY: f64 = 1_000.0;
-/// After a pass the second is asked for soon.
-const AGAIN: f64 = 200.0;
-/// A start at which nothing passes for so long is cut off itself: better hosts that may be old than none.
-const BARE_FOR: f64 = 10_000.0;
-/// A time that lies further ahead than this was written by a clock that has been set back since.
-const AHEAD: f64 = 5_000.0;
-/// Gates of a run before are hints for as long as a probe takes to show better, parts fade over ten minutes.
-const SHUT_FOR: f64 = 60_000.0;
-const PART_FADES: f64 = 600_000.0;
+/// Consecutive passed probes after which a host with an old row is trusted; the same number lifts a gate.
+const REQUIRED_PASSES: u32 = 2;
+/// Interval between probes of a host that is not trusted yet, ms.
+const PROBE_INTERVAL: f64 = 1_000.0;
+/// Interval after a passed probe, ms: the second pass is requested soon.
+const PROBE_INTERVAL_AFTER_PASS: f64 = 200.0;
+/// If no host is trusted this long (ms) after the start, and discovery has not answered, the hosts with old rows are
+/// emitted too. The instance itself may be cut off, and hosts that may be outdated are better than none.
+const UNVERIFIED_FALLBACK_AFTER: f64 = 10_000.0;
+/// A timestamp further in the future than this (ms) was written by a clock that has been set back since.
+const MAX_CLOCK_LEAD: f64 = 5_000.0;
+/// How long a gate of an earlier run counts as a hint, ms: as long as a probe takes to give newer evidence.
+const GATE_HINT_FOR: f64 = 60_000.0;
+/// Time constant with which an effective weight of an earlier run decays towards the full weight, ms.
+const WEIGHT_HINT_DECAY: f64 = 600_000.0;
 
-/// How a row stands.
+/// How far a host's row can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trust {
-    /// Confirmed of late, or by two passes since the start: the decisions know it.
-    Given,
-    /// Too old to be used before it has passed twice.
-    Unproven {
-        passes: u32,
-    },
+    /// Confirmed recently, or passed two probes since the start: it is passed on to the decisions.
+    Trusted,
+    /// Its row is too old to be used before two probes have passed.
+    Unverified { passes: u32 },
+    /// The newest evidence says that the host is gone.
     Gone,
-    /// Older than anything may be.
-    Forgotten,
+    /// Not known, or not confirmed for longer than [`FORGOTTEN_AFTER`].
+    Expired,
 }
 
+/// Probes of one host in this run.
 #[derive(Clone, Debug, Default)]
-struct Proof {
+struct ProbeHistory {
+    /// Passes since the last failure.
     passes: u32,
-    asked: f64,
+    /// When the last probe was requested.
+    requested_at: f64,
 }
 
-/// What the decisions may take up again of what was learnt before a restart.
+/// State learned before a restart that the decisions may start from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hint {
+    /// Effective weight as a fraction of the listed weight.
     pub part: f64,
+    /// The host was gated.
     pub shut: bool,
 }
 
+/// All known hosts with their evidence, and what of it the decisions and the disk have already received.
 pub struct Roster {
-    begun: UnixMs,
-    /// Shared with whoever writes them down: a host that changes is made anew.
+    started_at: UnixMs,
+    /// Shared with the thread that saves them: a host that changes is copied first.
     members: BTreeMap<String, Arc<Member>>,
-    proofs: BTreeMap<String, Proof>,
-    /// Told to the decisions by name, as it was told.
-    given: BTreeMap<String, Row>,
-    /// What has changed since it was last handed to the disk.
-    changed: BTreeSet<String>,
-    /// Who may stand otherwise than when it was last looked at, and who is not trusted yet: with many hosts the rest
-    /// is not touched.
-    look: BTreeSet<String>,
-    look_at_all: bool,
-    unproven: BTreeSet<String>,
-    stand: Stand,
+    probes: BTreeMap<String, ProbeHistory>,
+    /// The rows that the decisions know, by host name, as they were last emitted.
+    emitted: BTreeMap<String, Row>,
+    /// Hosts that changed since they were last passed on to be saved.
+    unsaved: BTreeSet<String>,
+    /// Hosts whose trust may have changed since they were last evaluated. With many hosts the rest is not touched.
+    to_evaluate: BTreeSet<String>,
+    evaluate_all: bool,
+    unverified: BTreeSet<String>,
+    list_confirmed: Stand,
     /// Discovery has answered in this run.
-    confirmed: bool,
+    discovery_answered: bool,
+    /// Number of times that the list's `seq` has started over.
     epoch: u64,
     seq: u64,
 }
@@ -81,28 +92,28 @@
 impl Roster {
     pub fn new(now: UnixMs) -> Roster {
         Roster {
-            begun: now,
+            started_at: now,
             members: BTreeMap::new(),
-            proofs: BTreeMap::new(),
-            given: BTreeMap::new(),
-            changed: BTreeSet::new(),
-            look: BTreeSet::new(),
-            look_at_all: true,
-            unproven: BTreeSet::new(),
-            stand: Stand::default(),
-            confirmed: false,
+            probes: BTreeMap::new(),
+            emitted: BTreeMap::new(),
+            unsaved: BTreeSet::new(),
+            to_evaluate: BTreeSet::new(),
+            evaluate_all: true,
+            unverified: BTreeSet::new(),
+            list_confirmed: Stand::default(),
+            discovery_answered: false,
             epoch: 0,
             seq: 0,
         }
     }
 
-    /// What the disk holds, or the configuration: heard before anything else, in any order. What the first call
-    /// brings is on disk already.
+    /// Adds members from disk or from the configuration, in any order and before other evidence. Members of the first
+    /// call are on disk already, so they are not saved again.
     pub fn restore(&mut self, members: impl IntoIterator<Item = impl Into<Arc<Member>>>) {
         let (epoch, seq) = (&mut self.epoch, &mut self.seq);
-        let newest =
+        let track_newest =
             |member: &Arc<Member>| (*epoch, *seq) = (*epoch, *seq).max((member.told.epoch, member.told.seq));
-        let members = members.into_iter().map(Into::into).inspect(newest);
+        let members = members.into_iter().map(Into::into).inspect(track_newest);
         if self.members.is_empty() {
             self.members = members.map(|member| (member.host.clone(), member)).collect();
             return;
@@ -111,11 +122,11 @@
         members.into_iter().for_each(|member| self.merge(Arc::unwrap_or_clone(member)));
     }
 
-    /// Up to which version the list stood when the disk was last written.
+    /// Restores the version up to which the list was confirmed when the disk was last written.
     pub fn restore_stand(&mut self, stand: Stand) {
-        self.stand = self.stand.merge(stand);
+        self.list_confirmed = self.list_confirmed.merge(stand);
         (self.epoch, self.seq) = (self.epoch, self.seq).max((stand.epoch, stand.seq));
-        self.look_at_all = true;
+        self.evaluate_all = true;
     }
 
     fn merge(&mut self, member: Member) {
@@ -127,173 +138,179 @@
                     return;
                 }
                 if before.told.row.dial != merged.told.row.dial {
-                    self.proofs.remove(&host);
+                    self.probes.remove(&host);
                 }
                 merged
             }
             None => member,
         };
         self.members.insert(host.clone(), Arc::new(merged));
-        self.look.insert(host.clone());
-        self.changed.insert(host);
+        self.to_evaluate.insert(host.clone());
+        self.unsaved.insert(host);
     }
 
-    /// Discovery's answer. A whole list confirms all that it names and ends all that it does not; changes confirm the
-    /// rest as they stand, because the watch would have told otherwise.
+    /// Applies an answer of discovery. A whole list confirms every host that it names and marks every other host as
+    /// gone. An incremental update also confirms the rows that it does not name, because the watch would have reported
+    /// a change of them.
     pub fn listed(&mut self, now: UnixMs, seq: u64, whole: bool, rows: Vec<(String, Row)>) {
         if whole && seq < self.seq {
-            // A version that goes back is another list.
+            // A whole list with a lower version is a list that has started over.
             self.epoch += 1;
         } else if seq < self.seq {
             return;
         }
-        (self.seq, self.confirmed) = (seq, true);
+        (self.seq, self.discovery_answered) = (seq, true);
         let epoch = self.epoch;
         let told = |row: Row| Told { epoch, seq, at: now, source: Source::Discovery, row };
         let named: BTreeSet<String> = rows.iter().map(|(host, _)| host.clone()).collect();
         for (host, row) in rows {
             self.merge(Member::new(host, told(row)));
         }
-        let ends =
+        let not_named =
             |member: &&Arc<Member>| member.told.row.health != Health::Gone && !named.contains(&member.host);
-        let rest: Vec<Member> = match whole {
-            true => self.members.values().filter(ends).map(|member| Member::clone(member)).collect(),
-            // What was told before this run is looked at again with this confirmation.
+        let removed: Vec<Member> = match whole {
+            true => self.members.values().filter(not_named).map(|member| Member::clone(member)).collect(),
+            // Rows from before this run are evaluated again below, with this confirmation.
             false => vec![],
         };
-        for member in rest {
+        for member in removed {
             let row = Row { health: Health::Gone, ..member.told.row.clone() };
             self.merge(Member { told: told(row), ..member });
         }
-        self.stand = Stand { epoch, seq, at: now };
-        self.look.extend(self.unproven.iter().cloned());
+        self.list_confirmed = Stand { epoch, seq, at: now };
+        self.to_evaluate.extend(self.unverified.iter().cloned());
     }
 
-    /// A watch that stands and says nothing confirms what it told, as does an answer without changes.
+    /// Records that the list is unchanged: an open watch without updates, or an answer without changes, confirms all
+    /// rows that discovery reported.
     pub fn stands(&mut self, now: UnixMs) {
-        if self.confirmed {
-            self.stand = Stand { at: now, ..self.stand };
-            self.look.extend(self.unproven.iter().cloned());
+        if self.discovery_answered {
+            self.list_confirmed = Stand { at: now, ..self.list_confirmed };
+            self.to_evaluate.extend(self.unverified.iter().cloned());
         }
     }
 
-    /// Up to which version the list stands, and since when that is known: to be kept beside the members.
+    /// The version up to which the list is confirmed, and when that was last known; to be saved beside the members.
     pub fn stand(&self) -> Stand {
-        self.stand
+        self.list_confirmed
     }
 
-    /// A probe's outcome; `None` tells nothing.
+    /// Records the outcome of a probe; `None` is an outcome that shows nothing about the host.
     pub fn probed(&mut self, now: UnixMs, host: &str, pass: Option<bool>) {
         let Some(member) = self.members.get_mut(host).map(Arc::make_mut) else { return };
-        let proof = self.proofs.entry(host.to_string()).or_default();
-        if self.unproven.contains(host) {
-            self.look.insert(host.to_string());
+        let probes = self.probes.entry(host.to_string()).or_default();
+        if self.unverified.contains(host) {
+            self.to_evaluate.insert(host.to_string());
         }
         match pass {
             Some(true) => {
-                proof.passes += 1;
-                // To the second is enough for an age that is looked at in minutes.
+                probes.passes += 1;
+                // A resolution of one second is enough for an age that is compared with minutes.
                 let seen = member.current_mut();
-                if now - seen.passed > 1_000.0 {
-                    seen.passed = now;
-                    self.changed.insert(host.to_string());
+                if now - seen.passed_at > 1_000.0 {
+                    seen.passed_at = now;
+                    self.unsaved.insert(host.to_string());
                 }
             }
-            Some(false) => proof.passes = 0,
+            Some(false) => probes.passes = 0,
             None => {}
         }
     }
 
-    /// A sum told of a good answer of the host.
+    /// Records that a traffic report contains a successful answer of the host.
     pub fn met(&mut self, now: UnixMs, host: &str) {
         let seen = self.members.get_mut(host).map(|member| Arc::make_mut(member).current_mut());
-        if let Some(seen) = seen.filter(|seen| now - seen.met > 1_000.0) {
-            seen.met = now;
-            self.changed.insert(host.to_string());
+        if let Some(seen) = seen.filter(|seen| now - seen.answered_at > 1_000.0) {
+            seen.answered_at = now;
+            self.unsaved.insert(host.to_string());
         }
     }
 
-    /// What decisions have learnt, or done.
+    /// Records the effective weight that the decisions learned for a host, or whether they gated it.
     pub fn learnt(&mut self, now: UnixMs, host: &str, part: Option<f64>, shut: Option<bool>) {
         let Some(member) = self.members.get_mut(host).map(Arc::make_mut) else { return };
         let seen = member.current_mut();
-        let before = seen.learnt.unwrap_or(Learnt { at: now, part: 1.0, shut: false });
-        let learnt = Learnt { at: now, part: part.unwrap_or(before.part), shut: shut.unwrap_or(before.shut) };
-        if seen.learnt.is_none_or(|before| (before.part, before.shut) != (learnt.part, learnt.shut)) {
-            seen.learnt = Some(learnt);
-            self.changed.insert(host.to_string());
+        let before = seen.learnt.unwrap_or(LearnedState { at: now, part: 1.0, shut: false });
+        let learned =
+            LearnedState { at: now, part: part.unwrap_or(before.part), shut: shut.unwrap_or(before.shut) };
+        if seen.learnt.is_none_or(|before| (before.part, before.shut) != (learned.part, learned.shut)) {
+            seen.learnt = Some(learned);
+            self.unsaved.insert(host.to_string());
         }
     }
 
+    /// How far a host can be trusted now.
     pub fn trust(&self, now: UnixMs, host: &str) -> Trust {
-        let Some(member) = self.members.get(host) else { return Trust::Forgotten };
+        let Some(member) = self.members.get(host) else { return Trust::Expired };
         if member.told.row.health == Health::Gone {
             return Trust::Gone;
         }
-        let age = age(now, self.stand.confirmed(&member.told));
-        // Passed twice in this run, it is there, whoever told of it.
-        let passes = self.proofs.get(host).map_or(0, |proof| proof.passes);
+        let age = age(now, self.list_confirmed.confirmed(&member.told));
+        // A host that passed two probes in this run exists, whatever the source of its row.
+        let passes = self.probes.get(host).map_or(0, |probes| probes.passes);
         match () {
-            _ if age < CONFIRMED_FOR || passes >= PASSES => Trust::Given,
-            _ if self.given.contains_key(host) => Trust::Given,
-            _ if age < FORGOTTEN_AFTER => Trust::Unproven { passes },
-            _ => Trust::Forgotten,
+            _ if age < CONFIRMED_FOR || passes >= REQUIRED_PASSES => Trust::Trusted,
+            _ if self.emitted.contains_key(host) => Trust::Trusted,
+            _ if age < FORGOTTEN_AFTER => Trust::Unverified { passes },
+            _ => Trust::Expired,
         }
     }
 
-    /// Hosts to be probed now, ahead of the decisions, with where.
+    /// Hosts that have to be probed now, before the decisions know them, with their addresses.
     pub fn to_probe(&mut self, now: UnixMs) -> Vec<(String, String)> {
         let mut out = Vec::new();
-        for host in &self.unproven {
+        for host in &self.unverified {
             let Some(member) = self.members.get(host) else { continue };
-            let proof = self.proofs.entry(host.clone()).or_default();
-            let wait = if proof.passes > 0 { AGAIN } else { PROBE_EVERY };
-            if now - proof.asked >= wait {
-                proof.asked = now;
+            let probes = self.probes.entry(host.clone()).or_default();
+            let interval = if probes.passes > 0 { PROBE_INTERVAL_AFTER_PASS } else { PROBE_INTERVAL };
+            if now - probes.requested_at >= interval {
+                probes.requested_at = now;
                 out.push((host.clone(), member.told.row.dial.clone()));
             }
         }
         out
     }
 
-    /// The one place where hosts go out: what differs from what the decisions were told, gone ones by their health.
-    /// The first call brings all that is trusted at once.
+    /// Returns the rows that differ from what the decisions know; a host to be removed has the health `Gone`. Hosts
+    /// reach the decisions only through this function. The first call returns all trusted hosts at once.
     pub fn emit(&mut self, now: UnixMs) -> Vec<(String, Row)> {
         let on = |row: &Row| row.health == Health::On;
-        let bare = !self.confirmed && now - self.begun >= BARE_FOR && !self.given.values().any(on);
-        if bare {
-            self.look.extend(self.unproven.iter().cloned());
+        let emit_unverified = !self.discovery_answered
+            && now - self.started_at >= UNVERIFIED_FALLBACK_AFTER
+            && !self.emitted.values().any(on);
+        if emit_unverified {
+            self.to_evaluate.extend(self.unverified.iter().cloned());
         }
         let mut out = Vec::new();
-        let look = std::mem::take(&mut self.look);
-        let names: Vec<String> = match std::mem::take(&mut self.look_at_all) {
+        let to_evaluate = std::mem::take(&mut self.to_evaluate);
+        let names: Vec<String> = match std::mem::take(&mut self.evaluate_all) {
             true => self.members.keys().cloned().collect(),
-            false => look.into_iter().collect(),
+            false => to_evaluate.into_iter().collect(),
         };
         for host in names {
             let Some(member) = self.members.get(&host) else { continue };
             let row = &member.told.row;
             let trust = self.trust(now, &host);
-            let given = match trust {
-                Trust::Given => true,
-                // All unproven and none passes: as with all gated, what may be there is better than nothing. Never
-                // one that is known to be gone.
-                Trust::Unproven { .. } => bare,
-                Trust::Gone | Trust::Forgotten => false,
+            let usable = match trust {
+                Trust::Trusted => true,
+                // If no host is verified, hosts that may exist are better than none, as with gates when all hosts are
+                // gated. A host known to be gone is never used.
+                Trust::Unverified { .. } => emit_unverified,
+                Trust::Gone | Trust::Expired => false,
             };
             match trust {
-                Trust::Unproven { .. } if !given => self.unproven.insert(host.clone()),
-                _ => self.unproven.remove(&host),
+                Trust::Unverified { .. } if !usable => self.unverified.insert(host.clone()),
+                _ => self.unverified.remove(&host),
             };
-            match self.given.get(&host) {
-                Some(told) if given && told == row => {}
-                Some(_) if !given => {
-                    self.given.remove(&host);
+            match self.emitted.get(&host) {
+                Some(emitted) if usable && emitted == row => {}
+                Some(_) if !usable => {
+                    self.emitted.remove(&host);
                     out.push((host, Row { health: Health::Gone, ..row.clone() }));
                 }
-                None if !given => {}
+                None if !usable => {}
                 _ => {
-                    self.given.insert(host.clone(), row.clone());
+                    self.emitted.insert(host.clone(), row.clone());
                     out.push((host, row.clone()));
                 }
             }
@@ -301,23 +318,24 @@
         out
     }
 
-    /// What decisions may take up of what was learnt before this run: it fades with its age.
+    /// What the decisions may use of the state learned before this run; it fades with its age.
     pub fn hint(&self, now: UnixMs, host: &str) -> Option<Hint> {
-        let learnt = self.members.get(host)?.current()?.learnt.filter(|learnt| learnt.at < self.begun)?;
-        let age = age(now, learnt.at);
-        let part = 1.0 - (1.0 - learnt.part.clamp(0.05, 1.0)) * (-age / PART_FADES).exp();
-        let hint = Hint { part, shut: learnt.shut && age < SHUT_FOR };
-        // Less than the least step that decisions take is nothing.
+        let learned =
+            self.members.get(host)?.current()?.learnt.filter(|learned| learned.at < self.started_at)?;
+        let age = age(now, learned.at);
+        let part = 1.0 - (1.0 - learned.part.clamp(0.05, 1.0)) * (-age / WEIGHT_HINT_DECAY).exp();
+        let hint = Hint { part, shut: learned.shut && age < GATE_HINT_FOR };
+        // A reduction smaller than the smallest weight step of the decisions has no effect.
         (hint.shut || hint.part < 0.95).then_some(hint)
     }
 
-    /// Records that the disk does not hold yet.
+    /// Returns the members that changed since the last call, to be saved on disk.
     pub fn to_keep(&mut self) -> Vec<Arc<Member>> {
-        let changed = std::mem::take(&mut self.changed);
-        changed.into_iter().filter_map(|host| self.members.get(&host).cloned()).collect()
+        let unsaved = std::mem::take(&mut self.unsaved);
+        unsaved.into_iter().filter_map(|host| self.members.get(&host).cloned()).collect()
     }
 
-    /// The version of the list that was heard last.
+    /// The newest list version received.
     pub fn seq(&self) -> u64 {
         self.seq
     }
@@ -327,10 +345,10 @@
     }
 }
 
-/// How old something is; what lies ahead was written by another clock, and its age is not known.
+/// Age of a timestamp, ms. A timestamp in the future was written by another clock, so its age is unknown: infinite.
 fn age(now: UnixMs, at: UnixMs) -> f64 {
     match now - at {
-        age if age >= -AHEAD => age.max(0.0),
+        age if age >= -MAX_CLOCK_LEAD => age.max(0.0),
         _ => f64::INFINITY,
     }
 }
--- a/crates/roster/tests/evidence.rs
+++ b/crates/roster/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence of hosts in every order, and restarts with lists of several ages.
+//! Evidence about hosts merged in any order, and restarts with saved lists of different ages.
 
 use amberarch_roster::*;
 use expect_test::expect;
@@ -25,63 +25,63 @@
     roster
 }
 
-fn given(roster: &mut Roster, now: f64) -> String {
-    let all = roster.emit(now);
-    let told: Vec<String> =
-        all.iter().map(|(host, row)| format!("{host} {:?} at {}", row.health, row.dial)).collect();
-    told.join(", ")
+fn emitted(roster: &mut Roster, now: f64) -> String {
+    let rows = roster.emit(now);
+    let text: Vec<String> =
+        rows.iter().map(|(host, row)| format!("{host} {:?} at {}", row.health, row.dial)).collect();
+    text.join(", ")
 }
 
 #[test]
 fn a_list_of_a_minute_serves_at_once_and_one_of_a_day_only_after_two_passes() {
     let mut fresh =
         roster(&[member("a", "1:1", Health::On, 5, MINUTE), member("b", "1:2", Health::Draining, 5, MINUTE)]);
-    assert_eq!(given(&mut fresh, NOW), "a On at 1:1, b Draining at 1:2");
+    assert_eq!(emitted(&mut fresh, NOW), "a On at 1:1, b Draining at 1:2");
     assert!(fresh.to_probe(NOW).is_empty());
     let mut old = roster(&[member("a", "1:1", Health::On, 5, DAY), member("b", "1:2", Health::On, 5, DAY)]);
-    assert_eq!(given(&mut old, NOW), "");
+    assert_eq!(emitted(&mut old, NOW), "");
     assert_eq!(old.to_probe(NOW).len(), 2);
     old.probed(NOW + 5.0, "a", Some(true));
     old.probed(NOW + 5.0, "b", Some(false));
-    assert_eq!(given(&mut old, NOW + 10.0), "");
+    assert_eq!(emitted(&mut old, NOW + 10.0), "");
     assert_eq!(old.to_probe(NOW + 210.0), [("a".to_string(), "1:1".to_string())]);
     old.probed(NOW + 215.0, "a", Some(true));
-    assert_eq!(given(&mut old, NOW + 220.0), "a On at 1:1");
-    assert_eq!(given(&mut old, NOW + 400.0), "", "told once");
+    assert_eq!(emitted(&mut old, NOW + 220.0), "a On at 1:1");
+    assert_eq!(emitted(&mut old, NOW + 400.0), "", "each change is emitted once");
 }
 
-/// Names a host that is gone, and one whose address another host has now.
+/// The saved list names a host that is gone, and one whose address belongs to another host now.
 #[test]
-fn a_list_of_yesterday_sends_nothing_to_what_is_gone() {
+fn a_list_of_yesterday_sends_nothing_to_hosts_that_are_gone() {
     let mut old = roster(&[
         member("gone", "1:1", Health::On, 5, DAY),
         member("moved", "1:2", Health::On, 5, DAY),
         member("dead", "1:3", Health::Gone, 5, DAY),
     ]);
-    // The process that has the address now answers a probe; discovery is silent.
+    // The process that now has the address answers the probes; discovery does not answer.
     for at in [0.0, 300.0] {
         old.probed(NOW + at, "moved", Some(true));
     }
-    assert_eq!(given(&mut old, NOW + 400.0), "moved On at 1:2");
-    // Discovery comes back: what it does not name goes at once, and what it names elsewhere moves.
+    assert_eq!(emitted(&mut old, NOW + 400.0), "moved On at 1:2");
+    // Discovery answers again: hosts that it does not name are removed at once, hosts with a new address move.
     old.listed(
         NOW + 1_000.0,
         9,
         true,
         vec![("moved".into(), row("1:9", Health::On)), ("new".into(), row("1:2", Health::On))],
     );
-    assert_eq!(given(&mut old, NOW + 1_000.0), "moved On at 1:9, new On at 1:2");
+    assert_eq!(emitted(&mut old, NOW + 1_000.0), "moved On at 1:9, new On at 1:2");
     assert_eq!(old.trust(NOW + 1_000.0, "gone"), Trust::Gone);
     for host in ["gone", "dead"] {
         for _ in 0..5 {
             old.probed(NOW + 2_000.0, host, Some(true));
         }
     }
-    assert_eq!(given(&mut old, NOW + 3_000.0), "", "passes bring nobody back who is gone");
+    assert_eq!(emitted(&mut old, NOW + 3_000.0), "", "passed probes do not bring back a host that is gone");
 }
 
 #[test]
-fn all_probes_fail_and_better_old_hosts_than_none_but_never_one_known_gone() {
+fn when_all_probes_fail_old_hosts_are_used_but_never_one_known_to_be_gone() {
     let mut old = roster(&[
         member("a", "1:1", Health::On, 5, DAY),
         member("b", "1:2", Health::Gone, 5, DAY),
@@ -89,51 +89,51 @@
     ]);
     for second in 0..10 {
         old.probed(NOW + 1e3 * f64::from(second), "a", Some(false));
-        assert_eq!(given(&mut old, NOW + 1e3 * f64::from(second)), "");
+        assert_eq!(emitted(&mut old, NOW + 1e3 * f64::from(second)), "");
     }
-    assert_eq!(given(&mut old, NOW + 10_000.0), "a On at 1:1");
-    assert_eq!(old.trust(NOW, "c"), Trust::Forgotten);
-    // Once discovery has answered, only what it says.
+    assert_eq!(emitted(&mut old, NOW + 10_000.0), "a On at 1:1");
+    assert_eq!(old.trust(NOW, "c"), Trust::Expired);
+    // Once discovery has answered, only its list counts.
     old.listed(NOW + 11_000.0, 6, true, vec![]);
-    assert_eq!(given(&mut old, NOW + 11_000.0), "a Gone at 1:1");
+    assert_eq!(emitted(&mut old, NOW + 11_000.0), "a Gone at 1:1");
 }
 
 #[test]
 fn discovery_comes_back_with_an_older_version() {
     let mut roster =
         roster(&[member("a", "1:1", Health::Gone, 50, MINUTE), member("b", "1:2", Health::On, 50, MINUTE)]);
-    // Changes of an older version are from before what the disk holds.
+    // An incremental update with a lower version is older than the rows on disk.
     roster.listed(NOW, 40, false, vec![("a".into(), row("1:1", Health::On))]);
-    assert_eq!(given(&mut roster, NOW), "b On at 1:2");
-    // A whole list that starts over is another list: it holds.
+    assert_eq!(emitted(&mut roster, NOW), "b On at 1:2");
+    // A whole list with a lower version has started over: it replaces the rows on disk.
     roster.listed(NOW + 10.0, 3, true, vec![("a".into(), row("1:1", Health::On))]);
-    assert_eq!(given(&mut roster, NOW + 10.0), "a On at 1:1, b Gone at 1:2");
+    assert_eq!(emitted(&mut roster, NOW + 10.0), "a On at 1:1, b Gone at 1:2");
     roster.listed(NOW + 20.0, 4, false, vec![("b".into(), row("1:2", Health::On))]);
-    assert_eq!(given(&mut roster, NOW + 20.0), "b On at 1:2");
+    assert_eq!(emitted(&mut roster, NOW + 20.0), "b On at 1:2");
 }
 
 #[test]
 fn a_row_restored_as_draining_is_on_again_with_a_new_start() {
     let mut roster = roster(&[member("a", "1:1", Health::Draining, 5, MINUTE)]);
-    assert_eq!(given(&mut roster, NOW), "a Draining at 1:1");
-    let anew = Row { born: NOW + 500.0, ..row("1:1", Health::On) };
-    roster.listed(NOW + 1_000.0, 6, false, vec![("a".into(), anew)]);
-    assert_eq!(given(&mut roster, NOW + 1_000.0), "a On at 1:1");
+    assert_eq!(emitted(&mut roster, NOW), "a Draining at 1:1");
+    let restarted = Row { born: NOW + 500.0, ..row("1:1", Health::On) };
+    roster.listed(NOW + 1_000.0, 6, false, vec![("a".into(), restarted)]);
+    assert_eq!(emitted(&mut roster, NOW + 1_000.0), "a On at 1:1");
 }
 
 #[test]
 fn a_clock_set_back_a_day_makes_nothing_look_fresh() {
     let mut ahead = roster(&[member("a", "1:1", Health::On, 5, -DAY)]);
-    assert_eq!(given(&mut ahead, NOW), "");
-    // Of no known age, it is forgotten until somebody tells of it.
-    assert_eq!(ahead.trust(NOW, "a"), Trust::Forgotten);
+    assert_eq!(emitted(&mut ahead, NOW), "");
+    // The age of its row is unknown, so it counts as expired until discovery names it.
+    assert_eq!(ahead.trust(NOW, "a"), Trust::Expired);
     ahead.listed(NOW + 10.0, 6, true, vec![("a".into(), row("1:1", Health::On))]);
-    assert_eq!(given(&mut ahead, NOW + 10.0), "a On at 1:1");
+    assert_eq!(emitted(&mut ahead, NOW + 10.0), "a On at 1:1");
 }
 
-/// While down all hosts were replaced.
+/// All hosts were replaced while the daemon was down.
 #[test]
-fn a_watch_that_stands_confirms_and_a_mass_replacement_ends_all_that_was() {
+fn an_open_watch_confirms_its_list_and_a_mass_replacement_removes_all_old_hosts() {
     let mut roster = roster(
         &(0..50).map(|n| member(&format!("old-{n}"), "1:1", Health::On, 5, MINUTE)).collect::<Vec<_>>(),
     );
@@ -146,9 +146,9 @@
     let kept = roster.to_keep();
     assert_eq!(kept.len(), 100);
     let kept: Vec<Member> = kept.iter().map(|member| Member::clone(member)).collect();
-    // An hour of answers without news: what is kept is as young as the last of them.
+    // After an hour of answers without changes the saved rows are as recent as the last answer.
     roster.stands(NOW + 60.0 * MINUTE);
-    assert!(roster.to_keep().is_empty(), "one word speaks for all rows");
+    assert!(roster.to_keep().is_empty(), "one record confirms all rows");
     let (kept, stand) = (kept, roster.stand());
     assert_eq!(stand.at, NOW + 60.0 * MINUTE);
     let mut next = Roster::new(NOW + 61.0 * MINUTE);
@@ -159,27 +159,27 @@
 
 #[test]
 fn hints_fade_and_end_with_the_process_that_they_tell_of() {
-    let learnt = |age: f64| {
+    let hint = |age: f64| {
         let mut one = member("a", "1:1", Health::On, 5, MINUTE);
-        one.seen.learnt = Some(Learnt { at: NOW - age, part: 0.5, shut: true });
+        one.seen.learnt = Some(LearnedState { at: NOW - age, part: 0.5, shut: true });
         let roster = roster(&[one]);
         roster.hint(NOW, "a").map(|hint| format!("{:.2} {}", hint.part, hint.shut))
     };
     let ages = [1_000.0, MINUTE, 10.0 * MINUTE, 60.0 * MINUTE, DAY];
-    let said: Vec<String> = ages.iter().map(|age| format!("{:?}", learnt(*age))).collect();
+    let hints: Vec<String> = ages.iter().map(|age| format!("{:?}", hint(*age))).collect();
     expect![[r#"
         Some("0.50 true")
         Some("0.55 false")
         Some("0.82 false")
         None
         None"#]]
-    .assert_eq(&said.join("\n"));
+    .assert_eq(&hints.join("\n"));
     let mut one = member("a", "1:1", Health::On, 5, MINUTE);
-    one.seen.learnt = Some(Learnt { at: NOW - 1e3, part: 0.5, shut: true });
+    one.seen.learnt = Some(LearnedState { at: NOW - 1e3, part: 0.5, shut: true });
     let mut roster = roster(&[one]);
     roster.listed(NOW, 6, true, vec![("a".into(), Row { born: NOW - 10.0, ..row("1:1", Health::On) })]);
     assert_eq!(roster.hint(NOW, "a"), None);
-    // What is learnt in this run is no hint for itself.
+    // State learned in this run is not a hint.
     roster.learnt(NOW + 5.0, "a", Some(0.3), None);
     assert_eq!(roster.hint(NOW + 10.0, "a"), None);
 }
@@ -192,8 +192,8 @@
             let row = Row { born: f64::from(born), ..row(&format!("1:{dial}"), health) };
             let told = Told { epoch, seq, at: f64::from(at), source, row };
             let mut member = Member::new("a".into(), told);
-            member.seen.passed = f64::from(at * 3 % 4);
-            member.seen.learnt = learnt.map(|(at, shut)| Learnt { at: f64::from(at), part: 0.5, shut });
+            member.seen.passed_at = f64::from(at * 3 % 4);
+            member.seen.learnt = learnt.map(|(at, shut)| LearnedState { at: f64::from(at), part: 0.5, shut });
             member
         })
 }
@@ -208,20 +208,21 @@
         prop_assert_eq!(merge(&merge(&a, &b), &c), merge(&a, &merge(&b, &c)));
         prop_assert_eq!(merge(&a, &a), a.clone());
         prop_assert_eq!(merge(&merge(&a, &b), &b), merge(&a, &b));
-        // Only ever newer.
+        // Merging never goes back to an older version.
         let both = merge(&a, &b);
         let version = |member: &Member| (member.told.epoch, member.told.seq);
         prop_assert!(version(&both) >= version(&a) && version(&both) >= version(&b));
     }
 
-    /// Whatever is heard: nobody is given who is gone by the newest word, and nobody is told twice.
+    /// Whatever evidence arrives: a host that is gone by the newest evidence is never emitted as present, and no row is
+    /// emitted twice.
     #[test]
-    fn who_is_gone_is_never_given(
+    fn a_host_that_is_gone_is_never_emitted(
         acts in vec((0u8..5, 0u8..4, 1u64..6, 0u8..3, 0.0f64..5_000.0), 1..60),
     ) {
         let mut roster = roster(&[member("h0", "1:0", Health::On, 2, DAY), member("h1", "1:1", Health::On, 2, MINUTE)]);
         let mut now = NOW;
-        let mut held = std::collections::BTreeMap::new();
+        let mut known = std::collections::BTreeMap::new();
         for (act, host, seq, health, wait) in acts {
             now += wait;
             let name = format!("h{host}");
@@ -234,12 +235,12 @@
                 _ => roster.stands(now),
             }
             for (host, row) in roster.emit(now) {
-                prop_assert!(held.get(&host) != Some(&row), "{host} is told twice");
-                held.insert(host, row);
+                prop_assert!(known.get(&host) != Some(&row), "{host} is emitted twice");
+                known.insert(host, row);
             }
-            for (host, row) in &held {
+            for (host, row) in &known {
                 let gone = roster.trust(now, host) == Trust::Gone;
-                prop_assert!(!gone || row.health == Health::Gone, "{host} is gone and given");
+                prop_assert!(!gone || row.health == Health::Gone, "{host} is gone and still emitted as present");
             }
             prop_assert!(roster.emit(now).is_empty());
         }
