--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,12 +1,13 @@
-//! Durable storage of a fleet's members. Members go in as they change; after a crash at any moment what comes out
-//! was true at some time, and holds all that was safe on disk. Nothing spoilt is believed.
+//! Durable storage of the fleet membership. Members are written as they change. After a crash at any moment, each
+//! member that is read back is in a state that it once had, and every write that was reported as durable is included.
+//! Corrupted data is never used.
 //!
-//! It decides nothing about members: what they are worth with their age is `amberarch-roster`'s.
+//! This crate makes no decisions about members: how far they are trusted at their age is up to `amberarch-roster`.
 
 mod record;
 mod store;
 mod writer;
 
 pub use record::{frame, frames, read, write, Record, Spoilt, MAGIC};
-pub use store::{load, Fault, Found, Held, Store};
+pub use store::{load, Fault, FileContents, Held, Store};
 pub use writer::Writer;
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -1,5 +1,5 @@
-//! A folder that holds the members: `base-N` with all of them, `log-N` with what changed since, and the generation
-//! before, until the next is safe. One process at a time, by a lock on the file `lock`.
+//! Stores the members in a folder: `base-N` contains all of them, `log-N` the changes since. The previous generation
+//! stays until the next one is durable. A lock on the file `lock` admits one process at a time.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -11,71 +11,74 @@
 
 use crate::record::{read, write, Record, Spoilt, MAGIC};
 
-/// A log that is larger than this part of its base, and than this at all, is folded into the next base: a start reads
-/// both.
-const PART: u64 = 2;
-const LEAST_LOG: u64 = 256 * 1_024;
+/// The log is compacted into a new base once it is larger than the base divided by this and larger than
+/// `MIN_LOG_BYTES`, because a start has to read both files.
+const BASE_TO_LOG_RATIO: u64 = 2;
+const MIN_LOG_BYTES: u64 = 256 * 1_024;
 
-/// How far something came.
+/// Why the folder could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("another daemon uses the folder {0}")]
     Taken(PathBuf),
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
-    #[error("a member that can't be written: {0}")]
+    #[error("cannot encode a membership record: {0}")]
     Member(postcard::Error),
 }
 
-/// What was found wrong with a file, and how much of it stands.
+/// How much of a file is valid, and what is wrong with the rest.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct FileContents {
     pub file: String,
+    /// Number of valid records.
     pub records: usize,
+    /// Number of valid bytes.
     pub bytes: u64,
     pub spoilt: Option<Spoilt>,
 }
 
-/// All that a folder holds.
+/// Contents of a folder.
 #[derive(Debug, Default)]
 pub struct Held {
     pub members: BTreeMap<String, Arc<Member>>,
     pub stand: Stand,
     pub generation: u64,
-    /// Each file that was looked at, newest first.
-    pub found: Vec<Found>,
+    /// Every file that was read, newest first.
+    pub found: Vec<FileContents>,
 }
 
 impl Held {
-    /// Something was spoilt, or an older generation had to serve.
+    /// Whether any file that was read is corrupted. A base that was cut exactly between two records does not count
+    /// here: it is incomplete and skipped.
     pub fn spoilt(&self) -> bool {
-        self.found.iter().any(|found| found.spoilt.is_some())
+        self.found.iter().any(|file| file.spoilt.is_some())
     }
 }
 
-/// Reads a folder without changing it. The newest finished base serves, with the good part of its log; a base that is
-/// not whole is passed over for the one before it, whose log then holds the same changes.
+/// Reads a folder without changing it. Uses the newest complete base with the valid part of its log. A base that is
+/// incomplete is skipped in favour of the previous one, whose log contains the same changes.
 pub fn load(folder: &Path) -> Result<Held, Fault> {
-    let (mut held, mut prefix) = (Held::default(), Vec::new());
+    let (mut held, mut to_apply) = (Held::default(), Vec::new());
     for generation in generations(folder)?.into_iter().rev() {
-        let (base, found) = file(folder, "base", generation)?;
-        let whole = matches!(base.last(), Some(Record::End { members }) if *members as usize + 3 == base.len())
-            && matches!(base.first(), Some(Record::Head { generation: head, .. }) if *head == generation);
-        held.found.push(found);
-        if !whole {
-            // Where nothing better is found, what stands before the spoilt place still does.
-            if prefix.is_empty() {
-                prefix = base;
+        let (base, contents) = read_file(folder, "base", generation)?;
+        let complete = matches!(base.last(), Some(Record::End { members }) if *members as usize + 3 == base.len())
+            && matches!(base.first(), Some(Record::Head { generation: named, .. }) if *named == generation);
+        held.found.push(contents);
+        if !complete {
+            // If no complete base is found, the records before the corrupted place of the newest base are used.
+            if to_apply.is_empty() {
+                to_apply = base;
             }
             continue;
         }
-        let (log, found) = file(folder, "log", generation)?;
-        held.found.push(found);
+        let (log, contents) = read_file(folder, "log", generation)?;
+        held.found.push(contents);
         held.generation = generation;
-        prefix = base.into_iter().chain(log).collect();
+        to_apply = base.into_iter().chain(log).collect();
         break;
     }
-    for record in prefix {
+    for record in to_apply {
         match record {
             Record::Member(member) => drop(held.members.insert(member.host.clone(), member)),
             Record::Stand(stand) => held.stand = held.stand.merge(stand),
@@ -85,35 +88,38 @@
     Ok(held)
 }
 
+/// Numbers of all base files of a folder, in ascending order.
 fn generations(folder: &Path) -> Result<Vec<u64>, Fault> {
     let fault = |why| Fault::Io(folder.to_path_buf(), why);
-    let mut all = Vec::new();
+    let mut found = Vec::new();
     for entry in fs::read_dir(folder).map_err(fault)? {
         let name = entry.map_err(fault)?.file_name();
         let number: Option<u64> = name.to_str().and_then(|name| name.strip_prefix("base-")?.parse().ok());
-        all.extend(number);
+        found.extend(number);
     }
-    all.sort_unstable();
-    Ok(all)
+    found.sort_unstable();
+    Ok(found)
 }
 
-fn file(folder: &Path, kind: &str, generation: u64) -> Result<(Vec<Record>, Found), Fault> {
+fn read_file(folder: &Path, kind: &str, generation: u64) -> Result<(Vec<Record>, FileContents), Fault> {
     let name = format!("{kind}-{generation}");
     let bytes = match fs::read(folder.join(&name)) {
         Ok(bytes) => bytes,
-        // A log is begun after its base is safe: one that is not there yet holds nothing.
+        // A log is created after its base is durable, so a missing log counts as empty.
         Err(why) if why.kind() == io::ErrorKind::NotFound && kind == "log" => MAGIC.to_vec(),
         Err(why) => return Err(Fault::Io(folder.join(name), why)),
     };
-    let (records, good, spoilt) = read(&bytes);
-    let found = Found { file: name, records: records.len(), bytes: good, spoilt };
-    Ok((records, found))
+    let (records, valid, spoilt) = read(&bytes);
+    let contents = FileContents { file: name, records: records.len(), bytes: valid, spoilt };
+    Ok((records, contents))
 }
 
+/// The open folder, with all members in memory.
 pub struct Store {
     folder: PathBuf,
     _lock: File,
     generation: u64,
+    /// The log that changes are appended to; none until a base is written, and after a failed write.
     log: Option<File>,
     log_bytes: u64,
     base_bytes: u64,
@@ -122,10 +128,11 @@
 }
 
 impl Store {
-    /// Takes the folder, and gives back what it held. What was spoilt is not written on: a new generation begins.
+    /// Locks the folder and returns its contents. Nothing is appended to the files that are there: the first write
+    /// starts a new generation.
     ///
     /// # Errors
-    /// Another daemon has it, or it can't be read.
+    /// Another daemon uses the folder, or it can't be read.
     pub fn open(folder: &Path) -> Result<(Store, Held), Fault> {
         let fault = |why| Fault::Io(folder.to_path_buf(), why);
         fs::create_dir_all(folder).map_err(fault)?;
@@ -151,12 +158,13 @@
         Ok((store, held))
     }
 
-    /// Keeps these members durably. What fails is kept in memory and goes with the next call, as a new generation.
+    /// Stores these members durably. After a failed write they stay in memory, and the next call writes them with a new
+    /// generation.
     ///
     /// # Errors
-    /// The folder can't be written: full, gone, read-only.
+    /// The folder can't be written: the disk is full, or the folder is missing or read-only.
     pub fn keep(&mut self, now: UnixMs, changed: Vec<Arc<Member>>, stand: Stand) -> Result<(), Fault> {
-        let grown = self.log_bytes > LEAST_LOG.max(self.base_bytes / PART);
+        let compact = self.log_bytes > MIN_LOG_BYTES.max(self.base_bytes / BASE_TO_LOG_RATIO);
         let mut bytes = Vec::new();
         for member in &changed {
             write(&Record::Member(member.clone()), &mut bytes).map_err(Fault::Member)?;
@@ -166,12 +174,12 @@
             write(&Record::Stand(self.stand), &mut bytes).map_err(Fault::Member)?;
         }
         self.members.extend(changed.into_iter().map(|member| (member.host.clone(), member)));
-        let appended = match (&mut self.log, grown) {
+        let appended = match (&mut self.log, compact) {
             (Some(log), false) => append(log, &bytes),
-            _ => return self.begin(now),
+            _ => return self.start_generation(now),
         };
         if let Err(why) = appended {
-            // Half a record may stand at its end: nothing more goes behind it.
+            // The log may end with a partial record, so nothing more is appended to it.
             self.log = None;
             return Err(Fault::Io(self.folder.clone(), why));
         }
@@ -179,18 +187,19 @@
         Ok(())
     }
 
-    /// A new generation: all members in a base that has its name only once it is whole and safe, and an empty log.
-    fn begin(&mut self, now: UnixMs) -> Result<(), Fault> {
+    /// Starts a new generation: a base with all members, which gets its name only once it is complete and durable, and
+    /// an empty log.
+    fn start_generation(&mut self, now: UnixMs) -> Result<(), Fault> {
         self.log = None;
         let generation = self.generation + 1;
         let mut bytes = MAGIC.to_vec();
-        let mut record = |record: &Record| write(record, &mut bytes).map_err(Fault::Member);
-        record(&Record::Head { generation, at: now })?;
-        record(&Record::Stand(self.stand))?;
+        let mut append_record = |record: &Record| write(record, &mut bytes).map_err(Fault::Member);
+        append_record(&Record::Head { generation, at: now })?;
+        append_record(&Record::Stand(self.stand))?;
         for member in self.members.values() {
-            record(&Record::Member(member.clone()))?;
+            append_record(&Record::Member(member.clone()))?;
         }
-        record(&Record::End { members: self.members.len() as u64 })?;
+        append_record(&Record::End { members: self.members.len() as u64 })?;
         let fault = |why| Fault::Io(self.folder.clone(), why);
         let (new, base) = (self.folder.join("new"), self.folder.join(format!("base-{generation}")));
         let mut file = File::create(&new).map_err(fault)?;
@@ -198,11 +207,12 @@
         fs::rename(&new, base).map_err(fault)?;
         let mut log = File::create(self.folder.join(format!("log-{generation}"))).map_err(fault)?;
         append(&mut log, &MAGIC).map_err(fault)?;
-        // The names are safe only with the folder.
+        // New file names are durable only once the folder is synced.
         File::open(&self.folder).and_then(|folder| folder.sync_all()).map_err(fault)?;
         (self.generation, self.log, self.log_bytes) = (generation, Some(log), 0);
         self.base_bytes = bytes.len() as u64;
-        // The one before stays until this one is followed; what can't be removed is looked at again next time.
+        // The previous generation stays until the next one is complete. Files that can't be removed are tried again
+        // with the next generation.
         for old in generations(&self.folder)?.into_iter().filter(|old| old + 1 < generation) {
             for kind in ["base", "log"] {
                 let _ = fs::remove_file(self.folder.join(format!("{kind}-{old}")));
@@ -215,14 +225,14 @@
         &self.members
     }
 
-    /// What the files of this generation hold, in bytes.
+    /// Size of the files of this generation, in bytes.
     pub fn bytes(&self) -> u64 {
         self.base_bytes + self.log_bytes
     }
 
-    /// Lets a member go; gone from the next generation on.
-    pub fn drop_forgotten(&mut self, forgotten: impl Fn(&Member) -> bool) {
-        self.members.retain(|_, member| !forgotten(member));
+    /// Removes expired members from memory; the next generation no longer contains them.
+    pub fn remove_expired(&mut self, expired: impl Fn(&Member) -> bool) {
+        self.members.retain(|_, member| !expired(member));
     }
 }
 
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Files that are cut, flipped, taken away or written by another.
+//! Files that are truncated, corrupted, removed or written by another version.
 
 mod members;
 
@@ -13,7 +13,7 @@
 use members::member;
 
 /// A folder with a base of four members and a log with two newer ones.
-fn small(folder: &Path) -> BTreeMap<String, Arc<Member>> {
+fn write_small(folder: &Path) -> BTreeMap<String, Arc<Member>> {
     let (mut store, held) = Store::open(folder).expect("a folder");
     assert!(held.members.is_empty() && !held.spoilt());
     store.keep(1.0, (0..4).map(|number| member(number, 1)).collect(), Stand::default()).expect("a base");
@@ -21,15 +21,15 @@
     store.members().clone()
 }
 
-fn was_ever_true(found: &Arc<Member>) -> bool {
+fn was_written(found: &Arc<Member>) -> bool {
     let number: u32 = found.host[2..].parse().expect("a number");
     [1, 2].iter().any(|round| *found == member(number, *round))
 }
 
 #[test]
-fn what_was_kept_is_held_by_the_next_and_two_at_once_are_refused() {
+fn stored_members_are_loaded_by_the_next_process_and_a_second_process_is_refused() {
     let dir = tempfile::tempdir().expect("a folder");
-    let kept = small(dir.path());
+    let kept = write_small(dir.path());
     let (store, held) = Store::open(dir.path()).expect("the folder again");
     assert_eq!(held.members, kept);
     assert!(!held.spoilt());
@@ -40,52 +40,52 @@
 }
 
 #[test]
-fn a_file_cut_at_any_byte_keeps_what_stands_before_the_cut() {
+fn a_file_cut_at_any_byte_yields_the_records_before_the_cut() {
     for name in ["base-1", "log-1"] {
         let dir = tempfile::tempdir().expect("a folder");
-        let kept = small(dir.path());
+        let kept = write_small(dir.path());
         let path = dir.path().join(name);
         let whole = fs::read(&path).expect("the file");
         let mut before = 0;
         for length in 0..whole.len() {
             fs::write(&path, &whole[..length]).expect("the file");
-            let held = load(dir.path()).expect("a folder that can be read");
-            assert!(held.members.values().all(was_ever_true), "{name} cut at {length}");
-            // Cut between two records nothing is spoilt, and a base shows it by its end that is missing.
+            let held = load(dir.path()).expect("a readable folder");
+            assert!(held.members.values().all(was_written), "{name} cut at {length}");
+            // A cut between two records corrupts none of them; a base then lacks its end record.
             assert!(held.members != kept || name == "log-1" && length > 0, "{name} cut at {length}");
-            let good = held.members.len() as u64 + held.members.values().map(|m| m.told.seq).sum::<u64>();
-            assert!(good >= before, "{name} cut at {length}: a longer file holds no less");
-            before = good;
+            let found = held.members.len() as u64 + held.members.values().map(|m| m.told.seq).sum::<u64>();
+            assert!(found >= before, "{name} cut at {length}: a longer file yields at least as much");
+            before = found;
             Store::open(dir.path()).expect("a start");
         }
     }
 }
 
 #[test]
-fn no_flipped_bit_is_believed() {
+fn every_flipped_bit_is_detected() {
     for name in ["base-1", "log-1"] {
         let dir = tempfile::tempdir().expect("a folder");
-        small(dir.path());
+        write_small(dir.path());
         let path = dir.path().join(name);
         let whole = fs::read(&path).expect("the file");
         for bit in 0..8 * whole.len() {
-            let mut spoilt = whole.clone();
-            spoilt[bit / 8] ^= 1 << (bit % 8);
-            fs::write(&path, &spoilt).expect("the file");
-            let held = load(dir.path()).expect("a folder that can be read");
-            assert!(held.spoilt(), "bit {bit} of {name} is not noticed");
-            assert!(held.members.values().all(was_ever_true), "bit {bit} of {name} is believed");
+            let mut corrupted = whole.clone();
+            corrupted[bit / 8] ^= 1 << (bit % 8);
+            fs::write(&path, &corrupted).expect("the file");
+            let held = load(dir.path()).expect("a readable folder");
+            assert!(held.spoilt(), "flipped bit {bit} of {name} is not detected");
+            assert!(held.members.values().all(was_written), "flipped bit {bit} of {name} is used");
             if name == "log-1" {
-                assert!(held.members.len() >= 4, "the base stands");
+                assert!(held.members.len() >= 4, "the base is still used");
             }
         }
     }
 }
 
 #[test]
-fn a_spoilt_base_gives_way_to_the_generation_before_it() {
+fn a_corrupted_base_falls_back_to_the_generation_before_it() {
     let dir = tempfile::tempdir().expect("a folder");
-    small(dir.path());
+    write_small(dir.path());
     let (mut store, _) = Store::open(dir.path()).expect("the folder");
     store.keep(3.0, vec![member(5, 3)], Stand::default()).expect("a second generation");
     drop(store);
@@ -94,13 +94,13 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0x10;
     fs::write(&path, bytes).expect("the second base");
-    let held = load(dir.path()).expect("a folder that can be read");
+    let held = load(dir.path()).expect("a readable folder");
     assert_eq!((held.generation, held.members.len(), held.spoilt()), (1, 5, true));
-    // The next start does not write behind what is spoilt.
+    // The next start does not append to a corrupted generation.
     let (mut store, _) = Store::open(dir.path()).expect("the folder");
     store.keep(4.0, vec![member(6, 4)], Stand::default()).expect("a third generation");
     drop(store);
-    let held = load(dir.path()).expect("a folder that can be read");
+    let held = load(dir.path()).expect("a readable folder");
     assert_eq!((held.generation, held.members.len(), held.spoilt()), (3, 6, false));
 }
 
@@ -116,13 +116,13 @@
 }
 
 #[test]
-fn a_folder_that_goes_while_running_is_told_and_written_again_when_it_is_back() {
+fn a_folder_that_disappears_while_running_is_reported_and_written_again_when_it_is_back() {
     let dir = tempfile::tempdir().expect("a folder");
     let folder = dir.path().join("state");
     let (mut store, _) = Store::open(&folder).expect("a folder");
     store.keep(1.0, vec![member(0, 1)], Stand::default()).expect("a base");
     fs::rename(&folder, dir.path().join("away")).expect("a move");
-    // What is open still takes what comes, the next generation does not.
+    // Writes to the open log still succeed; creating the next generation fails.
     let mut failed = false;
     for round in 2..4_000 {
         failed |= store
@@ -132,9 +132,9 @@
             break;
         }
     }
-    assert!(failed, "a new generation can't begin in a folder that is gone");
+    assert!(failed, "no new generation can start in a folder that is missing");
     fs::create_dir(&folder).expect("a folder");
-    store.keep(3.0, vec![member(200, 1)], Stand::default()).expect("all of it, anew");
+    store.keep(3.0, vec![member(200, 1)], Stand::default()).expect("all members in a new generation");
     drop(store);
     assert_eq!(load(&folder).expect("a folder").members.len(), 101);
 }
@@ -160,7 +160,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let (store, _) = Store::open(dir.path()).expect("a folder");
     let writer =
-        Writer::start(store, Duration::from_millis(20), |said| panic!("{said:?}")).expect("a thread");
+        Writer::start(store, Duration::from_millis(20), |result| panic!("{result:?}")).expect("a thread");
     for round in 0..200 {
         writer.keep((0..10).map(|number| member(number, round)).collect(), Stand::default());
         std::thread::sleep(Duration::from_millis(1));
--- a/crates/snapshot/tests/killed.rs
+++ b/crates/snapshot/tests/killed.rs
@@ -1,5 +1,5 @@
-//! Processes that are killed while they write. A program of its own: a lock is shared with a child until it has
-//! become another program, so no other test may open a folder beside this one.
+//! Processes that are killed while they write. This is a test binary of its own, because a forked child shares open
+//! locks until it executes its program: no other test may open a folder at the same time.
 
 mod members;
 
@@ -12,17 +12,18 @@
 use amberarch_snapshot::*;
 use members::member;
 
-/// Where the next test finds its folder when it is the one to be killed.
+/// Environment variable with the folder for the process that is to be killed.
 const FOLDER: &str = "AMBERARCH_TEST_FOLDER";
 
-/// Not a test of its own: the process that the next one kills. It tells on standard output what is safe.
+/// Not a test by itself: the process that the next test kills. It prints each round to standard output once that round
+/// is durable.
 #[test]
 fn writes_until_it_is_killed() {
     let Ok(folder) = std::env::var(FOLDER) else { return };
     let (mut store, held) = Store::open(Path::new(&folder)).expect("a folder");
     let first = held.members.values().map(|member| member.told.seq).max().unwrap_or(0) + 1;
     for round in first.. {
-        // Each member of a round has its number, so half a round shows.
+        // Each member carries the number of its round, so a partially written round is visible.
         store
             .keep(round as f64, (0..8).map(|number| member(number, round)).collect(), Stand::default())
             .expect("room");
@@ -45,7 +46,7 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("a process");
-        // Different moments, the same ones each run, once it has begun to write.
+        // Once it has started to write, kill it at a moment that differs between rounds and is the same in each run.
         let until = Instant::now() + Duration::from_secs(20);
         while fs::metadata(&out).expect("a file").len() < 200 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(1));
@@ -53,9 +54,9 @@
         std::thread::sleep(Duration::from_micros(round * 7_919 % 9_000));
         child.kill().expect("a kill");
         child.wait().expect("an end");
-        let said = fs::read_to_string(&out).expect("what it said");
-        let told = said.lines().filter_map(|line| line.strip_prefix("safe ")?.parse::<u64>().ok()).max();
-        safe = safe.max(told.unwrap_or(0));
+        let output = fs::read_to_string(&out).expect("its output");
+        let durable = output.lines().filter_map(|line| line.strip_prefix("safe ")?.parse::<u64>().ok()).max();
+        safe = safe.max(durable.unwrap_or(0));
         let held = match load(&dir.path().join("state")) {
             Ok(held) => held,
             Err(_) => continue,
@@ -66,7 +67,7 @@
             assert_eq!(*found, member(number, found.told.seq), "round {round}");
         }
         assert!(safe == 0 || held.members.len() == 8, "round {round}: {}", held.members.len());
-        // Rounds are kept in order, so two of them at most stand beside each other.
+        // Rounds are written in order, so the members come from at most two of them.
         let rounds: std::collections::BTreeSet<u64> = held.members.values().map(|m| m.told.seq).collect();
         assert!(rounds.len() <= 2, "round {round}: {rounds:?}");
     }
--- a/crates/snapshot/tests/members/mod.rs
+++ b/crates/snapshot/tests/members/mod.rs
@@ -1,4 +1,4 @@
-//! Members by number and round.
+//! Builds a test member from its number and its round.
 
 use std::sync::Arc;
 
