--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings that an instance is given, as the start facts of its decisions.
+//! Converts the settings of a controller into the bootstrap settings of its decisions.
 //!
-//! They come as `path=value` pairs or as nested JSON, under the same names and units (times are
-//! nanoseconds); both are read here into the same paths, and turned into facts once.
+//! Settings arrive as `path=value` pairs from the simulator or as nested JSON, with the same names and units (times
+//! are in nanoseconds). Both forms are read into the same map from path to value, which is converted once.
 
 mod names;
 
@@ -14,11 +14,11 @@
 
 pub use names::Names;
 
-/// What was given, by path; lists of plain values are joined by commas.
+/// Settings by path, as text. Lists of scalar values are joined by commas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Given(BTreeMap<String, String>);
 
-/// All start facts.
+/// All bootstrap settings. Times are in ms.
 pub struct Start {
     pub post: Post,
     pub products: Vec<Product>,
@@ -30,14 +30,17 @@
 }
 
 impl Given {
+    /// Reads `path=value` pairs; empty ones are skipped.
     pub fn from_pairs<'a>(pairs: impl Iterator<Item = &'a str>) -> Result<Given, String> {
-        let pair = |pair: &str| {
-            let split = pair.split_once('=').map(|(path, value)| (path.to_string(), value.to_string()));
-            split.ok_or_else(|| format!("expected path=value, found '{pair}'"))
+        let parse = |pair: &str| {
+            let parsed = pair.split_once('=').map(|(path, value)| (path.to_string(), value.to_string()));
+            parsed.ok_or_else(|| format!("expected path=value, found '{pair}'"))
         };
-        pairs.filter(|pair| !pair.is_empty()).map(pair).collect::<Result<_, _>>().map(Given)
+        pairs.filter(|pair| !pair.is_empty()).map(parse).collect::<Result<_, _>>().map(Given)
     }
 
+    /// Reads nested JSON: object keys and positions in lists of objects become path segments, and the length of such a
+    /// list is stored as `count`. Commas and spaces in text values become underscores, as in the pairs.
     pub fn from_json(settings: &Value) -> Result<Given, String> {
         match settings {
             Value::Object(_) => {
@@ -50,82 +53,89 @@
     }
 
     fn flatten(&mut self, path: &str, value: &Value) {
-        let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
-        let plain = |value: &Value| match value {
+        let child = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+        let scalar = |value: &Value| match value {
             Value::String(text) => text.replace([' ', ','], "_"),
             other => other.to_string(),
         };
         match value {
             Value::Null => {}
-            Value::Object(fields) => fields.iter().for_each(|(key, value)| self.flatten(&below(key), value)),
+            Value::Object(fields) => fields.iter().for_each(|(key, value)| self.flatten(&child(key), value)),
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(below("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(at, item)| self.flatten(&below(&at.to_string()), item));
+                self.0.insert(child("count"), items.len().to_string());
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(index, item)| self.flatten(&child(&index.to_string()), item));
             }
             Value::Array(items) => {
-                self.0.insert(path.into(), items.iter().map(plain).collect::<Vec<_>>().join(","));
+                self.0.insert(path.into(), items.iter().map(scalar).collect::<Vec<_>>().join(","));
             }
-            one => {
-                self.0.insert(path.into(), plain(one));
+            single => {
+                self.0.insert(path.into(), scalar(single));
             }
         }
     }
 
-    /// For a front that stands in for something the settings speak of.
+    /// Replaces one setting. For a front end that provides itself what the setting describes.
     pub fn with(mut self, path: &str, value: &str) -> Given {
         self.0.insert(path.into(), value.into());
         self
     }
 
+    /// Names of the zones, in the order of their numbers.
     pub fn zones(&self) -> Result<Vec<String>, String> {
         Ok(self.text("dcs")?.split(',').map(String::from).collect())
     }
 
+    /// Names of the instance types, in the order of their numbers.
     pub fn kinds(&self) -> Result<Vec<String>, String> {
         Ok(self.text("kinds")?.split(',').map(String::from).collect())
     }
 
+    /// Names of the request classes, in the order of their numbers.
     pub fn products(&self) -> Result<Vec<String>, String> {
-        let name = |place| self.text(&format!("classes.{place}.name")).map(String::from);
+        let name = |index| self.text(&format!("classes.{index}.name")).map(String::from);
         (0..self.count("classes.count")?).map(name).collect()
     }
 
-    /// How many proxies there are, over all stewards.
+    /// Number of proxies of all controllers together.
     pub fn proxies(&self) -> Result<u32, String> {
         self.count("familyInfo.agents")
     }
 
-    /// Whether hosts tell their load when probed.
+    /// Whether hosts report their load in probe answers.
     pub fn load_reports(&self) -> Result<bool, String> {
         Ok(self.text("loadInfo.how")? != "off")
     }
 
-    /// How long a connection may take to come up.
+    /// Connect timeout, ms.
     pub fn connect_within(&self) -> Result<f64, String> {
         self.time("policyLimits.connectTimeout")
     }
 
-    /// After how long a steward that has not asked for the list counts as told.
+    /// Time after which a controller that has not asked for the host list counts as having received it, ms.
     pub fn ask_within(&self) -> Result<f64, String> {
         self.time("rules.askWithin")
     }
 
-    /// How long a host that drains, or is listed elsewhere, still counts for where it was.
+    /// How long a host that drains, or is listed in another zone, still counts for its former place, ms.
     pub fn drain_grace(&self) -> Result<f64, String> {
         self.time("rules.drainGrace")
     }
 
-    /// The products, in the order of their names.
+    /// The request classes, in the order of [`Given::products`].
     pub fn product_facts(&self) -> Result<Vec<Product>, String> {
-        (0..self.count("classes.count")?).map(|place| product(self, place)).collect()
+        (0..self.count("classes.count")?).map(|index| product(self, index)).collect()
     }
 
+    /// Settings of the traffic reports.
     pub fn sums(&self) -> Result<Sums, String> {
         let every = self.time("familyInfo.reportEvery")?;
         Ok(Sums { every, lines_per_s: self.number("familyInfo.reportsPerS")? })
     }
 
-    /// Which levels proxies take.
+    /// Which kind of admission level the proxies support.
     pub fn level_kind(&self) -> Result<LevelKind, String> {
         self.one_of(
             "familyInfo.levelKind",
@@ -143,11 +153,12 @@
         text.parse().map_err(|_| format!("expected a number for the setting {name}, found '{text}'"))
     }
 
-    /// Whole numbers may be written with a fraction.
+    /// A whole number, which may be written with a fraction; the fraction is dropped.
     fn count(&self, name: &str) -> Result<u32, String> {
         self.number::<f64>(name).map(|value| value as u32)
     }
 
+    /// A time, converted from ns to ms.
     fn time(&self, name: &str) -> Result<f64, String> {
         match self.number::<f64>(name)? {
             ns if ns >= 0.0 && ns.is_finite() => Ok(ns / 1e6),
@@ -160,7 +171,7 @@
         flag(text).ok_or_else(|| format!("expected a flag for the setting {name}, found '{text}'"))
     }
 
-    /// A flag that may be left out: then it does not hold.
+    /// A flag that is false if it is missing.
     fn optional_flag(&self, name: &str) -> Result<bool, String> {
         match self.0.contains_key(name) {
             true => self.flag(name),
@@ -168,12 +179,14 @@
         }
     }
 
-    fn flag_at(&self, name: &str, place: u32) -> Result<bool, String> {
+    /// The flag of one request class, from a list with a flag for each class.
+    fn flag_at(&self, name: &str, index: u32) -> Result<bool, String> {
         let text = self.text(name)?;
-        let part = text.split(',').nth(place as usize);
-        part.and_then(flag).ok_or_else(|| format!("expected a flag for each class in {name}, found '{text}'"))
+        let item = text.split(',').nth(index as usize);
+        item.and_then(flag).ok_or_else(|| format!("expected a flag for each class in {name}, found '{text}'"))
     }
 
+    /// A setting whose text is one of the given words, as the value that belongs to the word.
     fn one_of<T: Copy>(&self, name: &str, choices: &[(&str, T)]) -> Result<T, String> {
         let text = self.text(name)?;
         let found = choices.iter().find(|(word, _)| *word == text);
@@ -184,13 +197,13 @@
         })
     }
 
-    /// A steward with these facts, at its start.
+    /// A new controller with these settings.
     pub fn steward(&self, seed: u64) -> Result<Steward, String> {
         let Start { post, products, channel, sidecars, warmup, roster, sums } = self.start(seed)?;
         Ok(Steward::new(post, products, channel, sidecars, warmup, roster, sums))
     }
 
-    /// The same facts for a subsystem that needs them.
+    /// The bootstrap settings, for a subsystem that needs them without a controller.
     pub fn start(&self, seed: u64) -> Result<Start, String> {
         let s = self;
         let post = Post {
@@ -250,8 +263,8 @@
     }
 }
 
-fn product(s: &Given, place: u32) -> Result<Product, String> {
-    let key = |name: &str| format!("classes.{place}.{name}");
+fn product(s: &Given, index: u32) -> Result<Product, String> {
+    let key = |name: &str| format!("classes.{index}.{name}");
     let effects =
         [("free", Effect::InquiryLike), ("guarded", Effect::Referenced), ("single_shot", Effect::OnceOnly)];
     let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Pod)];
@@ -263,7 +276,7 @@
         window: s.time(&key("window"))?,
         revenue: s.number(&key("points"))?,
         late_part: s.number(&key("lateWorth"))?,
-        own_zone: s.flag_at("familyInfo.classOwnZone", place)?,
-        writes: s.flag_at("familyInfo.classWrites", place)?,
+        own_zone: s.flag_at("familyInfo.classOwnZone", index)?,
+        writes: s.flag_at("familyInfo.classWrites", index)?,
     })
 }
--- a/crates/facts/src/names.rs
+++ b/crates/facts/src/names.rs
@@ -1,8 +1,10 @@
+//! Numbers for host names.
+
 use std::collections::{BTreeMap, HashMap};
 
 use amberarch_core::HostId;
 
-/// An instance's own numbering of the hosts it has heard of.
+/// Maps the names of the known hosts to numbers and back. Each instance numbers hosts for itself.
 #[derive(Default)]
 pub struct Names {
     ids: HashMap<String, HostId>,
@@ -11,7 +13,7 @@
 }
 
 impl Names {
-    /// The number of a name, a new one where it is new.
+    /// Returns the number of a name and assigns one if the name is new.
     pub fn id(&mut self, name: &str) -> HostId {
         if let Some(id) = self.find(name) {
             return id;
@@ -31,7 +33,7 @@
         self.names.get(&host).map(String::as_str)
     }
 
-    /// Forgets a host. Its number is not given again, so that nothing late about it meets another.
+    /// Removes a host. Its number is not assigned again, so a late event for it never applies to another host.
     pub fn forget(&mut self, host: HostId) {
         if let Some(name) = self.names.remove(&host) {
             self.ids.remove(&name);
--- a/crates/facts/tests/given.rs
+++ b/crates/facts/tests/given.rs
@@ -1,15 +1,15 @@
 use amberarch_facts::Given;
 use expect_test::expect;
 
-/// Guards against facts that differ between simulator and service: both forms lead to the same paths.
+/// Guards against settings that the simulator and the service read differently: both forms give the same paths.
 #[test]
 fn pairs_and_json_give_the_same() {
     let json = r#"{"az":1,"classes":[{"name":"a page","points":2.0},{"name":"b","points":1}],"dcs":["x","y"],
         "familyInfo":{"classWrites":[false,true],"zonal":true,"worst":null},"loadInfo":{"columns":[]}}"#;
     let pairs = "az=1 classes.count=2 classes.0.name=a_page classes.0.points=2.0 classes.1.name=b \
         classes.1.points=1 dcs=x,y familyInfo.classWrites=false,true familyInfo.zonal=true loadInfo.columns=";
-    let of_json = Given::from_json(&serde_json::from_str(json).unwrap());
-    assert_eq!(of_json, Given::from_pairs(pairs.split(' ')));
+    let from_json = Given::from_json(&serde_json::from_str(json).unwrap());
+    assert_eq!(from_json, Given::from_pairs(pairs.split(' ')));
     expect![[r#"
         Given(
             {
@@ -25,11 +25,11 @@
                 "loadInfo.columns": "",
             },
         )"#]]
-    .assert_eq(&format!("{:#?}", of_json.unwrap()));
+    .assert_eq(&format!("{:#?}", from_json.unwrap()));
 }
 
 #[test]
-fn what_is_missing_or_wrong_is_named() {
+fn an_error_names_the_setting_that_is_missing_or_wrong() {
     let error =
         |pairs: &str| Given::from_pairs(pairs.split(' ')).and_then(|given| given.steward(1).map(drop));
     let errors =
