--- a/crates/policy/tests/policy/fleet.rs
+++ b/crates/policy/tests/policy/fleet.rs
@@ -1,20 +1,25 @@
-//! A small fleet for traces: hosts, proxies and a clock, and the decisions in short words.
+//! Test driver: a small fleet of hosts and proxies with a simulated clock. It passes events to the decisions and keeps
+//! their orders as a trace of short lines.
 
 use amberarch_core::*;
 use amberarch_policy::Steward;
 
 pub struct Fleet {
-    pub steward: Steward,
+    pub controller: Steward,
+    /// Orders and notes, one per line with the time in ms.
     pub trace: String,
+    /// ms
     pub now: f64,
-    /// The last one that was ordered.
+    /// The last mark that was ordered.
     pub mark: MarkId,
     zones: u16,
-    /// The time that a sum covers.
+    /// The time that a host report covers, ms.
     pub span: f64,
-    sums: Vec<Event>,
+    /// Reports that are sent with the next events.
+    reports: Vec<Event>,
 }
 
+/// A request class that may be served in all zones.
 pub fn product(effect: Effect) -> Product {
     let (scope, own_zone, writes) = (Scope::All, false, effect != Effect::InquiryLike);
     let (sla, expiry, window, revenue, late_part) = (1_000.0, 3_000.0, 5_000.0, 1.0, 0.2);
@@ -22,31 +27,32 @@
 }
 
 impl Fleet {
-    /// Hosts are spread over the zones in turn.
+    /// A fleet with one request class and without admission levels. Host h is in zone h modulo `zones`.
     pub fn new(zones: u16, hosts: u32) -> Fleet {
         Fleet::with(zones, hosts, vec![product(Effect::InquiryLike)], LevelKind::Off)
     }
 
-    pub fn asked(zones: u16, hosts: u32) -> Fleet {
-        Fleet::made(zones, hosts, vec![product(Effect::InquiryLike)], LevelKind::Off, (true, 1), 300.0)
+    /// The host list is sent only when the controller asks for it.
+    pub fn with_list_on_request(zones: u16, hosts: u32) -> Fleet {
+        Fleet::build(zones, hosts, vec![product(Effect::InquiryLike)], LevelKind::Off, (true, 1), 300.0)
     }
 
-    /// One of several stewards, each with the proxies of its zone.
-    pub fn of_many(zones: u16, hosts: u32) -> Fleet {
-        Fleet::made(zones, hosts, vec![product(Effect::InquiryLike)], LevelKind::Off, (false, 2), 300.0)
+    /// One of two controllers, each with the proxies of its zone.
+    pub fn one_of_two_controllers(zones: u16, hosts: u32) -> Fleet {
+        Fleet::build(zones, hosts, vec![product(Effect::InquiryLike)], LevelKind::Off, (false, 2), 300.0)
     }
 
     pub fn with(zones: u16, hosts: u32, products: Vec<Product>, levels: LevelKind) -> Fleet {
-        Fleet::made(zones, hosts, products, levels, (false, 1), 300.0)
+        Fleet::build(zones, hosts, products, levels, (false, 1), 300.0)
     }
 
-    /// The channel sends 1,000 lines a second.
+    /// A channel that sends 1,000 lines per second and lets `backlog` lines wait.
     pub fn with_channel(zones: u16, hosts: u32, backlog: f64) -> Fleet {
         let products = vec![product(Effect::InquiryLike)];
-        Fleet::made(zones, hosts, products, LevelKind::Off, (false, 1), backlog)
+        Fleet::build(zones, hosts, products, LevelKind::Off, (false, 1), backlog)
     }
 
-    fn made(
+    fn build(
         zones: u16,
         hosts: u32,
         products: Vec<Product>,
@@ -54,15 +60,23 @@
         (asked, stewards): (bool, u32),
         backlog: f64,
     ) -> Fleet {
-        Fleet::seeded(1, (zones, hosts), products, levels, (asked, stewards), backlog)
+        Fleet::build_with_seed(1, (zones, hosts), products, levels, (asked, stewards), backlog)
     }
 
-    /// One of five that are alike but for their seeds, whose list comes only when it is asked for.
-    pub fn of_five(seed: u64) -> Fleet {
-        Fleet::seeded(seed, (1, 2), vec![product(Effect::InquiryLike)], LevelKind::Off, (true, 5), 300.0)
+    /// One of five controllers that differ only in their seed. The host list is sent only when a controller asks for
+    /// it.
+    pub fn one_of_five_controllers(seed: u64) -> Fleet {
+        Fleet::build_with_seed(
+            seed,
+            (1, 2),
+            vec![product(Effect::InquiryLike)],
+            LevelKind::Off,
+            (true, 5),
+            300.0,
+        )
     }
 
-    fn seeded(
+    fn build_with_seed(
         seed: u64,
         (zones, hosts): (u16, u32),
         products: Vec<Product>,
@@ -87,14 +101,16 @@
         let warmup = Warmup { from: 0.2, within: 20_000.0, multiple: 3.0, fall_after: 2_000.0 };
         let roster = Roster { asked, ask_within: 1e4, grace: 2e3, removal_not_binding: false };
         let sums = Sums { every: 1_000.0, lines_per_s: 100.0 };
-        let steward = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
+        let controller = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
         let (mark, trace) = (MarkId(0), String::new());
-        let mut fleet = Fleet { steward, trace, now: 1_000.0, mark, zones, span: 1_000.0, sums: vec![] };
+        let mut fleet =
+            Fleet { controller, trace, now: 1_000.0, mark, zones, span: 1_000.0, reports: vec![] };
         let entries = (0..hosts).map(|host| fleet.entry(host)).collect();
-        fleet.say(&[Event::List { news: ListNews::Restored, entries }]);
+        fleet.send(&[Event::List { news: ListNews::Restored, entries }]);
         fleet
     }
 
+    /// The list entry of a host with the default weight and zone.
     pub fn entry(&self, host: u32) -> Listed {
         Listed {
             host: HostId(host),
@@ -107,112 +123,117 @@
         }
     }
 
-    pub fn list(&mut self, host: u32, standing: Standing, born: Option<f64>) {
+    /// Sends a list update for one host.
+    pub fn list_host(&mut self, host: u32, standing: Standing, born: Option<f64>) {
         let entry = Listed { standing, born, ..self.entry(host) };
-        self.say(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
+        self.send(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
     }
 
     pub fn join(&mut self, proxy: u16) {
         self.join_all(&[(proxy, true)]);
     }
 
-    /// At one time, each fresh or with the tables of another steward.
+    /// Proxies that join at the same time, each fresh or still with the tables of another controller.
     pub fn join_all(&mut self, proxies: &[(u16, bool)]) {
         let joined = |&(proxy, fresh): &(u16, bool)| {
             let zone = ZoneId(proxy % self.zones);
             Event::Joined { proxy: ProxyId(proxy), zone, txns_per_s: 10.0, fresh }
         };
         let joined: Vec<Event> = proxies.iter().map(joined).collect();
-        self.say(&joined);
+        self.send(&joined);
     }
 
+    /// Sends probe outcomes of one host, one per second.
     pub fn probes(&mut self, host: u32, outcomes: &[Outcome]) {
         for outcome in outcomes {
             self.run(5);
             self.note(&format!("{outcome:?} host{host}").to_lowercase());
             let (host, report) = (HostId(host), LoadReport::default());
-            self.say(&[Event::Probed { host, outcome: *outcome, took: 2.0, report }]);
+            self.send(&[Event::Probed { host, outcome: *outcome, took: 2.0, report }]);
         }
     }
 
-    /// Sums go with what is said next.
-    pub fn met(&mut self, host: u32, zone: u16, tries: u32, voided: u32, mean: f64) {
+    /// A host report: the tries from a zone to a host. It is sent with the next events.
+    pub fn host_report(&mut self, host: u32, zone: u16, tries: u32, voided: u32, mean: f64) {
         let (host, zone, report) = (HostId(host), ZoneId(zone), LoadReport::default());
-        self.sums.push(Event::Met { host, zone, over: self.span, tries, voided, mean, report });
+        self.reports.push(Event::Met { host, zone, over: self.span, tries, voided, mean, report });
     }
 
-    pub fn came(&mut self, proxy: u16, product: u16, txns: u32) {
+    /// A proxy report: the requests of one class at a proxy. It is sent with the next events.
+    pub fn proxy_report(&mut self, proxy: u16, product: u16, txns: u32) {
         let (proxy, product) = (ProxyId(proxy), ProductId(product));
-        self.sums.push(Event::Came { proxy, product, txns, voided: 0, over: 1_000.0 });
+        self.reports.push(Event::Came { proxy, product, txns, voided: 0, over: 1_000.0 });
     }
 
-    /// Txns of the product that come to the zone may be served by hosts of these alone.
-    pub fn reach(&mut self, zone: u16, product: u16, zones: &[u16]) {
-        let said = format!("reach of product{product} from zone{zone}: {zones:?}");
-        self.note(&said);
+    /// Requests of the class that arrive in `zone` may be served only by hosts of `zones`.
+    pub fn set_reach(&mut self, zone: u16, product: u16, zones: &[u16]) {
+        let text = format!("reach of product{product} from zone{zone}: {zones:?}");
+        self.note(&text);
         let (zone, product) = (ZoneId(zone), ProductId(product));
         let zones = zones.iter().copied().map(ZoneId).collect();
-        self.say(&[Event::Reach { zone, product, zones }]);
+        self.send(&[Event::Reach { zone, product, zones }]);
     }
 
-    /// After four good seconds of four hosts these start anew, all at once, while so many proxies are asked on.
+    /// Four hosts serve well for four seconds, then the given hosts restart at the same time. The proxies go on
+    /// receiving requests for the given number of seconds.
     pub fn restart(&mut self, hosts: &[u32], proxies: u16, seconds: u32) {
         for _ in 0..4 {
             self.run(5);
-            (0..4).for_each(|host| self.met(host, 0, 5, 0, 100.0));
-            (0..proxies).for_each(|proxy| self.came(proxy, 0, 10));
+            (0..4).for_each(|host| self.host_report(host, 0, 5, 0, 100.0));
+            (0..proxies).for_each(|proxy| self.proxy_report(proxy, 0, 10));
         }
         self.trace.clear();
         let born = Some(self.now);
-        hosts.iter().for_each(|host| self.list(*host, Standing::On, born));
+        hosts.iter().for_each(|host| self.list_host(*host, Standing::On, born));
         for _ in 0..seconds {
             self.run(5);
-            (0..proxies).for_each(|proxy| self.came(proxy, 0, 10));
+            (0..proxies).for_each(|proxy| self.proxy_report(proxy, 0, 10));
         }
     }
 
-    /// The trace since it was last taken.
-    pub fn take(&mut self) -> String {
+    /// Returns the trace since the last call and clears it.
+    pub fn take_trace(&mut self) -> String {
         std::mem::take(&mut self.trace)
     }
 
-    /// What hosts are believed to carry, observed so long ago.
-    pub fn loads(&mut self, loads: &[(u32, f64)], age: f64, sure: f64) {
+    /// Load estimates of hosts, observed `age` ms ago, with a confidence of `sure`. They are sent with the next events.
+    pub fn load_reports(&mut self, loads: &[(u32, f64)], age: f64, sure: f64) {
         let load = |(host, load): &(u32, f64)| Event::Load { host: HostId(*host), load: *load, age, sure };
-        self.sums.extend(loads.iter().map(load));
+        self.reports.extend(loads.iter().map(load));
     }
 
-    /// So many proxies answer all marks so far.
+    /// The first `proxies` proxies acknowledge all marks so far.
     pub fn catch_up(&mut self, proxies: u16) {
         for mark in 0..40 {
             let applied = |proxy| Event::Applied { proxy: ProxyId(proxy), mark: MarkId(mark), took: 300.0 };
-            self.say(&(0..proxies).map(applied).collect::<Vec<_>>());
+            self.send(&(0..proxies).map(applied).collect::<Vec<_>>());
         }
     }
 
-    /// Lets so many ticks pass.
+    /// Advances the clock by a number of ticks of 200 ms.
     pub fn run(&mut self, ticks: u32) {
         for _ in 0..ticks {
             self.now += 200.0;
-            self.say(&[]);
+            self.send(&[]);
         }
     }
 
+    /// Adds a line to the trace.
     pub fn note(&mut self, text: &str) {
         self.trace += &format!("{} {text}\n", self.now);
     }
 
-    /// The clock is due with every batch, so that each shows what is decided on it.
-    pub fn say(&mut self, events: &[Event]) {
+    /// Sends events with a timer tick, so the trace also shows the orders that are decided on ticks.
+    pub fn send(&mut self, events: &[Event]) {
         let due = Event::Due { timer: TimerId(0) };
-        let sums = std::mem::take(&mut self.sums);
-        let events: Vec<Event> = sums.into_iter().chain(events.iter().cloned()).chain([due]).collect();
-        self.hear(&events);
+        let reports = std::mem::take(&mut self.reports);
+        let events: Vec<Event> = reports.into_iter().chain(events.iter().cloned()).chain([due]).collect();
+        self.send_without_tick(&events);
     }
 
-    /// As it comes between two times of the clock.
-    pub fn hear(&mut self, events: &[Event]) {
-        for order in self.steward.decide(self.now, events) {
+    /// Sends events that arrive between two timer ticks.
+    pub fn send_without_tick(&mut self, events: &[Event]) {
+        for order in self.controller.decide(self.now, events) {
             let text = match order {
                 Order::Share { tbl, host, weight } => {
                     format!("t{} host{} weight {weight}", tbl.0, host.0)
--- a/crates/policy/tests/policy/reach.rs
+++ b/crates/policy/tests/policy/reach.rs
@@ -1,22 +1,23 @@
-//! Permitted zones: what each change of a reach does, beside all else that the module does.
+//! Permitted zones: the orders that follow when the reach of a request class (the zones that may serve it) changes,
+//! also together with gates, restarts, levels and a full channel.
 
 use crate::fleet::{product, Fleet};
 use amberarch_core::*;
 use expect_test::expect;
 
-/// Two products that may go anywhere, levels by share. Host h is of zone h modulo `zones`.
+/// Two request classes that may go anywhere, with admission levels as fractions. Host h is in zone h modulo `zones`.
 fn two_products(zones: u16, hosts: u32) -> Fleet {
     let products = vec![product(Effect::InquiryLike), product(Effect::OnceOnly)];
     Fleet::with(zones, hosts, products, LevelKind::Share)
 }
 
 #[test]
-fn a_reach_is_narrowed_in_the_reply_that_hears_of_it() {
+fn a_reach_is_narrowed_in_the_reply_to_the_event() {
     let mut fleet = two_products(3, 6);
     fleet.join(0);
     fleet.run(1);
-    fleet.take();
-    fleet.reach(0, 1, &[0, 2]);
+    fleet.take_trace();
+    fleet.set_reach(0, 1, &[0, 2]);
     fleet.run(5);
     expect![[r#"
         1200 reach of product1 from zone0: [0, 2]
@@ -28,20 +29,20 @@
         1200 admit t33138 for 10: 1 AfterProof
         1200 bind proxy0 to t33138 for 10
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
 #[test]
 fn a_reach_is_widened_once_the_wider_table_serves() {
     let mut fleet = two_products(3, 6);
-    fleet.reach(0, 1, &[2]);
+    fleet.set_reach(0, 1, &[2]);
     fleet.join(0);
     fleet.run(3);
-    fleet.take();
-    fleet.reach(0, 1, &[1, 2]);
+    fleet.take_trace();
+    fleet.set_reach(0, 1, &[1, 2]);
     fleet.run(3);
     fleet.note("lifted");
-    fleet.say(&[Event::Reach { zone: ZoneId(0), product: ProductId(1), zones: Zones::ALL }]);
+    fleet.send(&[Event::Reach { zone: ZoneId(0), product: ProductId(1), zones: Zones::ALL }]);
     fleet.run(3);
     expect![[r#"
         1600 reach of product1 from zone0: [1, 2]
@@ -60,25 +61,25 @@
         2200 bind proxy0 to t0 for 10
         2200 clear t54922
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
-/// Neither table is within the other: the old one is left first, whatever the new one has.
+/// Neither table contains the other: the proxy leaves the old one first, whatever hosts the new one has.
 #[test]
-fn two_zones_are_swapped_with_no_moment_in_both() {
+fn swapping_two_zones_never_uses_both_at_once() {
     let mut fleet = two_products(3, 6);
-    fleet.reach(0, 0, &[1]);
-    fleet.reach(0, 1, &[2]);
+    fleet.set_reach(0, 0, &[1]);
+    fleet.set_reach(0, 1, &[2]);
     fleet.join(0);
     fleet.run(3);
-    fleet.take();
-    let told = |product, zone| Event::Reach {
+    fleet.take_trace();
+    let reach = |product, zone| Event::Reach {
         zone: ZoneId(0),
         product: ProductId(product),
         zones: Zones::one(ZoneId(zone)),
     };
     fleet.note("swapped");
-    fleet.say(&[told(0, 2), told(1, 1)]);
+    fleet.send(&[reach(0, 2), reach(1, 1)]);
     fleet.run(3);
     expect![[r#"
         1600 swapped
@@ -87,24 +88,24 @@
         1600 bind proxy0 to t54921 for 10
         1600 bind proxy0 to t54922 for 1
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
-/// Residency stands before service: nothing goes to a neighbour that is not permitted.
+/// The permitted zones take precedence over availability: no request goes to a neighbour zone that is not permitted.
 #[test]
-fn a_permitted_zone_is_lost_and_no_other_takes_its_place() {
+fn a_permitted_zone_that_is_lost_is_not_replaced_by_another_zone() {
     let mut fleet = two_products(3, 6);
-    fleet.reach(0, 1, &[0, 1]);
+    fleet.set_reach(0, 1, &[0, 1]);
     fleet.join(0);
     fleet.run(3);
-    fleet.take();
+    fleet.take_trace();
     for host in [0, 3] {
         fleet.probes(host, &[Outcome::Unreachable; 3]);
     }
     fleet.run(5);
     fleet.note("the other one is let go for good");
     for host in [1, 4] {
-        fleet.list(host, Standing::Gone, None);
+        fleet.list_host(host, Standing::Gone, None);
     }
     fleet.run(5);
     expect![[r#"
@@ -130,19 +131,19 @@
         8600 forget host1
         8600 forget host4
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
 #[test]
-fn a_product_whose_home_is_outside_is_served_where_it_may_be_and_counts_there() {
+fn a_class_that_may_not_use_its_own_zone_is_served_in_a_permitted_one_and_counts_there() {
     let mut fleet = Fleet::new(3, 6);
-    fleet.reach(0, 0, &[1]);
+    fleet.set_reach(0, 0, &[1]);
     for proxy in [0, 3, 6, 9] {
         fleet.join(proxy);
     }
     fleet.join(1);
     fleet.run(10);
-    // Zone 1 carries zone 0's four proxies beside its own, so its own spill to the idle ones.
+    // Zone 1 serves the four proxies of zone 0 beside its own, so its own proxies spill over to the idle zones.
     expect![[r#"
         1000 reach of product0 from zone0: [1]
         1000 clear t54921
@@ -162,19 +163,19 @@
         1200 t1 host3 weight 1
         1200 t1 host5 weight 1
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
 #[test]
-fn a_product_that_may_not_leave_its_zone_keeps_to_it_or_is_declined() {
+fn a_class_confined_to_its_zone_stays_there_or_is_rejected() {
     let confined = Product { own_zone: true, ..product(Effect::OnceOnly) };
     let mut fleet = Fleet::with(2, 4, vec![product(Effect::InquiryLike), confined], LevelKind::Rate);
     fleet.join(0);
     fleet.run(2);
-    fleet.take();
-    fleet.reach(0, 1, &[0]);
+    fleet.take_trace();
+    fleet.set_reach(0, 1, &[0]);
     fleet.run(2);
-    fleet.reach(0, 1, &[1]);
+    fleet.set_reach(0, 1, &[1]);
     fleet.run(2);
     expect![[r#"
         1400 reach of product1 from zone0: [0]
@@ -183,15 +184,15 @@
         1800 admit t33323 for 10: 0 AfterProof
         1800 bind proxy0 to t33323 for 10
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
 #[test]
-fn two_classes_in_a_zone_never_share_a_number() {
+fn two_classes_in_a_zone_never_share_a_table_number() {
     let mut fleet = two_products(3, 6);
-    fleet.reach(0, 0, &[0, 1]);
-    fleet.reach(0, 1, &[0, 2]);
-    fleet.reach(1, 1, &[0, 2]);
+    fleet.set_reach(0, 0, &[0, 1]);
+    fleet.set_reach(0, 1, &[0, 2]);
+    fleet.set_reach(1, 1, &[0, 2]);
     fleet.join(0);
     fleet.join(1);
     fleet.run(2);
@@ -225,18 +226,18 @@
         1200 t54922 host2 weight 1
         1200 t54922 host5 weight 1
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
 #[test]
-fn a_reach_of_nothing_is_declined_at_once() {
+fn a_class_with_an_empty_reach_is_rejected_at_once() {
     let mut fleet = two_products(2, 4);
     fleet.join(0);
     fleet.run(2);
-    fleet.take();
-    fleet.reach(0, 0, &[]);
+    fleet.take_trace();
+    fleet.set_reach(0, 0, &[]);
     fleet.run(2);
-    fleet.reach(0, 0, &[0]);
+    fleet.set_reach(0, 0, &[0]);
     fleet.run(2);
     expect![[r#"
         1400 reach of product0 from zone0: []
@@ -250,16 +251,16 @@
         1800 bind proxy0 to t2 for 1
         1800 clear t44122
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
 #[test]
-fn without_levels_a_reach_of_nothing_leaves_an_empty_table() {
+fn without_levels_an_empty_reach_leaves_an_empty_table() {
     let mut fleet = Fleet::new(2, 4);
     fleet.join(0);
     fleet.run(2);
-    fleet.take();
-    fleet.reach(0, 0, &[]);
+    fleet.take_trace();
+    fleet.set_reach(0, 0, &[]);
     fleet.run(2);
     expect![[r#"
         1400 reach of product0 from zone0: []
@@ -269,17 +270,17 @@
         1400 t0 host1 weight 0
         1400 t0 host3 weight 0
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
-/// Gates are ignored where a product may go nowhere else; the other product stays away from gated hosts.
+/// Gates are ignored where a class may go nowhere else; the other class still avoids gated hosts.
 #[test]
 fn with_every_host_within_a_reach_gated_gates_are_ignored_there() {
     let mut fleet = two_products(3, 6);
-    fleet.reach(0, 1, &[1]);
+    fleet.set_reach(0, 1, &[1]);
     fleet.join(0);
     fleet.run(3);
-    fleet.take();
+    fleet.take_trace();
     for host in [1, 4] {
         fleet.probes(host, &[Outcome::Unreachable; 3]);
     }
@@ -296,9 +297,9 @@
 }
 
 #[test]
-fn cold_hosts_within_a_reach_come_in_steps_and_bound_its_level() {
+fn cold_hosts_within_a_reach_return_in_steps_and_limit_its_level() {
     let mut fleet = Fleet::with(2, 4, vec![product(Effect::OnceOnly)], LevelKind::Share);
-    fleet.reach(0, 0, &[1]);
+    fleet.set_reach(0, 0, &[1]);
     fleet.join(0);
     fleet.restart(&[1, 3], 1, 24);
     expect![[r#"
@@ -323,13 +324,13 @@
         25000 t54921 host3 weight 1
         25000 admit t54921 for 1: 1 AfterProof
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
 #[test]
 fn a_large_permitted_zone_is_split_into_tables_of_its_own() {
     let mut fleet = Fleet::new(2, 48);
-    fleet.reach(0, 0, &[1]);
+    fleet.set_reach(0, 0, &[1]);
     (0..8).for_each(|proxy| fleet.join(2 * proxy));
     fleet.catch_up(16);
     fleet.run(2);
@@ -349,18 +350,19 @@
     .assert_eq(&binds.join("\n"));
 }
 
-/// The list moves a host to a zone that is not permitted: its line goes at once, though nothing else serves.
+/// The list moves a host to a zone that is not permitted: the host leaves the table at once, even if no other host
+/// serves there.
 #[test]
 fn a_host_that_moves_out_of_the_reach_leaves_its_tables_first() {
     let mut fleet = two_products(2, 4);
-    fleet.reach(0, 1, &[1]);
+    fleet.set_reach(0, 1, &[1]);
     fleet.join(0);
     fleet.run(2);
-    fleet.take();
+    fleet.take_trace();
     let moved = |host| Listed { zone: ZoneId(0), ..fleet.entry(host) };
     let entries = vec![moved(1), moved(3)];
     fleet.note("both hosts of zone1 are listed in zone0");
-    fleet.say(&[Event::List { news: ListNews::Changes, entries }]);
+    fleet.send(&[Event::List { news: ListNews::Changes, entries }]);
     fleet.run(2);
     expect![[r#"
         1400 both hosts of zone1 are listed in zone0
@@ -370,49 +372,50 @@
         1400 t0 host1 weight 1
         1400 t0 host3 weight 1
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
-/// The channel takes a part of the binds only: none of it goes to what can wait.
+/// The channel has room for only a part of the binds: no room goes to orders that can wait.
 #[test]
-fn what_narrows_goes_out_before_what_can_wait() {
+fn orders_that_narrow_a_reach_are_sent_before_orders_that_can_wait() {
     let mut fleet = two_products(2, 4);
     (0..30).for_each(|proxy| fleet.join(2 * proxy));
     fleet.catch_up(60);
-    fleet.take();
+    fleet.take_trace();
     let entry = Listed { weight: 2.0, ..fleet.entry(0) };
     fleet.note("more weight for host0");
     let (zone, product, zones) = (ZoneId(0), ProductId(1), Zones::one(ZoneId(1)));
     let list = Event::List { news: ListNews::Changes, entries: vec![entry] };
-    fleet.say(&[list, Event::Reach { zone, product, zones }]);
-    let first = binds_and_weights(&fleet.take());
+    fleet.send(&[list, Event::Reach { zone, product, zones }]);
+    let first = binds_and_weights(&fleet.take_trace());
     fleet.note("the channel has caught up");
     fleet.catch_up(60);
     expect![[r#"
         21 binds []
         9 binds ["1000 t0 host0 weight 2"]"#]]
-    .assert_eq(&format!("{first}\n{}", binds_and_weights(&fleet.take())));
+    .assert_eq(&format!("{first}\n{}", binds_and_weights(&fleet.take_trace())));
 }
 
-/// How many binds of product 1, and what became of the weight.
+/// The number of binds of class 1, and the lines with the changed weight.
 fn binds_and_weights(trace: &str) -> String {
     let binds = trace.lines().filter(|line| line.contains("bind") && line.ends_with("for 10")).count();
     let weights: Vec<&str> = trace.lines().filter(|line| line.contains("weight 2")).collect();
     format!("{binds} binds {weights:?}")
 }
 
-/// A line that is outside since its host moved can't be taken out yet: nobody else is bound to it meanwhile.
+/// A host moved out of the reach, and there is no room yet to remove it from the table: meanwhile no other proxy is
+/// bound to that table.
 #[test]
-fn nobody_is_bound_to_a_table_that_still_names_a_host_outside() {
+fn no_proxy_is_bound_to_a_table_that_still_names_a_host_outside() {
     let mut fleet = Fleet::with_channel(2, 4, 300.0);
-    fleet.reach(0, 0, &[1]);
+    fleet.set_reach(0, 0, &[1]);
     (0..21).for_each(|proxy| fleet.join(2 * proxy));
-    fleet.take();
+    fleet.take_trace();
     let entries = vec![Listed { zone: ZoneId(0), ..fleet.entry(1) }];
     fleet.note("host1 moves to zone0, and a proxy joins");
     let (proxy, zone) = (ProxyId(42), ZoneId(0));
     let joined = Event::Joined { proxy, zone, txns_per_s: 10.0, fresh: false };
-    fleet.say(&[Event::List { news: ListNews::Changes, entries }, joined]);
+    fleet.send(&[Event::List { news: ListNews::Changes, entries }, joined]);
     fleet.note("the channel has caught up");
     fleet.catch_up(43);
     expect![[r#"
@@ -421,12 +424,13 @@
         1000 t54921 host1 weight 0
         1000 bind proxy42 to t54921 for 1
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
-/// The bind out of it waits for the channel, and a gate lifts meanwhile: letting the host in costs far less.
+/// The bind away from the table waits for the channel, and a gate is lifted meanwhile. Restoring the host takes far
+/// less room than the bind, but has to wait for it.
 #[test]
-fn no_host_is_let_in_at_a_table_that_a_product_has_yet_to_leave() {
+fn no_host_is_restored_in_a_table_that_a_class_has_yet_to_leave() {
     let mut fleet = Fleet::with_channel(2, 10, 30.0);
     fleet.join(0);
     for _ in 0..5 {
@@ -437,16 +441,16 @@
     fleet.catch_up(1);
     fleet.probes(1, &[Outcome::Answered; 1]);
     fleet.catch_up(1);
-    // Thirteen lines wait, which leaves room for one more, and not for those of a bind.
+    // Thirteen lines wait, which leaves room for one more line, but not for a bind.
     let entries =
         (0..10).filter(|host| *host != 1).map(|host| Listed { weight: 2.0, ..fleet.entry(host) }).collect();
-    fleet.say(&[Event::List { news: ListNews::Changes, entries }]);
-    fleet.take();
+    fleet.send(&[Event::List { news: ListNews::Changes, entries }]);
+    fleet.take_trace();
     fleet.note("told of zone0, and host1 of zone1 answers again");
     let (zone, product, report) = (ZoneId(0), ProductId(0), LoadReport::default());
     let probed = Event::Probed { host: HostId(1), outcome: Outcome::Answered, took: 2.0, report };
     fleet.now += 200.0;
-    fleet.say(&[probed, Event::Reach { zone, product, zones: Zones::one(zone) }]);
+    fleet.send(&[probed, Event::Reach { zone, product, zones: Zones::one(zone) }]);
     fleet.note("the channel has caught up");
     fleet.catch_up(1);
     expect![[r#"
@@ -461,22 +465,22 @@
         7200 bind proxy0 to t2 for 1
         7200 restore host1
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
 #[test]
 fn bounds_levels_and_hints_hold_within_a_reach() {
     let mut fleet = two_products(2, 4);
-    fleet.say(&[Event::Hint { host: HostId(1), part: 0.5, shut: false }]);
-    fleet.reach(0, 1, &[1]);
+    fleet.send(&[Event::Hint { host: HostId(1), part: 0.5, shut: false }]);
+    fleet.set_reach(0, 1, &[1]);
     fleet.join(0);
     fleet.run(2);
-    fleet.take();
+    fleet.take_trace();
     let (zone, product, tries) = (ZoneId(0), ProductId(1), Tries::One);
-    fleet.say(&[Event::Bound { zone, product, share: 0.4, tries }]);
+    fleet.send(&[Event::Bound { zone, product, share: 0.4, tries }]);
     fleet.run(2);
     expect![[r#"
         1400 admit t54921 for 10: 0.4 One
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
--- a/crates/policy/tests/policy/traces.rs
+++ b/crates/policy/tests/policy/traces.rs
@@ -49,9 +49,9 @@
     let mut fleet = Fleet::new(1, 3);
     fleet.join(0);
     fleet.trace.clear();
-    fleet.list(1, Standing::Draining, None);
+    fleet.list_host(1, Standing::Draining, None);
     fleet.run(2);
-    fleet.list(1, Standing::On, Some(1_400.0));
+    fleet.list_host(1, Standing::On, Some(1_400.0));
     fleet.run(110);
     expect![[r#"
         1000 withdraw host1
@@ -67,9 +67,10 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Incident on nadi-campus: a whole zone came back cold at once, and the first were pushed over.
+/// Guards against overload after a whole zone restarts cold: its first hosts got all traffic and failed
+/// (docs/incidents/nadi-campus.md).
 #[test]
-fn a_zone_that_comes_back_cold_lets_in_what_its_hosts_can_do() {
+fn a_zone_that_restarts_cold_admits_what_its_hosts_can_serve() {
     let confined = Product { own_zone: true, ..product(Effect::OnceOnly) };
     let mut fleet = Fleet::with(2, 4, vec![confined], LevelKind::Share);
     fleet.join(0);
@@ -99,18 +100,19 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Incident on ledger-sicilia: overrun hosts were gated one by one until the rest fell.
+/// Guards against gating overloaded hosts: they were gated one by one until the remaining hosts failed as well
+/// (docs/incidents/ledger-sicilia.md).
 #[test]
-fn a_host_that_errs_is_gated_and_one_that_is_overrun_is_not() {
+fn a_host_that_errs_is_gated_and_an_overloaded_one_is_not() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.trace.clear();
     for _ in 0..4 {
         fleet.run(5);
-        fleet.met(0, 0, 10, 7, 20.0);
-        fleet.met(1, 0, 10, 7, 2_500.0);
-        fleet.met(2, 0, 10, 0, 100.0);
-        fleet.met(3, 0, 10, 0, 100.0);
+        fleet.host_report(0, 0, 10, 7, 20.0);
+        fleet.host_report(1, 0, 10, 7, 2_500.0);
+        fleet.host_report(2, 0, 10, 0, 100.0);
+        fleet.host_report(3, 0, 10, 0, 100.0);
     }
     expect![[r#"
         2200 t0 host1 weight 0.5
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn levels_shed_the_least_revenue_per_work_and_rise_again() {
+fn levels_shed_the_least_value_per_work_and_rise_again() {
     let cheap = Product { revenue: 0.5, ..product(Effect::InquiryLike) };
     let mut fleet = Fleet::with(1, 2, vec![cheap, product(Effect::OnceOnly)], LevelKind::Share);
     fleet.join(0);
@@ -152,10 +154,10 @@
     for second in 0..12 {
         fleet.run(5);
         let (voided, mean) = if second < 3 { (8, 900.0) } else { (0, 100.0) };
-        fleet.met(0, 0, 20, voided, mean);
-        fleet.met(1, 0, 20, voided, mean);
-        fleet.came(0, 0, 20);
-        fleet.came(0, 1, 20);
+        fleet.host_report(0, 0, 20, voided, mean);
+        fleet.host_report(1, 0, 20, voided, mean);
+        fleet.proxy_report(0, 0, 20);
+        fleet.proxy_report(0, 1, 20);
     }
     expect![[r#"
         2200 admit t0 for 1: 0.5 One
@@ -170,10 +172,10 @@
 }
 
 #[test]
-fn a_list_that_fails_is_asked_again_ever_more_rarely() {
-    let mut fleet = Fleet::asked(1, 2);
+fn a_failed_list_request_is_repeated_at_growing_intervals() {
+    let mut fleet = Fleet::with_list_on_request(1, 2);
     for _ in 0..3 {
-        fleet.say(&[Event::List { news: ListNews::Failed, entries: vec![] }]);
+        fleet.send(&[Event::List { news: ListNews::Failed, entries: vec![] }]);
         fleet.run(20);
     }
     expect![[r#"
@@ -194,10 +196,10 @@
     fleet.note("no answer to any mark yet");
     fleet.run(5);
     for proxy in 0..6 {
-        fleet.say(&[Event::Applied { proxy: ProxyId(proxy), mark: MarkId(proxy), took: 300.0 }]);
+        fleet.send(&[Event::Applied { proxy: ProxyId(proxy), mark: MarkId(proxy), took: 300.0 }]);
     }
     fleet.note("proxy3 leaves and returns");
-    fleet.say(&[Event::Left { proxy: ProxyId(3) }]);
+    fleet.send(&[Event::Left { proxy: ProxyId(3) }]);
     fleet.join(3);
     expect![[r#"
         1000 t0 host0 weight 1
@@ -247,13 +249,14 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Hunted day on ledger-sicilia: sums came late, busy hosts' deep probes timed out, a zone was gated.
+/// Guards against gating a busy zone: traffic reports were late, probes of busy hosts timed out, and the whole zone was
+/// gated (randomized faults on ledger-sicilia).
 #[test]
-fn probes_that_time_out_while_sums_are_late_do_not_gate_hosts_that_served() {
+fn probes_that_time_out_while_reports_are_late_do_not_gate_hosts_that_served() {
     let mut fleet = Fleet::new(1, 3);
     fleet.join(0);
     for host in 0..3 {
-        fleet.met(host, 0, 5, 0, 200.0);
+        fleet.host_report(host, 0, 5, 0, 200.0);
     }
     fleet.trace.clear();
     fleet.probes(0, &[Outcome::TimedOut; 4]);
@@ -272,7 +275,7 @@
 }
 
 #[test]
-fn a_zone_whose_hosts_die_takes_its_neighbours_and_is_never_bare() {
+fn a_zone_whose_hosts_fail_uses_its_neighbours_and_is_never_without_a_host() {
     let mut fleet = Fleet::new(2, 4);
     fleet.join(0);
     fleet.trace.clear();
@@ -310,16 +313,17 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Hunted day on ledger-sicilia: as a zone came back after a cut, a cold host was alone in its table.
+/// Guards against a cold host that is alone in its table, which happened when a zone returned after a network cut
+/// (randomized faults on ledger-sicilia).
 #[test]
-fn a_cold_host_comes_in_after_the_warm_ones_and_neighbours_leave_last() {
+fn a_cold_host_is_restored_after_the_warm_ones_and_neighbours_are_removed_last() {
     let mut fleet = Fleet::new(2, 6);
     fleet.join(0);
     fleet.join(1);
     for host in [0, 2, 4] {
         fleet.probes(host, &[Outcome::Unreachable; 3]);
     }
-    fleet.list(0, Standing::On, Some(fleet.now));
+    fleet.list_host(0, Standing::On, Some(fleet.now));
     fleet.run(30);
     fleet.trace.clear();
     for host in [0, 2, 4] {
@@ -347,21 +351,22 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Incident on nadi-campus, again: hosts that had started anew still waited for what they did before.
+/// Guards against hosts that have restarted but stay gated for failures from before the restart
+/// (docs/incidents/nadi-campus.md).
 #[test]
-fn a_new_start_clears_what_the_gate_held_against_a_host() {
+fn a_restart_clears_the_failures_counted_against_a_host() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     for _ in 0..2 {
         fleet.run(5);
-        fleet.met(0, 0, 10, 9, 20.0);
+        fleet.host_report(0, 0, 10, 9, 20.0);
         for host in 1..4 {
-            fleet.met(host, 0, 10, 0, 100.0);
+            fleet.host_report(host, 0, 10, 0, 100.0);
         }
     }
     fleet.run(1);
     fleet.trace.clear();
-    fleet.list(0, Standing::On, Some(fleet.now - 4_000.0));
+    fleet.list_host(0, Standing::On, Some(fleet.now - 4_000.0));
     fleet.probes(0, &[Outcome::Answered; 2]);
     fleet.run(2);
     expect![[r#"
@@ -374,9 +379,10 @@
     .assert_eq(&fleet.trace);
 }
 
-/// At full size: tables of a whole zone's hosts cost a handshake a txn and met refused connections.
+/// Guards against tables with all hosts of a large zone: at full fleet size they cost a handshake per txn, and
+/// connections were refused.
 #[test]
-fn many_hosts_stand_in_small_tables_and_a_heavy_proxy_gets_a_wide_one() {
+fn many_hosts_are_split_into_small_tables_and_a_heavy_proxy_gets_a_wide_one() {
     let mut fleet = Fleet::new(1, 24);
     let joins = |proxy: u16, txns_per_s: f64| {
         let (proxy, zone) = (ProxyId(proxy), ZoneId(0));
@@ -384,7 +390,7 @@
     };
     let mut events: Vec<Event> = (1..9).map(|proxy| joins(proxy, 5.0)).collect();
     events.push(joins(0, 30.0));
-    fleet.say(&events);
+    fleet.send(&events);
     fleet.run(1);
     let bound: String =
         fleet.trace.lines().filter(|line| line.contains("bind")).collect::<Vec<_>>().join("\n");
@@ -401,11 +407,11 @@
     .assert_eq(&bound);
 }
 
-/// At full size: each steward saw its own zone's proxies alone, took the others' hosts for idle and
-/// sent a third of all txns across.
+/// Guards against needless cross-zone traffic: at full fleet size each controller saw only the proxies of its own zone,
+/// took the hosts of other zones for idle and sent a third of all txns there.
 #[test]
-fn zones_of_other_stewards_are_not_taken_for_idle() {
-    let mut fleet = Fleet::of_many(2, 4);
+fn zones_of_other_controllers_are_not_taken_for_idle() {
+    let mut fleet = Fleet::one_of_two_controllers(2, 4);
     fleet.join(0);
     fleet.run(2);
     fleet.note("the other zone says that it is far less busy");
@@ -415,7 +421,7 @@
         took: 2.0,
         report: LoadReport { busy: Some([0.9, 0.3][host as usize % 2]), ..LoadReport::default() },
     };
-    fleet.say(&(0..4).map(busy).collect::<Vec<_>>());
+    fleet.send(&(0..4).map(busy).collect::<Vec<_>>());
     expect![[r#"
         1000 t0 host0 weight 1
         1000 t0 host2 weight 1
@@ -426,18 +432,19 @@
     .assert_eq(&fleet.trace);
 }
 
-/// At full size: hosts took few connections, the rest of the tries failed at once and levels shut all out.
+/// Guards against admission levels that fall to zero because of refused connections: at full fleet size hosts accepted
+/// few connections, and the other tries failed at once.
 #[test]
-fn voided_tries_beside_quick_answers_press_no_level() {
+fn failed_tries_beside_quick_answers_lower_no_level() {
     let mut fleet = Fleet::with(1, 2, vec![product(Effect::InquiryLike)], LevelKind::Share);
     fleet.join(0);
     fleet.trace.clear();
     for mean in [200.0, 200.0, 700.0, 700.0] {
         fleet.run(5);
         fleet.note(&format!("six in ten voided, the others take {mean}"));
-        fleet.met(0, 0, 20, 12, mean);
-        fleet.met(1, 0, 20, 12, mean);
-        fleet.came(0, 0, 40);
+        fleet.host_report(0, 0, 20, 12, mean);
+        fleet.host_report(1, 0, 20, 12, mean);
+        fleet.proxy_report(0, 0, 40);
     }
     fleet.run(2);
     expect![[r#"
@@ -450,12 +457,13 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Incident on ledger-sicilia-later: orders backed up, and cold hosts came back at the weight of old.
+/// Guards against cold hosts that return at their former weight because the orders with the reduced weight are still
+/// queued (docs/incidents/ledger-sicilia-later.md).
 #[test]
-fn a_cold_host_waits_until_the_tables_give_it_its_part() {
+fn a_cold_host_waits_until_the_tables_name_its_reduced_weight() {
     let mut fleet = Fleet::new(1, 4);
     (0..10).for_each(|proxy| fleet.join(proxy));
-    fleet.list(1, Standing::On, Some(fleet.now));
+    fleet.list_host(1, Standing::On, Some(fleet.now));
     fleet.trace.clear();
     fleet.run(20);
     fleet.note("the channel has caught up");
@@ -471,12 +479,13 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Incident on ledger-sicilia-later: probes erred at hosts that served, two thirds were gated at once.
+/// Guards against mass gating: probes returned errors at hosts that were serving, and two thirds of them were gated at
+/// once (docs/incidents/ledger-sicilia-later.md).
 #[test]
 fn probes_that_err_everywhere_gate_a_third_and_no_host_that_serves() {
     let mut fleet = Fleet::new(1, 6);
     fleet.join(0);
-    fleet.met(5, 0, 10, 0, 100.0);
+    fleet.host_report(5, 0, 10, 0, 100.0);
     fleet.trace.clear();
     fleet.run(1);
     (0..6).rev().for_each(|host| fleet.probes(host, &[Outcome::Errored; 3]));
@@ -487,7 +496,8 @@
     .assert_eq(&gates.join("\n"));
 }
 
-/// Hunted day on nadi-campus-later: every host of a proxy's small table was gated, and it stayed there.
+/// Guards against a proxy that stays at a small table of which all hosts are gated (randomized faults on
+/// nadi-campus-later).
 #[test]
 fn a_proxy_leaves_a_small_table_whose_hosts_are_all_gated() {
     let mut fleet = Fleet::new(1, 12);
@@ -499,7 +509,7 @@
     let fails: Vec<Event> = [0, 1, 4, 5, 8, 9].map(HostId).map(fails).into();
     for _ in 0..3 {
         fleet.run(5);
-        fleet.say(&fails);
+        fleet.send(&fails);
     }
     fleet.run(5);
     expect![[r#"
@@ -517,12 +527,13 @@
         4200 t4 host11 weight 1
         4200 bind proxy3 to t4 for 1
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
-/// At full size: hosts took few connections, and each move cost a proxy those it had.
+/// Guards against moving proxies while hosts accept few connections, as at full fleet size: each move costs the proxy
+/// the connections that it has.
 #[test]
-fn proxies_keep_their_tables_while_few_connections_are_taken() {
+fn proxies_keep_their_tables_while_few_connections_are_accepted() {
     let mut fleet = Fleet::new(1, 24);
     (0..5).for_each(|proxy| fleet.join(proxy));
     fleet.catch_up(5);
@@ -530,8 +541,8 @@
     for (voided, word) in [(12, "six in ten voided beside quick answers"), (0, "none voided")] {
         fleet.note(word);
         for _ in 0..14 {
-            (0..24).for_each(|host| fleet.met(host, 0, 20, voided, 200.0));
-            (0..5).for_each(|proxy| fleet.came(proxy, 0, [60, 10][usize::from(proxy > 0)]));
+            (0..24).for_each(|host| fleet.host_report(host, 0, 20, voided, 200.0));
+            (0..5).for_each(|proxy| fleet.proxy_report(proxy, 0, [60, 10][usize::from(proxy > 0)]));
             fleet.run(5);
         }
     }
@@ -544,16 +555,17 @@
     .assert_eq(&lines.collect::<Vec<_>>().join("\n"));
 }
 
-/// A release on the standing days, `join+mass` seed 4: while few connections were taken nobody was moved, so three proxies
-/// stayed at a table of which one cold host was left. It got all that they sent and fell over.
+/// Guards against a cold host that gets all traffic of a table: while few connections were accepted no proxy was
+/// moved, so three proxies stayed at a table with a single cold host left, and it failed (scenario `join+mass`, seed
+/// 4).
 #[test]
-fn a_table_with_one_cold_host_left_is_not_kept_while_few_connections_are_taken() {
+fn a_table_with_one_cold_host_left_is_not_kept_while_few_connections_are_accepted() {
     let mut fleet = Fleet::new(1, 24);
     (0..9).for_each(|proxy| fleet.join(proxy));
     fleet.catch_up(9);
     let few_connections = |fleet: &mut Fleet| {
-        (0..24).for_each(|host| fleet.met(host, 0, 40, 9, 200.0));
-        (0..9).for_each(|proxy| fleet.came(proxy, 0, 20));
+        (0..24).for_each(|host| fleet.host_report(host, 0, 40, 9, 200.0));
+        (0..9).for_each(|proxy| fleet.proxy_report(proxy, 0, 20));
         fleet.run(5);
         fleet.catch_up(9);
     };
@@ -561,8 +573,8 @@
     fleet.trace.clear();
     fleet.note("five of the six hosts of a table leave, and the sixth has just started anew");
     let started = fleet.now - 5_000.0;
-    fleet.list(0, Standing::On, Some(started));
-    [1, 8, 9, 16, 17].into_iter().for_each(|host| fleet.list(host, Standing::Draining, None));
+    fleet.list_host(0, Standing::On, Some(started));
+    [1, 8, 9, 16, 17].into_iter().for_each(|host| fleet.list_host(host, Standing::Draining, None));
     (0..6).for_each(|_| few_connections(&mut fleet));
     let lines = fleet.trace.lines().filter(|line| line.contains("bind") || line.contains("leave"));
     expect![[r#"
@@ -572,9 +584,10 @@
     .assert_eq(&lines.collect::<Vec<_>>().join("\n"));
 }
 
-/// At full size: a small table's own hosts were all gated, neighbours' hosts in it held its proxies there.
+/// Guards against proxies that stay at a small table of which all hosts of the own zone are gated, because it still
+/// contains hosts of neighbour zones. Seen at full fleet size.
 #[test]
-fn a_table_without_open_hosts_of_its_zone_is_left_where_a_product_is_confined() {
+fn a_table_without_open_hosts_of_its_zone_is_left_if_a_class_is_confined_to_the_zone() {
     let confined = Product { own_zone: true, ..product(Effect::OnceOnly) };
     let products = vec![product(Effect::InquiryLike), confined];
     let mut fleet = Fleet::with(2, 24, products, LevelKind::Off);
@@ -600,16 +613,17 @@
     .assert_eq(&lines.collect::<Vec<_>>().join("\n"));
 }
 
-/// Hunted day on velesanas-riga-later: proxies shun hosts that fail them, cold ones got all that was left. And a
-/// recorded day on sockets: half the hosts came back cold, and what kept them out kept the rest overrun.
+/// Guards against two failures. Proxies avoid hosts that fail them, so cold hosts got all remaining traffic (randomized
+/// faults on velesanas-riga-later). And after half the hosts had restarted cold, the rule that kept them out kept the
+/// other half overloaded (a recorded run over sockets).
 #[test]
-fn hosts_less_than_half_warm_stay_out_while_all_are_slow() {
+fn hosts_less_than_half_warm_stay_withdrawn_while_all_are_slow() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
-    fleet.list(1, Standing::On, Some(fleet.now));
+    fleet.list_host(1, Standing::On, Some(fleet.now));
     fleet.trace.clear();
     for _ in 0..14 {
-        (0..4).filter(|host| *host != 1).for_each(|host| fleet.met(host, 0, 20, 0, 900.0));
+        (0..4).filter(|host| *host != 1).for_each(|host| fleet.host_report(host, 0, 20, 0, 900.0));
         fleet.run(5);
     }
     expect![[r#"
@@ -621,17 +635,17 @@
     .assert_eq(&fleet.trace);
 }
 
-/// The same recorded day: tries that were under way when a host died are summed as voided seconds after it
-/// started anew, and gated it again for eight.
+/// Guards against gating a restarted host for old failures: tries that were in progress when the host died are reported
+/// as failed seconds after its restart, and gated it again for eight seconds (the same recorded run).
 #[test]
-fn sums_from_before_a_start_gate_nobody() {
+fn reports_from_before_a_restart_gate_no_host() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.probes(1, &[Outcome::Unreachable; 3]);
-    fleet.list(1, Standing::On, Some(fleet.now));
+    fleet.list_host(1, Standing::On, Some(fleet.now));
     fleet.trace.clear();
     for _ in 0..4 {
-        (0..4).for_each(|host| fleet.met(host, 0, 6, if host == 1 { 6 } else { 0 }, 100.0));
+        (0..4).for_each(|host| fleet.host_report(host, 0, 6, if host == 1 { 6 } else { 0 }, 100.0));
         fleet.probes(1, &[Outcome::Answered]);
     }
     expect![[r#"
@@ -646,10 +660,11 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Day of many stewards: a zone was lost and came back cold, the list told of it a second late, and all
-/// stewards gave its hosts their whole weight meanwhile. A quarter fell over.
+/// Guards against full weight for hosts whose restart is not listed yet: a zone was lost and returned cold, the list
+/// reported the restarts one second late, and meanwhile all controllers gave the hosts their full weight. A quarter of
+/// them failed (a run with several controllers).
 #[test]
-fn a_host_that_was_gone_comes_back_by_a_quarter_before_the_list_tells_why() {
+fn an_unreachable_host_returns_at_a_quarter_weight_before_the_list_reports_its_restart() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.probes(1, &[Outcome::Unreachable; 3]);
@@ -657,7 +672,7 @@
     fleet.probes(1, &[Outcome::Answered; 2]);
     let started = fleet.now - 300.0;
     fleet.note("host1 is listed with a new start");
-    fleet.list(1, Standing::On, Some(started));
+    fleet.list_host(1, Standing::On, Some(started));
     fleet.run(50);
     expect![[r#"
         5000 answered host1
@@ -671,14 +686,15 @@
     .assert_eq(&fleet.trace);
 }
 
-/// All days of many stewards: a steward met each host so rarely that slow ones were known one by one after
-/// half a minute, while all of their kind together showed it in five seconds.
+/// Guards against slow detection of a slow instance type: with several controllers the reports of one controller cover
+/// each host so rarely that slow hosts were known individually only after half a minute, while all hosts of their type
+/// together showed it in five seconds.
 #[test]
-fn a_slow_kind_carries_less_before_its_hosts_are_known_one_by_one() {
-    // Many pairs, so that the sums of one come rarely: a host is met from 20 zones.
-    let sums = |fleet: &mut Fleet, slow: f64| {
+fn a_slow_instance_type_gets_less_weight_before_its_hosts_are_known_individually() {
+    // Each host is reported from 20 zones: with many pairs of host and zone, reports of one pair are rare.
+    let host_reports = |fleet: &mut Fleet, slow: f64| {
         for (host, zone) in (0..8).flat_map(|host| (0..20).map(move |zone| (host, zone))) {
-            fleet.met(host, zone, 1, 0, if host % 2 == 1 { slow } else { 200.0 });
+            fleet.host_report(host, zone, 1, 0, if host % 2 == 1 { slow } else { 200.0 });
         }
         fleet.run(5);
     };
@@ -688,10 +704,10 @@
     fleet.trace.clear();
     for round in 0..4 {
         fleet.note(&format!("round {round}"));
-        sums(&mut fleet, 400.0);
+        host_reports(&mut fleet, 400.0);
     }
     fleet.note("a new host of the slow kind");
-    fleet.list(9, Standing::On, None);
+    fleet.list_host(9, Standing::On, None);
     fleet.run(5);
     expect![[r#"
         1400 round 0
@@ -712,55 +728,56 @@
     "#]]
     .assert_eq(&fleet.trace);
 
-    // Where weights are listed they say what a kind can do.
+    // Listed weights that differ already state the capacity of an instance type.
     let mut fleet = Fleet::new(1, 8);
     fleet.join(0);
     let entry = Listed { weight: 2.0, ..fleet.entry(0) };
-    fleet.say(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
+    fleet.send(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
     fleet.run(2);
     fleet.trace.clear();
-    (0..4).for_each(|_| sums(&mut fleet, 400.0));
+    (0..4).for_each(|_| host_reports(&mut fleet, 400.0));
     expect![[r#""#]].assert_eq(&fleet.trace);
 
-    // Where each host's own sums come soon enough they do.
+    // Reports of each host are frequent enough, so the instance type is not used.
     let mut fleet = Fleet::new(1, 8);
     fleet.join(0);
     fleet.run(2);
     fleet.trace.clear();
     for _ in 0..4 {
-        (0..8).for_each(|host| fleet.met(host, 0, 20, 0, if host % 2 == 1 { 400.0 } else { 200.0 }));
+        (0..8).for_each(|host| fleet.host_report(host, 0, 20, 0, if host % 2 == 1 { 400.0 } else { 200.0 }));
         fleet.run(5);
     }
     expect![[r#""#]].assert_eq(&fleet.trace);
 }
 
-/// Four ticks with sums of four hosts; of all tries at the second nothing came back.
-fn voids_at_host1(fleet: &mut Fleet) {
+/// Four ticks with reports of four hosts; all tries at host 1 failed.
+fn failures_at_host1(fleet: &mut Fleet) {
     for _ in 0..4 {
-        (0..4).for_each(|host| fleet.met(host, 0, 6, if host == 1 { 6 } else { 0 }, 100.0));
+        (0..4).for_each(|host| fleet.host_report(host, 0, 6, if host == 1 { 6 } else { 0 }, 100.0));
         fleet.run(1);
     }
 }
 
-/// The same day: sums cover the time of many pairs, so they told of tries from before a host was let in and
-/// gated a quarter of those that had just come back, for eight seconds.
+/// Guards against gating hosts for old failures: with many pairs of host and zone a report covers a long time, so
+/// reports contained tries from before a host was restored, and a quarter of the hosts that had just returned were
+/// gated for eight seconds (the same run).
 #[test]
-fn sums_from_before_a_cold_host_was_let_in_gate_nobody() {
+fn reports_from_before_a_cold_host_was_restored_gate_no_host() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.probes(1, &[Outcome::Unreachable; 3]);
-    fleet.list(1, Standing::On, Some(fleet.now));
+    fleet.list_host(1, Standing::On, Some(fleet.now));
     fleet.probes(1, &[Outcome::Answered; 2]);
     fleet.run(10);
     fleet.trace.clear();
     fleet.note("sums of what was before");
     let span = fleet.span;
     fleet.span = 4_000.0;
-    voids_at_host1(&mut fleet);
+    failures_at_host1(&mut fleet);
     fleet.run(30);
     fleet.note("sums of what is");
     fleet.span = span;
-    voids_at_host1(&mut fleet);
+    failures_at_host1(&mut fleet);
     expect![[r#"
         8000 sums of what was before
         12800 t0 host1 weight 0.5
@@ -770,24 +787,24 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Day of many stewards: the backlog allowed 13 s of lines and routine orders kept half of it full, so binds
-/// that tell of hosts shut out came after the grace.
+/// Guards against binds that are applied too late: the backlog allowed 13 s of lines and routine orders kept half of it
+/// full, so the binds that announce withdrawn hosts arrived after the grace period (a run with several controllers).
 #[test]
 fn routine_orders_wait_for_no_more_than_the_channel_sends_soon() {
     let mut fleet = Fleet::with_channel(1, 4, 60_000.0);
     let joined =
         |proxy| Event::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), txns_per_s: 10.0, fresh: true };
-    fleet.say(&(0..200).map(joined).collect::<Vec<_>>());
+    fleet.send(&(0..200).map(joined).collect::<Vec<_>>());
     fleet.catch_up(200);
     fleet.trace.clear();
     fleet.note("more weight for each host in turn, 1,000 lines");
     for host in 0..4 {
         let entry = Listed { weight: 2.0 + f64::from(host), ..fleet.entry(host) };
-        fleet.say(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
+        fleet.send(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
         fleet.run(1);
     }
     fleet.note("a drain goes ahead of what was not written");
-    fleet.list(3, Standing::Draining, None);
+    fleet.list_host(3, Standing::Draining, None);
     expect![[r#"
         1000 more weight for each host in turn, 1,000 lines
         1000 t0 host0 weight 2
@@ -797,24 +814,24 @@
     .assert_eq(&fleet.trace);
 }
 
-/// A host starts anew beside 200 proxies, at 1,000 lines a second, while others leave: alone it would cost a head for
-/// each proxy, so it waits while as much waits, and goes with the next drain, whose messages go anyway. Guards the
-/// grace of the next drain, which stands behind all that was written before.
+/// Guards the grace period of a drain, which is queued behind all lines written before it. A host restarts beside 200
+/// proxies, at 1,000 lines per second, while other hosts drain. Restoring it alone would cost a message head for each
+/// proxy, so while that much is queued it waits for the next drain and goes into the same messages.
 #[test]
-fn a_return_written_while_hosts_leave_delays_no_later_drain() {
+fn restoring_a_host_while_others_drain_delays_no_later_drain() {
     let mut fleet = Fleet::with_channel(1, 8, 60_000.0);
     let joined =
         |proxy| Event::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), txns_per_s: 10.0, fresh: true };
-    fleet.say(&(0..200).map(joined).collect::<Vec<_>>());
+    fleet.send(&(0..200).map(joined).collect::<Vec<_>>());
     fleet.catch_up(200);
     fleet.trace.clear();
-    fleet.list(7, Standing::Draining, None);
-    fleet.list(6, Standing::Draining, None);
+    fleet.list_host(7, Standing::Draining, None);
+    fleet.list_host(6, Standing::Draining, None);
     fleet.note("no proxy answers; one starts anew, and is warm enough for a quarter");
-    fleet.list(7, Standing::On, Some(fleet.now - 3_000.0));
+    fleet.list_host(7, Standing::On, Some(fleet.now - 3_000.0));
     fleet.run(3);
     fleet.note("another leaves");
-    fleet.list(5, Standing::Draining, None);
+    fleet.list_host(5, Standing::Draining, None);
     expect![[r#"
         1000 withdraw host7
         1000 withdraw host6
@@ -827,7 +844,7 @@
     .assert_eq(&fleet.trace);
 }
 
-/// How many proxies are bound, by time.
+/// The number of binds at each time.
 fn binds(fleet: &Fleet) -> String {
     let mut binds = std::collections::BTreeMap::new();
     let bound = fleet.trace.lines().filter(|line| line.contains(" bind "));
@@ -835,39 +852,41 @@
     format!("{binds:?}")
 }
 
-/// Day of many stewards: the relay was out of reach for six seconds and 860 orders waited. After the gap all
-/// proxies counted as come back, their old lines as gone: 46,125 waited where 38,400 may.
+/// Guards the backlog limit after the relay was unreachable. It was unreachable for six seconds and 860 orders
+/// waited; then all proxies counted as having joined again and their old lines as gone, so 46,125 lines waited where
+/// the limit is 38,400 (a run with several controllers).
 #[test]
-fn what_waits_for_proxies_that_may_have_left_still_counts() {
+fn lines_that_wait_for_proxies_that_may_have_left_still_count() {
     let mut fleet = Fleet::new(1, 4);
     (0..14).for_each(|proxy| fleet.join(proxy));
     fleet.trace.clear();
     let joined =
         |proxy| Event::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), txns_per_s: 10.0, fresh: false };
-    fleet.say(&(0..14).map(joined).collect::<Vec<_>>());
+    fleet.send(&(0..14).map(joined).collect::<Vec<_>>());
     fleet.run(4);
     expect![[r#"{"1000": 3, "1200": 6, "1400": 5}"#]].assert_eq(&binds(&fleet));
 
-    // Once a later message was applied all before it has left: on a slow day half of the proxies were unbound
-    // for fifteen seconds, and one that was shut out before they joined got their txns past the grace.
+    // Once a later message is applied, all lines before it have been sent. Without this rule half of the proxies
+    // stayed unbound for fifteen seconds in a slow run, and a host that was withdrawn before they joined received
+    // their txns after the grace period.
     let mut fleet = Fleet::new(1, 4);
     (0..14).for_each(|proxy| fleet.join(proxy));
     fleet.trace.clear();
-    fleet.say(&(0..14).map(joined).collect::<Vec<_>>());
+    fleet.send(&(0..14).map(joined).collect::<Vec<_>>());
     fleet.catch_up(14);
     expect![[r#"{"1000": 14}"#]].assert_eq(&binds(&fleet));
 }
 
-/// Guards queue and messages on sockets: a call that was repeated counts once more each time, so gates and
-/// then drains wait for room rather than pass a limit.
+/// Guards the limits of lines and messages over sockets: each repeat of a call counts once more, so gates, and then
+/// also drains, wait for room instead of exceeding a limit.
 #[test]
 fn repeated_calls_count_against_the_limits() {
     let mut fleet = Fleet::new(1, 3);
     fleet.join(0);
     fleet.trace.clear();
-    fleet.say(&vec![Event::Again { mark: MarkId(0) }; 24]);
+    fleet.send(&vec![Event::Again { mark: MarkId(0) }; 24]);
     fleet.note("repeated 24 times");
-    fleet.list(1, Standing::Draining, None);
+    fleet.list_host(1, Standing::Draining, None);
     fleet.note("all has left the channel");
     fleet.catch_up(1);
     fleet.probes(0, &[Outcome::Unreachable, Outcome::Unreachable, Outcome::Unreachable]);
@@ -885,18 +904,18 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Guards memory where hosts are replaced for good: one that is gone is let go once no table names it and all
-/// proxies are bound. What comes later, or back, is let in whatever held it out before.
+/// Guards against memory growth when hosts are replaced: a host that is gone is forgotten once no table names it and
+/// all proxies are bound. A host that is listed again later is admitted, whatever withdrew it before.
 #[test]
-fn a_gone_host_is_forgotten_once_nobody_can_hold_it() {
+fn a_gone_host_is_forgotten_once_no_proxy_can_still_use_it() {
     let mut fleet = Fleet::new(1, 3);
     fleet.join(0);
     fleet.trace.clear();
-    fleet.list(1, Standing::Gone, None);
-    fleet.met(1, 0, 6, 6, 0.0);
+    fleet.list_host(1, Standing::Gone, None);
+    fleet.host_report(1, 0, 6, 6, 0.0);
     fleet.run(5);
     fleet.note("it is listed again");
-    fleet.list(1, Standing::On, None);
+    fleet.list_host(1, Standing::On, None);
     fleet.run(5);
     expect![[r#"
         1000 withdraw host1
@@ -909,16 +928,17 @@
     .assert_eq(&fleet.trace);
 }
 
-/// A recorded day on sockets: a slow host voided four in five of its tries for half a minute, too few good ones
-/// to carry less, and too slow ones to be gated.
+/// Guards against a failing host that keeps its weight: a slow host failed four of five tries for half a minute, with
+/// too few successful tries for its weight to be reduced and too slow answers for it to be gated (a recorded run over
+/// sockets).
 #[test]
-fn a_host_that_voids_most_beside_slow_answers_carries_less() {
+fn a_host_with_mostly_failed_tries_and_slow_answers_gets_less_weight() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.trace.clear();
     for _ in 0..9 {
-        fleet.met(1, 0, 10, 8, 2_500.0);
-        (0..4).filter(|host| *host != 1).for_each(|host| fleet.met(host, 0, 10, 0, 200.0));
+        fleet.host_report(1, 0, 10, 8, 2_500.0);
+        (0..4).filter(|host| *host != 1).for_each(|host| fleet.host_report(host, 0, 10, 0, 200.0));
         fleet.run(5);
         fleet.catch_up(1);
     }
@@ -930,15 +950,15 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Sums would show it two periods later. Back up it comes by sums.
+/// Traffic reports would show the overload two periods later. The weight rises again only by traffic reports.
 #[test]
-fn a_host_that_tells_of_twice_the_others_load_is_eased_before_sums_come() {
+fn a_host_that_reports_twice_the_load_of_others_gets_less_weight_before_traffic_reports_arrive() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.run(5);
     fleet.trace.clear();
     for _ in 0..10 {
-        fleet.loads(&[(0, 2.4), (1, 0.5), (2, 0.6), (3, 0.9)], 100.0, 1.0);
+        fleet.load_reports(&[(0, 2.4), (1, 0.5), (2, 0.6), (3, 0.9)], 100.0, 1.0);
         fleet.run(5);
     }
     expect![[r#"
@@ -949,34 +969,34 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Guards against reports that speak for themselves alone: none of these eases, gates or lifts.
+/// Guards against acting on load reports without support: none of these reduces a weight, gates a host or lifts a gate.
 #[test]
-fn loads_that_are_unsure_old_overtaken_or_alike_change_nothing() {
+fn uncertain_old_superseded_or_equal_load_reports_change_nothing() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.run(5);
     fleet.probes(2, &[Outcome::Unreachable, Outcome::Unreachable, Outcome::Unreachable]);
     fleet.trace.clear();
     fleet.note("unsure");
-    fleet.loads(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 100.0, 0.4);
+    fleet.load_reports(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 100.0, 0.4);
     fleet.run(2);
     fleet.note("old");
-    fleet.loads(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 2_100.0, 1.0);
+    fleet.load_reports(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 2_100.0, 1.0);
     fleet.run(2);
     fleet.note("a probe came later");
-    fleet.loads(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 100.0, 1.0);
+    fleet.load_reports(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 100.0, 1.0);
     let (host, report) = (HostId(0), LoadReport::default());
-    fleet.say(&[Event::Probed { host, outcome: Outcome::Answered, took: 2.0, report }]);
+    fleet.send(&[Event::Probed { host, outcome: Outcome::Answered, took: 2.0, report }]);
     fleet.run(2);
     fleet.note("a sum came later");
-    fleet.loads(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 900.0, 1.0);
-    fleet.met(0, 0, 10, 0, 100.0);
+    fleet.load_reports(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 900.0, 1.0);
+    fleet.host_report(0, 0, 10, 0, 100.0);
     fleet.run(2);
     fleet.note("all alike");
-    fleet.loads(&[(0, 9.0), (1, 8.0), (2, 9.0), (3, 8.5)], 100.0, 1.0);
+    fleet.load_reports(&[(0, 9.0), (1, 8.0), (2, 9.0), (3, 8.5)], 100.0, 1.0);
     fleet.run(2);
     fleet.note("a gated host says that it is idle");
-    fleet.loads(&[(2, 0.0)], 0.0, 1.0);
+    fleet.load_reports(&[(2, 0.0)], 0.0, 1.0);
     fleet.run(20);
     expect![[r#"
         5000 unsure
@@ -989,27 +1009,27 @@
     .assert_eq(&fleet.trace);
 }
 
-/// A level of reduced service holds from outside: the lesser of it and the module's own is let in.
+/// A level of reduced service is set from outside: the smaller of it and the module's own level is admitted.
 #[test]
 fn a_bound_holds_for_its_product_and_zone_and_waits_while_nothing_is_known() {
     let products = vec![product(Effect::InquiryLike), product(Effect::OnceOnly)];
     let mut fleet = Fleet::with(1, 4, products, LevelKind::Share);
     let (zone, tries) = (ZoneId(0), Tries::One);
-    fleet.say(&[Event::Await { on: true }]);
+    fleet.send(&[Event::Await { on: true }]);
     fleet.join(0);
     fleet.run(5);
     fleet.trace.clear();
     fleet.note("bounded, and waiting");
-    fleet.say(&[Event::Bound { zone, product: ProductId(0), share: 0.3, tries }]);
+    fleet.send(&[Event::Bound { zone, product: ProductId(0), share: 0.3, tries }]);
     fleet.run(2);
     fleet.note("known");
-    fleet.say(&[Event::Await { on: false }]);
+    fleet.send(&[Event::Await { on: false }]);
     fleet.run(2);
     fleet.note("nothing of it is let in");
-    fleet.say(&[Event::Bound { zone, product: ProductId(0), share: 0.0, tries }]);
+    fleet.send(&[Event::Bound { zone, product: ProductId(0), share: 0.0, tries }]);
     fleet.run(2);
     fleet.note("lifted");
-    fleet.say(&[Event::Bound { zone, product: ProductId(0), share: 1.0, tries: Tries::TwiceAfterAny }]);
+    fleet.send(&[Event::Bound { zone, product: ProductId(0), share: 1.0, tries: Tries::TwiceAfterAny }]);
     fleet.run(2);
     expect![[r#"
         2000 bounded, and waiting
@@ -1024,20 +1044,21 @@
     .assert_eq(&fleet.trace);
 }
 
-/// What an earlier steward had learnt saves learning it anew, and two passes or a sum go before it.
+/// Hints carry over what an earlier controller learned. Two passed probes or a traffic report take precedence over
+/// them.
 #[test]
-fn hints_of_an_earlier_steward_ease_and_shut_until_something_is_seen() {
+fn hints_of_an_earlier_controller_reduce_weights_and_gate_until_newer_evidence_arrives() {
     let mut fleet = Fleet::new(1, 4);
     let hint = |host, part, shut| Event::Hint { host: HostId(host), part, shut };
     fleet.trace.clear();
-    fleet.say(&[hint(0, 0.5, false), hint(1, 1.0, true)]);
+    fleet.send(&[hint(0, 0.5, false), hint(1, 1.0, true)]);
     fleet.join(0);
     fleet.run(3);
     fleet.probes(1, &[Outcome::Answered, Outcome::Answered]);
-    fleet.met(2, 0, 10, 0, 100.0);
+    fleet.host_report(2, 0, 10, 0, 100.0);
     fleet.run(1);
     fleet.note("a hint about what was seen");
-    fleet.say(&[hint(2, 0.3, true)]);
+    fleet.send(&[hint(2, 0.3, true)]);
     fleet.run(5);
     expect![[r#"
         1000 withdraw host1
@@ -1055,17 +1076,17 @@
     .assert_eq(&fleet.trace);
 }
 
-/// Guards against a start at which nobody is ever bound: proxies that join before the first host all count as
-/// holding it, and letting it in at each took more lines than the channel holds.
+/// Guards against a start at which no proxy is ever bound: proxies that join before the first host all count as using
+/// it, and restoring it at each of them took more lines than the channel allows.
 #[test]
-fn proxies_that_join_before_the_list_are_bound_within_the_channel() {
+fn proxies_that_join_before_the_list_are_bound_within_the_channel_limit() {
     let mut fleet = Fleet::with(1, 0, vec![product(Effect::InquiryLike)], LevelKind::Off);
     (0..60).for_each(|proxy| fleet.join(proxy));
     fleet.run(10);
     assert!(!fleet.trace.contains("bind"), "nothing to bind to");
     fleet.trace.clear();
     let entries = (0..4).map(|host| fleet.entry(host)).collect();
-    fleet.say(&[Event::List { news: ListNews::Changes, entries }]);
+    fleet.send(&[Event::List { news: ListNews::Changes, entries }]);
     for _ in 0..40 {
         fleet.run(1);
         fleet.catch_up(60);
@@ -1074,9 +1095,10 @@
     assert!(bound >= 60, "{bound} of 60 are bound");
 }
 
-/// Guards those without a host in a takeover: they came after all that hold the lost steward's tables, by their number.
+/// Guards against proxies without a host that wait in a takeover: they were bound after all proxies that still have the
+/// tables of the failed controller, in the order of their numbers.
 #[test]
-fn a_takeover_binds_those_without_a_host_first_and_the_rest_as_the_channel_takes_them() {
+fn a_takeover_binds_proxies_without_a_host_first_and_the_rest_as_the_channel_has_room() {
     let mut fleet = Fleet::with_channel(1, 4, 60.0);
     fleet.trace.clear();
     let joined: Vec<(u16, bool)> = (0..8).map(|proxy| (proxy, proxy > 5)).collect();
@@ -1104,28 +1126,29 @@
         1400 all answer
         1600 all answer
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
 
-/// Guards discovery: five stewards that start in one millisecond and whose calls fail at once ask again at times of their
-/// own, ever more rarely and each within six seconds; and none asks again once it was told.
+/// Guards discovery against bursts of requests: five controllers that start in the same millisecond, and whose calls
+/// fail at once, repeat them at different times, at growing intervals of at most six seconds. None asks again once it
+/// got an answer.
 #[test]
-fn five_stewards_ask_a_discovery_that_fails_at_times_of_their_own_and_stop_when_told() {
-    let mut fleets: Vec<Fleet> = (1..=5).map(Fleet::of_five).collect();
+fn five_controllers_ask_a_failing_discovery_at_different_times_and_stop_once_answered() {
+    let mut fleets: Vec<Fleet> = (1..=5).map(Fleet::one_of_five_controllers).collect();
     let mut asks: Vec<Vec<f64>> = vec![vec![]; fleets.len()];
-    let asked = |fleet: &mut Fleet| fleet.take().contains("watch true");
+    let asked = |fleet: &mut Fleet| fleet.take_trace().contains("watch true");
     for step in 0..4_000u32 {
         for (fleet, asks) in fleets.iter_mut().zip(&mut asks) {
             if step > 0 {
                 fleet.now += 10.0;
-                fleet.say(&[]);
+                fleet.send(&[]);
             }
             if asked(fleet) {
                 asks.push(fleet.now);
                 let entries = vec![];
-                // It is down for thirty seconds.
+                // Discovery is down for thirty seconds.
                 let news = if fleet.now < 31_000.0 { ListNews::Failed } else { ListNews::Whole };
-                fleet.say(&[Event::List { news, entries }]);
+                fleet.send(&[Event::List { news, entries }]);
             }
         }
     }
@@ -1139,10 +1162,10 @@
     assert!(asks.iter().all(|asks| asks.iter().filter(|at| **at >= 31_000.0).count() == 1), "{asks:?}");
 }
 
-/// Guards against gates that wait for the clock: a run of fails was planned on at the next tick only, and each fail of a
-/// host that is shut out at once.
+/// Guards against gates that wait for the next timer tick: a series of failed probes led to a gate only on the next
+/// tick, while each further failure of a host that was already gated was handled at once.
 #[test]
-fn a_gate_goes_out_with_the_probe_that_shuts_it() {
+fn a_gate_is_sent_in_the_reply_to_the_probe_that_triggers_it() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.run(5);
@@ -1152,7 +1175,7 @@
     for _ in 0..4 {
         fleet.now += 60.0;
         fleet.note("a probe fails");
-        fleet.hear(&[Event::Probed { host, outcome, took, report }]);
+        fleet.send_without_tick(&[Event::Probed { host, outcome, took, report }]);
     }
     expect![[r#"
         2060 a probe fails
@@ -1161,5 +1184,5 @@
         2180 withdraw host1
         2240 a probe fails
     "#]]
-    .assert_eq(&fleet.take());
+    .assert_eq(&fleet.take_trace());
 }
