--- a/crates/shares/benches/rounds.rs
+++ b/crates/shares/benches/rounds.rs
@@ -1,5 +1,5 @@
-//! A round of dealing at 10, 1,000 and 10,000 tenants, beside the same by halving; and all that the chair does in a
-//! turn in which 5 and 500 stewards speak.
+//! An allocation round at 10, 1,000 and 10,000 tenants, compared with the reference implementation; and the whole work of
+//! the leader for one report of each of 5 and 500 controllers.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -16,8 +16,8 @@
     shares: Section,
 }
 
-/// Parents of ten (of a hundred where there are many), each in a zone of its own that shares its hosts with a
-/// neighbour; two thirds of what is asked for fits.
+/// Parents with ten tenants each (a hundred for the largest case). Each parent is in its own zone, whose txns a neighbour
+/// zone may serve too. Two thirds of the demand fits.
 fn plan(tenants: usize) -> (Arc<Plan>, Vec<f64>, Vec<f64>) {
     let each = if tenants >= 10_000 { 100 } else { 10 };
     let parents = tenants / each;
@@ -47,34 +47,35 @@
     }
     let file: File = toml::from_str(&text).expect("a section");
     let plan = Arc::new(compile(&file.shares, &facts).expect("a plan"));
-    let asks = (0..tenants).map(|at| 40.0 + (at * 7_919 % 121) as f64).collect();
-    let rooms = facts.zones.iter().map(|zone| zone.capacity_per_s).collect();
-    (plan, asks, rooms)
+    let demands = (0..tenants).map(|at| 40.0 + (at * 7_919 % 121) as f64).collect();
+    let capacities = facts.zones.iter().map(|zone| zone.capacity_per_s).collect();
+    (plan, demands, capacities)
 }
 
 fn rounds(c: &mut Criterion) {
     for tenants in [10, 1_000, 10_000] {
-        let (plan, asks, rooms) = plan(tenants);
+        let (plan, demands, capacities) = plan(tenants);
         let mut round = Round::new(plan.clone());
         let mut turn = 0;
         c.bench_function(&format!("round, {tenants} tenants"), |b| {
             b.iter(|| {
                 turn += 1;
-                let asks: Vec<f64> = asks
+                let demands: Vec<f64> = demands
                     .iter()
                     .enumerate()
-                    .map(|(at, ask)| ask * (0.8 + ((at + turn) % 5) as f64 / 10.0))
+                    .map(|(at, demand)| demand * (0.8 + ((at + turn) % 5) as f64 / 10.0))
                     .collect();
-                black_box(round.deal(f64::from(turn as u32) * 100.0, &asks, &rooms, None))
+                black_box(round.deal(f64::from(turn as u32) * 100.0, &demands, &capacities, None))
             });
         });
         if tenants < 10_000 {
             c.bench_function(&format!("plain, {tenants} tenants"), |b| {
-                b.iter(|| black_box(plainly(&plan, &asks, &rooms)));
+                b.iter(|| black_box(plainly(&plan, &demands, &capacities)));
             });
         }
-        for stewards in [5, 500u16] {
-            let seens: Vec<Seen> = (0..stewards).map(|at| seen(&plan, &asks, &rooms, at, stewards)).collect();
+        for controllers in [5, 500u16] {
+            let seens: Vec<Seen> =
+                (0..controllers).map(|at| seen(&plan, &demands, &capacities, at, controllers)).collect();
             let turn = |chair: &mut Chair, turn: u64| {
                 let now = 200.0 * turn as f64;
                 for (at, seen) in seens.iter().enumerate() {
@@ -83,31 +84,31 @@
                 }
                 chair.handle(now + 60.0, Input::Stood { since: now + 50.0 })
             };
-            let holders: BTreeSet<Holder> = (0..stewards).map(Holder).collect();
+            let holders: BTreeSet<Holder> = (0..controllers).map(Holder).collect();
             let lengths = Lengths::new(5_000.0, 0.01, 100.0).expect("lengths");
-            // All have spoken before, as it goes on all the time.
+            // All controllers have reported before, as in continuous operation.
             let chair = || {
                 let mut chair = Chair::new(0.0, 1, 1, plan.clone(), holders.clone(), lengths);
                 turn(&mut chair, 1);
                 chair
             };
-            c.bench_function(&format!("turn, {tenants} tenants, {stewards} stewards"), |b| {
+            c.bench_function(&format!("turn, {tenants} tenants, {controllers} stewards"), |b| {
                 b.iter_batched(chair, |mut chair| black_box(turn(&mut chair, 2)), BatchSize::LargeInput);
             });
         }
     }
 }
 
-/// Each tenant comes to five of the stewards.
-fn seen(plan: &Plan, asks: &[f64], rooms: &[f64], at: u16, stewards: u16) -> Seen {
-    let comes =
-        |claim: u32| (0..5).any(|part| (claim * 13 + part * 101) % u32::from(stewards) == u32::from(at));
-    let demand = plan.claims().filter(|(claim, ..)| comes(claim.0)).map(|(claim, tenant, zone)| Grant {
+/// A report. Txns of each tenant arrive at five of the controllers.
+fn seen(plan: &Plan, demands: &[f64], capacities: &[f64], at: u16, controllers: u16) -> Seen {
+    let arrives =
+        |claim: u32| (0..5).any(|part| (claim * 13 + part * 101) % u32::from(controllers) == u32::from(at));
+    let demand = plan.claims().filter(|(claim, ..)| arrives(claim.0)).map(|(claim, tenant, zone)| Grant {
         tenant,
         zone,
-        per_s: asks[claim.0 as usize] / 5.0,
+        per_s: demands[claim.0 as usize] / 5.0,
     });
-    let capacity = rooms.iter().enumerate().map(|(zone, room)| (Zone(zone as u16), *room)).collect();
+    let capacity = capacities.iter().enumerate().map(|(zone, room)| (Zone(zone as u16), *room)).collect();
     Seen { round: 0, term: 1, plan: 1, lived: 1e6, demand: demand.collect(), capacity, held: vec![] }
 }
 
--- a/crates/shares/src/asked.rs
+++ b/crates/shares/src/asked.rs
@@ -1,284 +1,318 @@
-//! What each steward asks for, held in bands, so that figures that hover ask for the same all the time; and what the
-//! zones can do, as most stewards see it.
+//! The demand reported by each controller, held in bands so that fluctuating demand yields a constant value, and the
+//! capacity of the zones as the majority of controllers sees it.
 
 use std::collections::BTreeMap;
 
 use crate::{Claim, Holder, Plan};
 
-/// A figure that stays while what is seen stays below it and not far below: the room above is a small part for what
-/// grows between two words, and three deviations of what comes by chance in a second.
+/// A demand value that stays constant while the observed rate stays below it, but not far below. The headroom above the
+/// observed rate is a small fraction, for growth between two reports, plus some standard deviations of the arrivals in one
+/// second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Band {
-    asks: f64,
-    /// The most that was seen since then.
+    value: f64,
+    /// The highest rate observed since `since`.
     high: f64,
     since: f64,
-    /// Since when it is passed by a little; none: what was seen last stays below it.
-    passed_at: Option<f64>,
-    /// Of what was seen of late, over how long, and when last.
+    /// Since when the observed rate slightly exceeds the band; `None` if the last one did not.
+    exceeded_since: Option<f64>,
+    /// Mean of the recently observed rates, the time it covers in ms, and the time of the last update.
     mean: f64,
-    mean_over: f64,
-    looked_at: f64,
+    mean_span_ms: f64,
+    updated_at: f64,
 }
 
-const ABOVE: f64 = 1.05;
+/// Factor of the headroom above the observed rate, without the standard deviations.
+const HEADROOM_FACTOR: f64 = 1.05;
 
-/// How far above what is seen a band lies, and when it falls.
-struct Kind {
+/// How far a band lies above the observed rate, and when it is lowered.
+struct BandKind {
+    /// Headroom in standard deviations.
     deviations: f64,
-    /// It falls where for so long, five sums of a second, less than this part of it would have done: below what chance
-    /// alone brings about.
-    unused: f64,
+    /// The band is lowered if for five seconds (five traffic reports) less than this fraction of it would have been
+    /// enough. The fraction is low enough that chance alone does not cause it.
+    lower_below: f64,
 }
 
-/// Three deviations are passed by chance once in twelve minutes, by two sums one after the other once in a week. So what
-/// passes them by a little waits until a second sum does too: no more than two deviations are turned away, for a second.
-/// What passes by more (five in all; chance does so once in forty days) is dealt at once, since a burst can't wait.
-const PASSES: f64 = 2.0;
-/// Longer than a sum is told and spoken of, shorter than two.
-const TWICE: f64 = 1_300.0;
-/// The mean of 45 sums wanders by a tenth of a deviation: a band that lies by so much less above it is not moved for that.
-const WANDERS: f64 = 0.5;
-/// Of what a tenant asks for: what lies above is room that others do not get.
-const WHOLE: Kind = Kind { deviations: 3.0, unused: 0.6 };
-/// What a part counts only divides a grant and keeps no room, and there are many: it lies higher and stays longer.
-const PART: Kind = Kind { deviations: 5.0, unused: 0.4 };
-const UNUSED_FOR: f64 = 5_000.0;
-/// One that was begun by a sum below the usual lies too low: chance would pass it minutes later, and all shares be dealt
-/// anew. So where it has less than its deviations above a mean of 45 sums it is given one more; that one is ten times
-/// what chance moves such a mean by. While the mean is of fewer sums it is kept nearer to that.
-const MEAN_OVER: f64 = 45_000.0;
+/// By chance, three standard deviations are exceeded once in twelve minutes, and by two successive traffic reports once a
+/// week. So a rate that exceeds the band slightly must be confirmed by a second report; meanwhile txns of at most two
+/// standard deviations are rejected, for one second. A rate that exceeds the band by more than this many deviations (five
+/// in total, once in forty days by chance) moves the band at once, since a burst can't wait.
+const IMMEDIATE_DEVIATIONS: f64 = 2.0;
+/// Time after which an excess counts as confirmed, ms: longer than one traffic report is repeated, shorter than two.
+const CONFIRM_AFTER_MS: f64 = 1_300.0;
+/// The mean of 45 traffic reports fluctuates by a tenth of a standard deviation. A band that is too low by less than this
+/// many deviations is not moved.
+const MEAN_TOLERANCE: f64 = 0.5;
+/// Band of a claim's total demand. Its headroom is capacity that others do not get, so it is kept small.
+const TOTAL_BAND: BandKind = BandKind { deviations: 3.0, lower_below: 0.6 };
+/// Band of the demand at one controller. It only divides a grant and reserves no capacity, and there are many, so it has
+/// more headroom and is lowered later.
+const CONTROLLER_BAND: BandKind = BandKind { deviations: 5.0, lower_below: 0.4 };
+/// Time after which a band that is too high is lowered, ms.
+const LOWER_AFTER_MS: f64 = 5_000.0;
+/// Window of the mean, ms: 45 one-second traffic reports. A band that started from an unusually low report is too low:
+/// chance would exceed it minutes later and all shares would be computed again. So if the band has less than its headroom
+/// above the mean, it is raised to one standard deviation more. That is ten times the fluctuation of a mean of 45 reports.
+/// While the mean covers fewer reports, the band is kept closer to that higher value.
+const MEAN_WINDOW_MS: f64 = 45_000.0;
 
 impl Band {
-    fn above(seen: f64, deviations: f64) -> f64 {
-        ABOVE * seen + deviations * seen.sqrt()
+    fn with_headroom(observed: f64, deviations: f64) -> f64 {
+        HEADROOM_FACTOR * observed + deviations * observed.sqrt()
     }
 
-    /// Whether it has moved.
-    fn look(&mut self, now: f64, seen: f64, kind: &Kind) -> bool {
-        let before = self.asks;
-        let passed = if self.asks > 0.0 { now - self.looked_at } else { 0.0 };
-        self.looked_at = now;
-        self.mean_over = (self.mean_over + passed).min(MEAN_OVER);
-        self.mean = match self.mean_over > 0.0 {
-            true => self.mean + (seen - self.mean) * passed / self.mean_over,
-            false => seen,
+    /// Updates the band with an observed rate. Returns whether the band has moved.
+    fn update(&mut self, now: f64, observed: f64, kind: &BandKind) -> bool {
+        let before = self.value;
+        let elapsed = if self.value > 0.0 { now - self.updated_at } else { 0.0 };
+        self.updated_at = now;
+        self.mean_span_ms = (self.mean_span_ms + elapsed).min(MEAN_WINDOW_MS);
+        self.mean = match self.mean_span_ms > 0.0 {
+            true => self.mean + (observed - self.mean) * elapsed / self.mean_span_ms,
+            false => observed,
         };
-        self.high = self.high.max(seen);
-        let (most, settled) = (kind.deviations + 1.0, self.mean_over / MEAN_OVER);
-        self.passed_at = self.passed_at.filter(|_| seen > self.asks);
-        let passes = seen > self.asks && {
-            let since = *self.passed_at.get_or_insert(now);
-            // Who had nothing waits for nothing.
-            let far = before == 0.0 || seen > self.asks + PASSES * seen.sqrt();
-            far || now - since >= TWICE
+        self.high = self.high.max(observed);
+        let (most, mean_coverage) = (kind.deviations + 1.0, self.mean_span_ms / MEAN_WINDOW_MS);
+        self.exceeded_since = self.exceeded_since.filter(|_| observed > self.value);
+        let exceeds = observed > self.value && {
+            let since = *self.exceeded_since.get_or_insert(now);
+            // A band that was at zero needs no confirmation.
+            let immediate = before == 0.0 || observed > self.value + IMMEDIATE_DEVIATIONS * observed.sqrt();
+            immediate || now - since >= CONFIRM_AFTER_MS
         };
-        if passes {
-            (self.asks, self.high, self.since) = (Band::above(seen, kind.deviations), seen, now);
-        } else if Band::above(self.mean, most - (1.0 + WANDERS) * settled) > self.asks {
-            (self.asks, self.high, self.since) = (Band::above(self.mean, most), seen, now);
-        } else if now - self.since >= UNUSED_FOR {
-            let high = Band::above(self.high, kind.deviations);
-            if high < kind.unused * self.asks {
-                // What was before it fell says nothing of what is usual now.
-                (self.asks, self.mean, self.mean_over) = (high, self.high, 0.0);
+        if exceeds {
+            (self.value, self.high, self.since) =
+                (Band::with_headroom(observed, kind.deviations), observed, now);
+        } else if Band::with_headroom(self.mean, most - (1.0 + MEAN_TOLERANCE) * mean_coverage) > self.value {
+            (self.value, self.high, self.since) = (Band::with_headroom(self.mean, most), observed, now);
+        } else if now - self.since >= LOWER_AFTER_MS {
+            let high = Band::with_headroom(self.high, kind.deviations);
+            if high < kind.lower_below * self.value {
+                // The mean from before the drop does not apply any more.
+                (self.value, self.mean, self.mean_span_ms) = (high, self.high, 0.0);
             }
-            (self.high, self.since) = (seen, now);
+            (self.high, self.since) = (observed, now);
         }
-        self.asks != before
+        self.value != before
     }
 }
 
-/// What comes for a claim at one steward: as it was told, and as it counts.
+/// Demand for a claim at one controller: as reported, and as counted in the total.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
-    came: f64,
-    counts: f64,
+struct ControllerDemand {
+    arrivals: f64,
+    counted: f64,
     band: Band,
 }
 
+/// The last report of one controller.
 #[derive(Clone, Debug)]
-struct Steward {
-    heard_at: f64,
+struct ControllerState {
+    last_report_at: f64,
     silent: bool,
-    /// All that it was granted is over.
+    /// All its grants have expired.
     lapsed: bool,
     /// By claim, in order.
-    parts: Vec<(u32, Part)>,
-    /// By zone; not a number: it did not say.
-    rooms: Vec<f64>,
+    demands: Vec<(u32, ControllerDemand)>,
+    /// By zone; NaN if not reported.
+    capacities: Vec<f64>,
 }
 
-/// What comes for a claim at all of them.
+/// Demand for a claim at all controllers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Whole {
+struct TotalDemand {
     sum: f64,
     band: Band,
-    /// Of all bands of its parts.
-    parts: f64,
-    stewards: u32,
+    /// Sum of the bands of all controllers.
+    band_sum: f64,
+    controllers: u32,
 }
 
+/// Demand and capacity as reported by all controllers.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Asked {
-    stewards: BTreeMap<Holder, Steward>,
+pub(crate) struct DemandTracker {
+    controllers: BTreeMap<Holder, ControllerState>,
     /// By claim.
-    wholes: Vec<Whole>,
-    /// By zone: what is dealt out of it.
-    rooms: Vec<f64>,
+    totals: Vec<TotalDemand>,
+    /// By zone: the capacity that grants are issued for.
+    capacities: Vec<f64>,
+    /// Whether any band or capacity has changed since the last round.
     pub changed: bool,
 }
 
-impl Asked {
-    pub fn new(plan: &Plan) -> Asked {
-        let wholes = vec![Whole::default(); plan.claims.len()];
-        Asked { wholes, rooms: vec![0.0; plan.zones], ..Asked::default() }
+impl DemandTracker {
+    pub fn new(plan: &Plan) -> DemandTracker {
+        let totals = vec![TotalDemand::default(); plan.claims.len()];
+        DemandTracker { totals, capacities: vec![0.0; plan.zone_count], ..DemandTracker::default() }
     }
 
-    pub fn keep(&mut self, holder: impl Fn(&Holder) -> bool) {
-        let gone: Vec<Holder> = self.stewards.keys().filter(|known| !holder(known)).copied().collect();
+    pub fn retain(&mut self, holder: impl Fn(&Holder) -> bool) {
+        let gone: Vec<Holder> = self.controllers.keys().filter(|known| !holder(known)).copied().collect();
         for gone in gone {
             self.changed = true;
-            for (claim, part) in self.stewards.remove(&gone).into_iter().flat_map(|steward| steward.parts) {
-                self.wholes[claim as usize].leave(&part);
+            for (claim, demand) in
+                self.controllers.remove(&gone).into_iter().flat_map(|controller| controller.demands)
+            {
+                self.totals[claim as usize].remove(&demand);
             }
         }
     }
 
-    /// `came` by claim and in its order, in txns a second; a claim that is not named: nothing came.
-    pub fn hear(&mut self, now: f64, holder: Holder, came: &[(u32, f64)], rooms: &[(u16, f64)]) {
-        let new = Steward { heard_at: now, silent: false, lapsed: false, parts: vec![], rooms: vec![] };
-        let steward = self.stewards.entry(holder).or_insert(new);
-        (steward.heard_at, steward.silent, steward.lapsed) = (now, false, false);
-        steward.rooms.clear();
-        steward.rooms.resize(self.rooms.len(), f64::NAN);
-        for (zone, room) in rooms.iter().filter(|room| room.1.is_finite()) {
-            if let Some(known) = steward.rooms.get_mut(usize::from(*zone)) {
-                *known = *room;
+    /// Takes a report. `arrivals` has rates in txns per second, sorted by claim; a claim that is not listed had none.
+    pub fn record_report(
+        &mut self,
+        now: f64,
+        holder: Holder,
+        arrivals: &[(u32, f64)],
+        capacities: &[(u16, f64)],
+    ) {
+        let new = ControllerState {
+            last_report_at: now,
+            silent: false,
+            lapsed: false,
+            demands: vec![],
+            capacities: vec![],
+        };
+        let controller = self.controllers.entry(holder).or_insert(new);
+        (controller.last_report_at, controller.silent, controller.lapsed) = (now, false, false);
+        controller.capacities.clear();
+        controller.capacities.resize(self.capacities.len(), f64::NAN);
+        for (zone, capacity) in capacities.iter().filter(|capacity| capacity.1.is_finite()) {
+            if let Some(known) = controller.capacities.get_mut(usize::from(*zone)) {
+                *known = *capacity;
             }
         }
-        let mut known = std::mem::take(&mut steward.parts).into_iter().peekable();
-        let mut came = came.iter().copied().peekable();
+        let mut known = std::mem::take(&mut controller.demands).into_iter().peekable();
+        let mut arrivals = arrivals.iter().copied().peekable();
         while let Some(claim) =
-            known.peek().map(|of| of.0).into_iter().chain(came.peek().map(|of| of.0)).min()
+            known.peek().map(|of| of.0).into_iter().chain(arrivals.peek().map(|of| of.0)).min()
         {
-            let (mut part, came) =
-                (known.next_if(|of| of.0 == claim), came.next_if(|of| of.0 == claim).map(|of| of.1));
-            let whole = &mut self.wholes[claim as usize];
-            let part = &mut part.get_or_insert_with(|| {
-                whole.stewards += 1;
-                (claim, Part::default())
+            let (mut demand, arrivals) =
+                (known.next_if(|of| of.0 == claim), arrivals.next_if(|of| of.0 == claim).map(|of| of.1));
+            let total = &mut self.totals[claim as usize];
+            let demand = &mut demand.get_or_insert_with(|| {
+                total.controllers += 1;
+                (claim, ControllerDemand::default())
             });
-            let (came, before) = (came.filter(|came| came.is_finite()).unwrap_or(0.0), part.1);
-            part.1.band.look(now, came, &PART);
-            (part.1.came, part.1.counts) = (came, came);
-            whole.sum = (whole.sum + came - before.counts).max(0.0);
-            whole.parts = (whole.parts + part.1.band.asks - before.band.asks).max(0.0);
-            self.changed |= whole.band.look(now, whole.sum, &WHOLE);
-            match part.1.band.asks > 0.0 {
-                true => steward.parts.push(**part),
-                false => whole.leave(&part.1),
+            let (arrivals, before) =
+                (arrivals.filter(|arrivals| arrivals.is_finite()).unwrap_or(0.0), demand.1);
+            demand.1.band.update(now, arrivals, &CONTROLLER_BAND);
+            (demand.1.arrivals, demand.1.counted) = (arrivals, arrivals);
+            total.sum = (total.sum + arrivals - before.counted).max(0.0);
+            total.band_sum = (total.band_sum + demand.1.band.value - before.band.value).max(0.0);
+            self.changed |= total.band.update(now, total.sum, &TOTAL_BAND);
+            match demand.1.band.value > 0.0 {
+                true => controller.demands.push(**demand),
+                false => total.remove(&demand.1),
             }
         }
     }
 
-    /// Those not heard of for so long count with their part of what is guaranteed, at the most. And once all that one was
-    /// granted is over it divides nothing any more: what it kept nobody could let in, and the proxies of one that died
-    /// ask others for it.
-    pub fn age(&mut self, now: f64, plan: &Plan, longest: f64) {
-        let wholes = &mut self.wholes;
-        for steward in self.stewards.values_mut() {
-            if !steward.lapsed && now - steward.heard_at >= longest {
-                steward.lapsed = true;
-                for (claim, part) in &mut steward.parts {
-                    let whole = &mut wholes[*claim as usize];
-                    whole.parts = (whole.parts - std::mem::take(&mut part.band).asks).max(0.0);
+    /// Reduces the demand of controllers that have been silent for `silent_after` to at most their fraction of the
+    /// guarantee. Once all grants of a silent controller have expired it gets no fraction of new grants: nobody could use
+    /// them, and if it died, its proxies are served by other controllers.
+    pub fn expire_silent(&mut self, now: f64, plan: &Plan, longest: f64) {
+        let totals = &mut self.totals;
+        for controller in self.controllers.values_mut() {
+            if !controller.lapsed && now - controller.last_report_at >= longest {
+                controller.lapsed = true;
+                for (claim, demand) in &mut controller.demands {
+                    let total = &mut totals[*claim as usize];
+                    total.band_sum = (total.band_sum - std::mem::take(&mut demand.band).value).max(0.0);
                 }
             }
-            if steward.silent || now - steward.heard_at < plan.silent_for {
+            if controller.silent || now - controller.last_report_at < plan.silent_after {
                 continue;
             }
-            steward.silent = true;
-            for (claim, part) in &mut steward.parts {
-                let whole = &mut wholes[*claim as usize];
-                let guarantee = plan.guarantee(Claim(*claim)) * (part.came / whole.sum.max(1e-9)).min(1.0);
-                let counts = part.came.min(guarantee);
-                whole.sum = (whole.sum + counts - part.counts).max(0.0);
-                part.counts = counts;
-                self.changed |= whole.band.look(now, whole.sum, &WHOLE);
+            controller.silent = true;
+            for (claim, demand) in &mut controller.demands {
+                let total = &mut totals[*claim as usize];
+                let guarantee =
+                    plan.guarantee(Claim(*claim)) * (demand.arrivals / total.sum.max(1e-9)).min(1.0);
+                let counted = demand.arrivals.min(guarantee);
+                total.sum = (total.sum + counted - demand.counted).max(0.0);
+                demand.counted = counted;
+                self.changed |= total.band.update(now, total.sum, &TOTAL_BAND);
             }
         }
     }
 
-    /// By claim, with what stands in floors.
-    pub fn asks(&self, plan: &Plan) -> Vec<f64> {
-        let ask = |(claim, whole): (usize, &Whole)| {
+    /// Demand by claim, floors included.
+    pub fn demands(&self, plan: &Plan) -> Vec<f64> {
+        let demand = |(claim, total): (usize, &TotalDemand)| {
             let floor = plan.floor(Claim(claim as u32));
-            let lift = (whole.band.asks - f64::from(whole.stewards) * floor).max(0.0);
-            f64::from(plan.stewards) * floor + lift
+            let excess = (total.band.value - f64::from(total.controllers) * floor).max(0.0);
+            f64::from(plan.controllers) * floor + excess
         };
-        self.wholes.iter().enumerate().map(ask).collect()
+        self.totals.iter().enumerate().map(demand).collect()
     }
 
-    /// The claims that come to that steward, with its part of each.
-    pub fn parts(&self, holder: Holder) -> impl Iterator<Item = (u32, f64)> + '_ {
-        let parts = self.stewards.get(&holder).into_iter().flat_map(|steward| &steward.parts);
-        parts.map(|(claim, part)| {
-            (*claim, (part.band.asks / self.wholes[*claim as usize].parts.max(1e-12)).min(1.0))
+    /// The claims with arrivals at that controller, with its fraction of each.
+    pub fn fractions(&self, holder: Holder) -> impl Iterator<Item = (u32, f64)> + '_ {
+        let demands = self.controllers.get(&holder).into_iter().flat_map(|controller| &controller.demands);
+        demands.map(|(claim, demand)| {
+            (*claim, (demand.band.value / self.totals[*claim as usize].band_sum.max(1e-12)).min(1.0))
         })
     }
 
-    /// No steward's word of before says that the zone can do more than this.
-    pub fn fell(&mut self, zone: u16, per_s: f64) {
-        for steward in self.stewards.values_mut() {
-            steward.rooms.get_mut(usize::from(zone)).into_iter().for_each(|room| {
-                if *room > per_s {
-                    *room = per_s;
+    /// Limits the capacity of the zone in all earlier reports to this value.
+    pub fn limit_capacity(&mut self, zone: u16, per_s: f64) {
+        for controller in self.controllers.values_mut() {
+            controller.capacities.get_mut(usize::from(zone)).into_iter().for_each(|capacity| {
+                if *capacity > per_s {
+                    *capacity = per_s;
                 }
             });
         }
-        if let Some(room) = self.rooms.get_mut(usize::from(zone)).filter(|room| **room > per_s) {
-            *room = UNDER * per_s;
+        if let Some(capacity) =
+            self.capacities.get_mut(usize::from(zone)).filter(|capacity| **capacity > per_s)
+        {
+            *capacity = CAPACITY_FRACTION * per_s;
             self.changed = true;
         }
     }
 
-    /// By zone. The lower middle of what is seen, held in a band below it: a fall counts at once.
-    pub fn rooms(&mut self) -> Vec<f64> {
-        let mut seen = Vec::with_capacity(self.stewards.len());
-        for zone in 0..self.rooms.len() {
-            let heard = self.stewards.values().filter(|steward| !steward.silent);
-            seen.clear();
-            seen.extend(
-                heard.filter_map(|steward| steward.rooms.get(zone).copied()).filter(|room| !room.is_nan()),
+    /// Capacity by zone: the lower median of what controllers report, less a margin. Drops apply at once, increases only
+    /// from `CAPACITY_RISE` on.
+    pub fn capacities(&mut self) -> Vec<f64> {
+        let mut observed = Vec::with_capacity(self.controllers.len());
+        for zone in 0..self.capacities.len() {
+            let heard = self.controllers.values().filter(|controller| !controller.silent);
+            observed.clear();
+            observed.extend(
+                heard
+                    .filter_map(|controller| controller.capacities.get(zone).copied())
+                    .filter(|capacity| !capacity.is_nan()),
             );
-            if seen.is_empty() {
+            if observed.is_empty() {
                 continue;
             }
-            let middle = (seen.len() - 1) / 2;
-            let seen = *seen.select_nth_unstable_by(middle, f64::total_cmp).1;
-            let room = &mut self.rooms[zone];
-            if *room > seen || seen > OVER * *room {
-                let next = UNDER * seen.max(0.0);
-                self.changed |= next != *room;
-                *room = next;
+            let middle = (observed.len() - 1) / 2;
+            let observed = *observed.select_nth_unstable_by(middle, f64::total_cmp).1;
+            let capacity = &mut self.capacities[zone];
+            if *capacity > observed || observed > CAPACITY_RISE * *capacity {
+                let next = CAPACITY_FRACTION * observed.max(0.0);
+                self.changed |= next != *capacity;
+                *capacity = next;
             }
         }
-        self.rooms.clone()
+        self.capacities.clone()
     }
 }
 
-impl Whole {
-    fn leave(&mut self, part: &Part) {
-        self.sum = (self.sum - part.counts).max(0.0);
-        self.parts = (self.parts - part.band.asks).max(0.0);
-        self.stewards -= 1;
-        if self.stewards == 0 {
-            (self.sum, self.parts) = (0.0, 0.0);
+impl TotalDemand {
+    fn remove(&mut self, demand: &ControllerDemand) {
+        self.sum = (self.sum - demand.counted).max(0.0);
+        self.band_sum = (self.band_sum - demand.band.value).max(0.0);
+        self.controllers -= 1;
+        if self.controllers == 0 {
+            (self.sum, self.band_sum) = (0.0, 0.0);
         }
     }
 }
 
-/// Room is dealt out from a little below what is seen, and follows upwards only from so far above that.
-const UNDER: f64 = 0.98;
-const OVER: f64 = 1.05;
+/// Grants are issued for this fraction of the reported capacity, and follow an increase only once the reported capacity is
+/// `CAPACITY_RISE` times the value in use.
+const CAPACITY_FRACTION: f64 = 0.98;
+const CAPACITY_RISE: f64 = 1.05;
--- a/crates/shares/src/held.rs
+++ b/crates/shares/src/held.rs
@@ -1,5 +1,5 @@
-//! The steward's side of grants: it says what came and what it holds, takes up what the chair deals, and bounds each
-//! product in each zone so that no more is let in than that.
+//! The controller's side of grants: it reports its demand and the grants it holds, applies the grants issued by the
+//! leader, and limits each request class (`product`) in each zone so that no more is admitted than granted.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,132 +8,142 @@
 
 use crate::{Bound, Claim, Grant, Plan, Said, Seen, Zone};
 
-/// A steward speaks this often: five times within the second in which sums come.
-pub(crate) const EVERY: f64 = 200.0;
-/// Capacity of a zone that has fallen below this part of what it was is told at once: less than one host of a few.
-const FALLEN: f64 = 0.8;
-/// Shares go in these steps, finer where little is let in; back up only from so far over the next.
-const STEP: f64 = 0.05;
-const FINE: f64 = 0.01;
-const OVER: f64 = 0.02;
-/// Shares are of what came over some five sums, and of the last alone where it is so much more.
-const FOLLOWS: f64 = 0.2;
-const BURST: f64 = 1.5;
-/// And that is no burst which chance brings about: of a few txns a second each fourth sum is half as much again. Taken
-/// for one, shares were of more than comes, and a guarantee of 8 a second let in 6 for as long as it lasted.
-const BY_CHANCE: f64 = 4.0;
+/// Interval between reports, ms: five reports within the second in which traffic reports arrive.
+pub(crate) const REPORT_INTERVAL_MS: f64 = 200.0;
+/// A zone whose capacity drops below this fraction of its last value is reported at once. In a zone of a few hosts that is
+/// less than the loss of one host.
+const CAPACITY_DROP_RATIO: f64 = 0.8;
+/// Admitted shares are rounded down to these steps, the finer one for small shares. A share is only raised if it exceeds
+/// the next step by `RAISE_MARGIN`.
+const SHARE_STEP: f64 = 0.05;
+const FINE_SHARE_STEP: f64 = 0.01;
+const RAISE_MARGIN: f64 = 0.02;
+/// Shares are computed from the arrival rate smoothed over about five traffic reports. A report above `BURST_RATIO` times
+/// the smoothed rate replaces it at once.
+const SMOOTHING: f64 = 0.2;
+const BURST_RATIO: f64 = 1.5;
+/// A burst must also exceed the smoothed rate by this many standard deviations. With a few txns per second, one report in
+/// four is half again as high by chance. Treated as bursts, these led to shares of more than what arrives: a guarantee of
+/// 8 per second admitted only 6.
+const BURST_MIN_DEVIATIONS: f64 = 4.0;
 
+/// Inputs of the controller's side.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
-    /// Txns a second of late, by the zone whose proxies they came to and their product, let in or not; what is not
-    /// named did not come.
+    /// Recent arrival rates in txns per second, admitted or not, by the zone whose proxies received them and by request
+    /// class (`product`). Pairs that are not listed had no arrivals.
     Came(Vec<(ZoneId, ProductId, f64)>),
-    /// What the open hosts of each zone can do, txns a second.
+    /// Rate that the open hosts of each zone can serve, in txns per second.
     Capacity(Vec<(ZoneId, f64)>),
-    /// The chair of that term is the one to talk to.
+    /// The consensus leader of that term is known; reports go to it.
     Chair {
         term: u64,
     },
+    /// A message from the leader.
     From(Said),
     Tick,
 }
 
+/// Outputs of the controller's side.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
-    /// To the chair.
+    /// Message to send to the leader.
     Say(Said),
+    /// Limit to enforce from now on.
     Bound(Bound),
 }
 
+/// The grants of one answer that this controller has applied.
 #[derive(Clone, Debug)]
-struct Taken {
+struct AppliedGrants {
     term: u64,
     round: u64,
     until: f64,
     rates: BTreeMap<Claim, f64>,
 }
 
+/// The grants that one controller holds under one plan.
 pub struct Held {
-    born: f64,
-    /// The run in the upper half, words said in the lower.
+    started_at: f64,
+    /// Number of the last report: the run in the upper 32 bits, a count in the lower.
     round: u64,
     term: u64,
-    no: u64,
+    revision: u64,
     plan: Arc<Plan>,
-    /// By claim, the products that it bounds.
+    /// By claim, the request classes that it limits.
     products: Vec<Vec<ProductId>>,
-    /// Words of late: when each was said, and in which term.
-    said: VecDeque<(u64, f64, u64)>,
-    taken: Option<Taken>,
-    /// What ran out last, and for how long proxies may still act on it, ms.
-    over: Option<Taken>,
-    lingers: f64,
-    /// By claim: the last sums, and what is usual, which shares are of.
-    came: BTreeMap<Claim, f64>,
-    usual: BTreeMap<Claim, f64>,
+    /// Recent reports: the number, when it was sent, and in which term.
+    reports: VecDeque<(u64, f64, u64)>,
+    applied: Option<AppliedGrants>,
+    /// The grants that expired last, and for how long proxies may still act on them, ms.
+    expired: Option<AppliedGrants>,
+    linger_ms: f64,
+    /// By claim: the last arrival rates, and the smoothed rates from which shares are computed.
+    arrivals: BTreeMap<Claim, f64>,
+    smoothed: BTreeMap<Claim, f64>,
     capacity: Vec<(ZoneId, f64)>,
-    /// The one list of what the decisions were told; a pair that is not in it is let in whole.
-    told: BTreeMap<(ZoneId, ProductId), f64>,
-    next: f64,
+    /// The shares that were emitted last. A pair that is not listed is admitted in full.
+    emitted: BTreeMap<(ZoneId, ProductId), f64>,
+    next_report_at: f64,
     #[cfg(feature = "seeded-bugs")]
     bug: Option<crate::Bug>,
 }
 
-/// The zones whose hosts can do so much less than before.
-pub(crate) fn fallen<'a>(
+/// The zones whose capacity dropped below `CAPACITY_DROP_RATIO` of what it was, with their new capacity.
+pub(crate) fn capacity_drops<'a>(
     before: &'a [(ZoneId, f64)],
     now: &'a [(ZoneId, f64)],
 ) -> impl Iterator<Item = (ZoneId, f64)> + 'a {
     let can = |zone: ZoneId| now.iter().find(|of| of.0 == zone).map_or(0.0, |of| of.1);
-    let falls = before.iter().map(move |(zone, before)| (*zone, *before, can(*zone)));
-    falls.filter(|(_, before, now)| *now < FALLEN * before).map(|(zone, _, now)| (zone, now))
+    let changes = before.iter().map(move |(zone, before)| (*zone, *before, can(*zone)));
+    changes.filter(|(_, before, now)| *now < CAPACITY_DROP_RATIO * before).map(|(zone, _, now)| (zone, now))
 }
 
-/// A zone that is seen no more has lost all its hosts.
-pub(crate) fn see(known: &mut Vec<(ZoneId, f64)>, now: Vec<(ZoneId, f64)>) {
+/// Replaces the known capacities. A zone that is no longer listed has lost all its hosts and gets 0.
+pub(crate) fn update_capacity(known: &mut Vec<(ZoneId, f64)>, now: Vec<(ZoneId, f64)>) {
     let gone = known.iter().filter(|(zone, _)| now.iter().all(|of| of.0 != *zone));
     let gone: Vec<(ZoneId, f64)> = gone.map(|(zone, _)| (*zone, 0.0)).collect();
     *known = now;
     known.extend(gone);
 }
 
-/// The share in steps that the steward may let in, from the one it was told before.
-fn step(told: f64, share: f64) -> f64 {
+/// Rounds a share to steps, given the share that was emitted last.
+fn stepped_share(emitted: f64, share: f64) -> f64 {
     let down = |share: f64| {
-        let step = if share < 4.0 * STEP { FINE } else { STEP };
-        // Whole hundredths, so that the same share is the same figure.
+        let step = if share < 4.0 * SHARE_STEP { FINE_SHARE_STEP } else { SHARE_STEP };
+        // Rounded to hundredths, so that equal shares compare as equal.
         ((share / step + 1e-9).floor() * step * 100.0).round() / 100.0
     };
     let share = share.max(0.0);
-    if share < told {
+    if share < emitted {
         return down(share);
     }
-    down((share - OVER.min(0.1 * share)).min(1.0)).max(told)
+    down((share - RAISE_MARGIN.min(0.1 * share)).min(1.0)).max(emitted)
 }
 
 impl Held {
-    /// `run` is drawn at the start, so that no two runs of a steward have the same.
-    pub fn new(now: f64, run: u32, no: u64, plan: Arc<Plan>) -> Held {
+    /// `run` is a random number drawn at the start, so that two runs of a controller have different ones.
+    pub fn new(now: f64, run: u32, revision: u64, plan: Arc<Plan>) -> Held {
         let mut held = Held {
-            born: now,
+            started_at: now,
             round: u64::from(run) << 32,
             term: 0,
-            no,
+            revision,
             products: vec![],
             plan,
-            said: VecDeque::new(),
-            taken: None,
-            over: None,
-            lingers: 0.0,
-            came: BTreeMap::new(),
-            usual: BTreeMap::new(),
+            reports: VecDeque::new(),
+            applied: None,
+            expired: None,
+            linger_ms: 0.0,
+            arrivals: BTreeMap::new(),
+            smoothed: BTreeMap::new(),
             capacity: vec![],
-            told: BTreeMap::new(),
-            next: now,
+            emitted: BTreeMap::new(),
+            next_report_at: now,
             #[cfg(feature = "seeded-bugs")]
             bug: None,
         };
-        held.products = held.products_of();
+        held.products = held.products_by_claim();
         held
     }
 
@@ -143,20 +153,20 @@
         self
     }
 
-    /// A run before this one can't have left grants of this plan with proxies later than that; else than its start.
+    /// Sets the time since which no earlier run can have left grants of this plan with proxies. The default is the start.
     pub fn clear_since(mut self, since: f64) -> Held {
-        self.born = since;
+        self.started_at = since;
         self
     }
 
-    /// So long after the end of a grant the last proxy may act on it: until then it is said to be held, so that a chair
-    /// that gave none of it does not deal it to others.
+    /// Sets how long after the expiry of a grant the last proxy may still act on it. Until then the grant is reported as
+    /// held, so that a new leader that did not issue it does not grant the same capacity to others.
     pub fn lingers(mut self, lengths: &crate::Lengths) -> Held {
-        self.lingers = lengths.slack * (1.0 + lengths.drift);
+        self.linger_ms = lengths.slack * (1.0 + lengths.drift);
         self
     }
 
-    fn products_of(&self) -> Vec<Vec<ProductId>> {
+    fn products_by_claim(&self) -> Vec<Vec<ProductId>> {
         let mut products = vec![vec![]; self.plan.claims.len()];
         self.plan.owned().for_each(|(_, product, claim)| products[claim.0 as usize].push(product));
         products
@@ -165,146 +175,158 @@
     pub fn handle(&mut self, now: f64, heard: Heard) -> Vec<Out> {
         let mut out = Vec::new();
         match heard {
-            Heard::Came(came) => {
-                let mut now_came: BTreeMap<Claim, f64> = BTreeMap::new();
-                for (zone, product, per_s) in came {
+            Heard::Came(arrivals) => {
+                let mut current: BTreeMap<Claim, f64> = BTreeMap::new();
+                for (zone, product, per_s) in arrivals {
                     if let Some(claim) = self.plan.owner(zone, product).filter(|_| per_s > 0.0) {
-                        *now_came.entry(claim).or_insert(0.0) += per_s;
+                        *current.entry(claim).or_insert(0.0) += per_s;
                     }
                 }
-                self.usual.retain(|claim, _| now_came.contains_key(claim));
-                for (claim, came) in &now_came {
-                    let usual = self.usual.entry(*claim).or_insert(*came);
-                    // A burst is bounded at once; what swings by chance is not followed.
-                    let burst = (BURST * *usual).max(*usual + BY_CHANCE * usual.sqrt());
-                    *usual = if *came > burst { *came } else { *usual + FOLLOWS * (came - *usual) };
+                self.smoothed.retain(|claim, _| current.contains_key(claim));
+                for (claim, arrivals) in &current {
+                    let smoothed = self.smoothed.entry(*claim).or_insert(*arrivals);
+                    // A burst is limited at once; random fluctuation is smoothed.
+                    let burst =
+                        (BURST_RATIO * *smoothed).max(*smoothed + BURST_MIN_DEVIATIONS * smoothed.sqrt());
+                    *smoothed = if *arrivals > burst {
+                        *arrivals
+                    } else {
+                        *smoothed + SMOOTHING * (arrivals - *smoothed)
+                    };
                 }
-                self.came = now_came;
+                self.arrivals = current;
             }
             Heard::Capacity(capacity) => {
-                // A fall waits for no word's turn: until it is told, grants are dealt that nothing carries.
-                if fallen(&self.capacity, &capacity).next().is_some() {
-                    self.next = now;
+                // A drop is reported at once: until then the leader issues grants for capacity that no longer exists.
+                if capacity_drops(&self.capacity, &capacity).next().is_some() {
+                    self.next_report_at = now;
                 }
-                see(&mut self.capacity, capacity);
+                update_capacity(&mut self.capacity, capacity);
             }
             Heard::Chair { term } if term > self.term => {
                 self.term = term;
-                self.next = now;
+                self.next_report_at = now;
             }
             Heard::Chair { .. } | Heard::Tick => {}
             Heard::From(Said::Dealt { round, term, plan, grants, lasts }) => {
-                out.extend(self.dealt(now, (round, term, plan), &grants, lasts));
+                out.extend(self.apply_grants(now, (round, term, plan), &grants, lasts));
             }
             Heard::From(_) => {}
         }
-        let keeps = self.taken.as_ref().is_some_and(|taken| taken.until > now);
+        let in_force = self.applied.as_ref().is_some_and(|applied| applied.until > now);
         #[cfg(feature = "seeded-bugs")]
-        let keeps = keeps || self.bug == Some(crate::Bug::KeepsWhatIsOver);
-        if !keeps && self.taken.is_some() {
-            self.over = self.taken.take();
+        let in_force = in_force || self.bug == Some(crate::Bug::KeepsExpiredGrants);
+        if !in_force && self.applied.is_some() {
+            self.expired = self.applied.take();
         }
-        if now >= self.next && self.term > 0 {
-            self.next = now + EVERY;
-            out.push(Out::Say(Said::Seen(self.seen(now))));
+        if now >= self.next_report_at && self.term > 0 {
+            self.next_report_at = now + REPORT_INTERVAL_MS;
+            out.push(Out::Say(Said::Seen(self.report(now))));
         }
-        self.bound(&mut out);
+        self.emit_limits(&mut out);
         out
     }
 
-    /// When it next has something to say, or its grants are over.
+    /// When the next report is due or its grants expire.
     pub fn due(&self) -> f64 {
-        let next = if self.term > 0 { self.next } else { f64::INFINITY };
-        self.taken.as_ref().map_or(next, |taken| next.min(taken.until))
+        let next = if self.term > 0 { self.next_report_at } else { f64::INFINITY };
+        self.applied.as_ref().map_or(next, |applied| next.min(applied.until))
     }
 
-    /// When the grants that it has are over.
+    /// When its grants expire.
     pub fn due_of_grants(&self) -> Option<f64> {
-        self.taken.as_ref().map(|taken| taken.until)
+        self.applied.as_ref().map(|applied| applied.until)
     }
 
-    /// Whose the pair is in its plan.
+    /// The claim that owns the pair in its plan.
     pub fn owner(&self, zone: ZoneId, product: ProductId) -> Option<Claim> {
         self.plan.owner(zone, product)
     }
 
-    /// What it may let in of a claim now, txns a second.
+    /// Rate of a claim that it may admit now, in txns per second.
     pub fn may(&self, now: f64, claim: Claim) -> f64 {
-        let taken = self.taken.as_ref().filter(|taken| taken.until > now);
+        let applied = self.applied.as_ref().filter(|applied| applied.until > now);
         #[cfg(feature = "seeded-bugs")]
-        let taken = match self.bug {
-            Some(crate::Bug::KeepsWhatIsOver) => self.taken.as_ref(),
-            _ => taken,
+        let applied = match self.bug {
+            Some(crate::Bug::KeepsExpiredGrants) => self.applied.as_ref(),
+            _ => applied,
         };
-        let granted = taken.and_then(|taken| taken.rates.get(&claim)).copied().unwrap_or(0.0);
+        let granted = applied.and_then(|applied| applied.rates.get(&claim)).copied().unwrap_or(0.0);
         granted.max(self.plan.floor(claim))
     }
 
-    /// Whether a chair's grants are in force here; without, floors stand.
+    /// Whether grants are in force here; without them only the floors are admitted.
     pub fn granted(&self, now: f64) -> bool {
-        self.taken.as_ref().is_some_and(|taken| taken.until > now)
+        self.applied.as_ref().is_some_and(|applied| applied.until > now)
     }
 
-    fn dealt(&mut self, now: f64, word: (u64, u64, u64), grants: &[Grant], lasts: f64) -> Option<Out> {
-        let (round, term, plan) = word;
-        let &(_, said_at, said_in) = self.said.iter().find(|said| said.0 == round)?;
-        // It answers what was said to that chair, and to none before it.
-        let fits = term == said_in && term == self.term;
+    fn apply_grants(
+        &mut self,
+        now: f64,
+        answer: (u64, u64, u64),
+        grants: &[Grant],
+        lasts: f64,
+    ) -> Option<Out> {
+        let (round, term, plan) = answer;
+        let &(_, sent_at, sent_in_term) = self.reports.iter().find(|report| report.0 == round)?;
+        // The answer must come from the leader that the report was sent to, and that must be the current one.
+        let fits = term == sent_in_term && term == self.term;
         #[cfg(feature = "seeded-bugs")]
-        let fits = fits || self.bug == Some(crate::Bug::TakesUpOldTerms);
-        let newer = self.taken.as_ref().is_none_or(|taken| (term, round) > (taken.term, taken.round));
+        let fits = fits || self.bug == Some(crate::Bug::AcceptsOldTerms);
+        let newer = self.applied.as_ref().is_none_or(|applied| (term, round) > (applied.term, applied.round));
         #[cfg(feature = "seeded-bugs")]
-        let newer = newer || self.bug == Some(crate::Bug::TakesUpOldRounds);
-        let until = said_at + lasts;
-        if !fits || !newer || plan != self.no || until <= now {
+        let newer = newer || self.bug == Some(crate::Bug::AcceptsOldRounds);
+        let until = sent_at + lasts;
+        if !fits || !newer || plan != self.revision || until <= now {
             return None;
         }
         let claim = |grant: &Grant| Some((self.plan.claim(grant.tenant, grant.zone)?, grant.per_s));
-        self.over = None;
-        self.taken = Some(Taken { term, round, until, rates: grants.iter().filter_map(claim).collect() });
+        self.expired = None;
+        self.applied =
+            Some(AppliedGrants { term, round, until, rates: grants.iter().filter_map(claim).collect() });
         Some(Out::Say(Said::Taken { round, term }))
     }
 
-    fn seen(&mut self, now: f64) -> Seen {
+    fn report(&mut self, now: f64) -> Seen {
         self.round += 1;
-        // No grant of an earlier word than these can still run.
-        if self.said.len() >= 256 {
-            self.said.pop_front();
+        // Grants that answer older reports than these have expired.
+        if self.reports.len() >= 256 {
+            self.reports.pop_front();
         }
-        self.said.push_back((self.round, now, self.term));
+        self.reports.push_back((self.round, now, self.term));
         let grant = |(claim, per_s): (&Claim, &f64)| Grant {
             tenant: self.plan.tenant(*claim),
             zone: self.plan.zone(*claim),
             per_s: *per_s,
         };
-        let still = self.over.iter().filter(|over| now < over.until + self.lingers);
-        let held = self.taken.iter().chain(still).flat_map(|taken| {
-            let rest = (taken.until - now).max(0.0);
-            taken.rates.iter().map(move |of| (grant(of), rest))
+        let lingering = self.expired.iter().filter(|expired| now < expired.until + self.linger_ms);
+        let held = self.applied.iter().chain(lingering).flat_map(|applied| {
+            let rest = (applied.until - now).max(0.0);
+            applied.rates.iter().map(move |of| (grant(of), rest))
         });
         Seen {
             round: self.round,
             term: self.term,
-            plan: self.no,
-            lived: now - self.born,
-            demand: self.came.iter().map(grant).collect(),
+            plan: self.revision,
+            lived: now - self.started_at,
+            demand: self.arrivals.iter().map(grant).collect(),
             capacity: self.capacity.iter().map(|(zone, per_s)| (Zone::from(*zone), *per_s)).collect(),
             held: held.collect(),
         }
     }
 
-    /// The one place where bounds go out: what differs from what was told.
-    fn bound(&mut self, out: &mut Vec<Out>) {
-        for (claim, came) in &self.usual {
+    /// Emits the limits that differ from those emitted last.
+    fn emit_limits(&mut self, out: &mut Vec<Out>) {
+        for (claim, arrivals) in &self.smoothed {
             let granted =
-                self.taken.as_ref().and_then(|taken| taken.rates.get(claim)).copied().unwrap_or(0.0);
-            let share = granted.max(self.plan.floor(*claim)) / came.max(1e-9);
+                self.applied.as_ref().and_then(|applied| applied.rates.get(claim)).copied().unwrap_or(0.0);
+            let share = granted.max(self.plan.floor(*claim)) / arrivals.max(1e-9);
             let zone = ZoneId(self.plan.zone(*claim).0);
             for product in &self.products[claim.0 as usize] {
-                let told = self.told.get(&(zone, *product)).copied().unwrap_or(1.0);
-                let next = step(told, share);
-                if next != told {
-                    self.told.insert((zone, *product), next);
+                let emitted = self.emitted.get(&(zone, *product)).copied().unwrap_or(1.0);
+                let next = stepped_share(emitted, share);
+                if next != emitted {
+                    self.emitted.insert((zone, *product), next);
                     out.push(Out::Bound(Bound { zone, product: *product, share: next }));
                 }
             }
--- a/crates/shares/src/joint.rs
+++ b/crates/shares/src/joint.rs
@@ -1,193 +1,201 @@
-//! The steward's side while one plan gives way to another: what it lets in satisfies each plan that may hold, the
-//! lesser share of a product in a zone.
+//! The controller's side while one plan replaces another: it admits only what every plan that may be in force allows,
+//! that is, the smallest share of a request class (`product`) in a zone.
 //!
-//! Each plan is dealt by itself, by a chair and a ledger of its own, and words name theirs; so grants of one plan never
-//! add up to more than there is, whatever those of another do, and in any order of words. A plan that comes beside one
-//! that bounds already bounds from its first grants on, and until then this steward is not [`Joint::ready`]: the old
-//! plan alone stands there, and nobody may go on to the new one alone.
+//! Grants of each plan are issued separately, with a ledger per plan, and messages name their plan. So the grants of one
+//! plan never add up to more than the capacity, whatever happens with another plan and in any order of messages. A plan
+//! that is added while another one limits this controller starts to limit it with its first grants. Until then this
+//! controller is not [`Joint::ready`]: only the old plan applies here, and no controller may switch to the new plan alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use amberarch_core::{ProductId, ZoneId};
 
-use crate::held::{fallen, see, EVERY};
+use crate::held::{capacity_drops, update_capacity, REPORT_INTERVAL_MS};
 use crate::{Bound, Heard, Held, Lengths, Out, Plan, Said};
 
-/// A plan and its revision; none: of a revision that deals nothing.
+/// A plan and its policy revision; `None` for a revision without a plan.
 pub type Planned = Option<(u64, Arc<Plan>)>;
 
-/// So much later than the longest grant a chair that has not heard of all stewards deals for certain: two words of a
-/// steward, and a majority's round.
-const LATER: f64 = 5.0 * EVERY;
+/// A leader that has not heard from all controllers issues grants at the latest this long after the longest grant has
+/// expired, ms. It covers two reports of a controller and a confirmation by the majority.
+const GRANT_DELAY_MS: f64 = 5.0 * REPORT_INTERVAL_MS;
 
-/// The most plans that are known to have been dropped here.
-const DROPPED: usize = 64;
+/// Maximum number of dropped plans that are remembered.
+const MAX_DROPPED: usize = 64;
 
-struct Side {
-    no: Option<u64>,
+/// The state of one plan at this controller.
+struct PlanState {
+    revision: Option<u64>,
     held: Option<Held>,
     shares: BTreeMap<(ZoneId, ProductId), f64>,
-    /// It does not bound before its first grants, or this time; none: it bounds.
-    waits_until: Option<f64>,
+    /// The plan limits nothing until its first grants arrive or this time is reached. `None`: it limits now.
+    inactive_until: Option<f64>,
 }
 
+/// The grants that one controller holds under all plans that may be in force.
 pub struct Joint {
-    born: f64,
+    started_at: f64,
     lengths: Lengths,
     term: u64,
-    sides: Vec<Side>,
-    /// When grants of a plan were dropped here; proxies may still act on them.
+    plan_states: Vec<PlanState>,
+    /// When a plan was dropped here, by revision. Proxies may still act on its grants.
     dropped: BTreeMap<u64, f64>,
-    came: Vec<(ZoneId, ProductId, f64)>,
+    arrivals: Vec<(ZoneId, ProductId, f64)>,
     capacity: Vec<(ZoneId, f64)>,
-    /// The one list of what was told; a pair that is not in it is let in whole.
-    told: BTreeMap<(ZoneId, ProductId), f64>,
+    /// The shares that were emitted last. A pair that is not listed is admitted in full.
+    emitted: BTreeMap<(ZoneId, ProductId), f64>,
 }
 
-fn number(planned: &Planned) -> Option<u64> {
-    planned.as_ref().map(|(no, _)| *no)
+fn revision_of(planned: &Planned) -> Option<u64> {
+    planned.as_ref().map(|(revision, _)| *revision)
 }
 
 impl Joint {
-    /// From the start of the process on, with no plan.
+    /// Starts without a plan; `now` is the start of the process.
     pub fn new(now: f64, lengths: &Lengths) -> Joint {
         Joint {
-            born: now,
+            started_at: now,
             lengths: *lengths,
             term: 0,
-            sides: vec![],
+            plan_states: vec![],
             dropped: BTreeMap::new(),
-            came: vec![],
+            arrivals: vec![],
             capacity: vec![],
-            told: BTreeMap::new(),
+            emitted: BTreeMap::new(),
         }
     }
 
-    /// Each of these may hold from here on, the one that held before first; none at all: it can't be known what holds.
-    /// `run` draws a number that no run of any steward had.
+    /// Sets the plans that may be in force from now on, the previous one first. An empty list means that the plan in force
+    /// is not known. `run` draws a random number that no run of any controller has used.
     pub fn plans(&mut self, now: f64, plans: &[Planned], mut run: impl FnMut() -> u32) -> Vec<Out> {
-        let numbers: Vec<Option<u64>> = plans.iter().map(number).collect();
-        if numbers.iter().eq(self.sides.iter().map(|side| &side.no)) {
+        let revisions: Vec<Option<u64>> = plans.iter().map(revision_of).collect();
+        if revisions.iter().eq(self.plan_states.iter().map(|state| &state.revision)) {
             return vec![];
         }
-        let mut before = std::mem::take(&mut self.sides);
+        let mut before = std::mem::take(&mut self.plan_states);
         let mut out = Vec::new();
-        let stands = before.iter().any(|side| side.waits_until.is_none() && numbers.contains(&side.no));
+        let limited_before =
+            before.iter().any(|state| state.inactive_until.is_none() && revisions.contains(&state.revision));
         for planned in plans {
-            let known = before.iter().position(|side| side.no == number(planned));
+            let known = before.iter().position(|state| state.revision == revision_of(planned));
             if let Some(known) = known {
-                self.sides.push(before.remove(known));
+                self.plan_states.push(before.remove(known));
                 continue;
             }
-            let mut side =
-                Side { no: number(planned), held: None, shares: BTreeMap::new(), waits_until: None };
-            if let Some((no, plan)) = planned {
-                // A run of this process may have left grants of this plan with proxies, one before it too.
-                let since = self.dropped.get(no).copied().unwrap_or(self.born);
+            let mut state = PlanState {
+                revision: revision_of(planned),
+                held: None,
+                shares: BTreeMap::new(),
+                inactive_until: None,
+            };
+            if let Some((revision, plan)) = planned {
+                // Proxies may still act on grants of this plan from before it was dropped here, or from an earlier process.
+                let since = self.dropped.get(revision).copied().unwrap_or(self.started_at);
                 let mut held =
-                    Held::new(now, run(), *no, plan.clone()).clear_since(since).lingers(&self.lengths);
+                    Held::new(now, run(), *revision, plan.clone()).clear_since(since).lingers(&self.lengths);
                 let heard = [
-                    Heard::Came(self.came.clone()),
+                    Heard::Came(self.arrivals.clone()),
                     Heard::Capacity(self.capacity.clone()),
                     Heard::Chair { term: self.term },
                 ];
                 for heard in heard {
-                    side.carry(held.handle(now, heard), &mut out);
+                    state.store(held.handle(now, heard), &mut out);
                 }
-                side.held = Some(held);
-                side.waits_until = stands.then_some(now + self.lengths.longest() + LATER);
+                state.held = Some(held);
+                state.inactive_until =
+                    limited_before.then_some(now + self.lengths.longest() + GRANT_DELAY_MS);
             }
-            self.sides.push(side);
+            self.plan_states.push(state);
         }
-        for no in before.iter().filter_map(|side| side.no) {
-            self.dropped.insert(no, now);
+        for revision in before.iter().filter_map(|state| state.revision) {
+            self.dropped.insert(revision, now);
         }
-        while self.dropped.len() > DROPPED {
+        while self.dropped.len() > MAX_DROPPED {
             self.dropped.pop_first();
         }
-        // Where only those that waited are left nothing else bounds.
-        if self.sides.iter().all(|side| side.waits_until.is_some()) {
-            self.sides.iter_mut().for_each(|side| side.waits_until = None);
+        // If all remaining plans are inactive, nothing else limits this controller, so they become active.
+        if self.plan_states.iter().all(|state| state.inactive_until.is_some()) {
+            self.plan_states.iter_mut().for_each(|state| state.inactive_until = None);
         }
-        self.tell(None, &mut out);
+        self.emit_limits(None, &mut out);
         out
     }
 
-    /// `heard` is for all plans, but for grants, which are for the plan they name.
+    /// Passes the input to all plans, except grants, which go to the plan that they name.
     pub fn handle(&mut self, now: f64, heard: &Heard) -> Vec<Out> {
         match heard {
-            Heard::Came(came) => self.came.clone_from(came),
-            Heard::Capacity(capacity) => see(&mut self.capacity, capacity.clone()),
+            Heard::Came(arrivals) => self.arrivals.clone_from(arrivals),
+            Heard::Capacity(capacity) => update_capacity(&mut self.capacity, capacity.clone()),
             Heard::Chair { term } => self.term = self.term.max(*term),
             _ => {}
         }
         let (mut out, mut pairs, mut all) = (Vec::new(), BTreeSet::new(), false);
-        for side in &mut self.sides {
-            let Some(held) = &mut side.held else { continue };
-            let other = matches!(heard, Heard::From(Said::Dealt { plan, .. }) if Some(*plan) != side.no);
+        for state in &mut self.plan_states {
+            let Some(held) = &mut state.held else { continue };
+            let other =
+                matches!(heard, Heard::From(Said::Dealt { plan, .. }) if Some(*plan) != state.revision);
             let heard = if other { Heard::Tick } else { heard.clone() };
             let outs = held.handle(now, heard);
             let granted = held.granted(now);
-            pairs.extend(side.carry(outs, &mut out));
-            if side.waits_until.is_some_and(|until| granted || now >= until) {
-                side.waits_until = None;
+            pairs.extend(state.store(outs, &mut out));
+            if state.inactive_until.is_some_and(|until| granted || now >= until) {
+                state.inactive_until = None;
                 all = true;
             }
         }
-        self.tell((!all).then_some(pairs), &mut out);
+        self.emit_limits((!all).then_some(pairs), &mut out);
         out
     }
 
-    /// The zones of that sight that can do much less than when hosts were last seen.
+    /// The zones whose capacity is much lower than at the last update, with their new capacity.
     pub fn fallen(&self, capacity: &[(ZoneId, f64)]) -> Vec<(ZoneId, f64)> {
-        fallen(&self.capacity, capacity).collect()
+        capacity_drops(&self.capacity, capacity).collect()
     }
 
-    /// Whether all that this steward lets in satisfies each of the plans. Until then none but the old one may hold
-    /// anywhere.
+    /// Whether what this controller admits satisfies every plan. Until then only the old plan may be in force anywhere.
     pub fn ready(&self) -> bool {
-        self.sides.iter().all(|side| side.waits_until.is_none())
+        self.plan_states.iter().all(|state| state.inactive_until.is_none())
     }
 
-    /// What this steward may let in, txns a second, of the claims that own the pair; infinite where none does.
+    /// Rate that this controller may admit of the claims that own the pair, in txns per second; infinite if none does.
     pub fn may(&self, now: f64, zone: ZoneId, product: ProductId) -> f64 {
-        let bounds = self.sides.iter().filter(|side| side.waits_until.is_none());
+        let active = self.plan_states.iter().filter(|state| state.inactive_until.is_none());
         let of = |held: &Held| held.owner(zone, product).map_or(f64::INFINITY, |claim| held.may(now, claim));
-        bounds.filter_map(|side| side.held.as_ref()).map(of).fold(f64::INFINITY, f64::min)
+        active.filter_map(|state| state.held.as_ref()).map(of).fold(f64::INFINITY, f64::min)
     }
 
-    /// When it next has something to say, or something is over.
+    /// When the next report is due, or grants or a waiting time expire.
     pub fn due(&self) -> f64 {
-        let due = |side: &Side| {
-            let held = side.held.as_ref().map_or(f64::INFINITY, Held::due);
-            side.waits_until.map_or(held, |until| held.min(until))
+        let due = |state: &PlanState| {
+            let held = state.held.as_ref().map_or(f64::INFINITY, Held::due);
+            state.inactive_until.map_or(held, |until| held.min(until))
         };
-        self.sides.iter().map(due).fold(f64::INFINITY, f64::min)
+        self.plan_states.iter().map(due).fold(f64::INFINITY, f64::min)
     }
 
-    /// The one place where bounds go out: what differs from what was told, of those pairs or of all.
-    fn tell(&mut self, pairs: Option<BTreeSet<(ZoneId, ProductId)>>, out: &mut Vec<Out>) {
+    /// Emits the limits that differ from those emitted last, for the given pairs or for all.
+    fn emit_limits(&mut self, pairs: Option<BTreeSet<(ZoneId, ProductId)>>, out: &mut Vec<Out>) {
         let pairs = pairs.unwrap_or_else(|| {
-            let sides = self.sides.iter().flat_map(|side| side.shares.keys());
-            sides.chain(self.told.keys()).copied().collect()
+            let plan_states = self.plan_states.iter().flat_map(|state| state.shares.keys());
+            plan_states.chain(self.emitted.keys()).copied().collect()
         });
         for pair in pairs {
-            let bounds = self.sides.iter().filter(|side| side.waits_until.is_none());
-            let share = bounds.filter_map(|side| side.shares.get(&pair)).copied().fold(1.0, f64::min);
-            if self.told.insert(pair, share).unwrap_or(1.0) != share {
+            let active = self.plan_states.iter().filter(|state| state.inactive_until.is_none());
+            let share = active.filter_map(|state| state.shares.get(&pair)).copied().fold(1.0, f64::min);
+            if self.emitted.insert(pair, share).unwrap_or(1.0) != share {
                 out.push(Out::Bound(Bound { zone: pair.0, product: pair.1, share }));
             }
             if share >= 1.0 {
-                self.told.remove(&pair);
+                self.emitted.remove(&pair);
             }
         }
     }
 }
 
-impl Side {
-    /// Keeps the shares and hands on the words; the pairs that it has now others of come back.
-    fn carry(&mut self, outs: Vec<Out>, words: &mut Vec<Out>) -> Vec<(ZoneId, ProductId)> {
+impl PlanState {
+    /// Stores limits and passes on messages. Returns the pairs whose limit has changed.
+    fn store(&mut self, outs: Vec<Out>, messages: &mut Vec<Out>) -> Vec<(ZoneId, ProductId)> {
         let mut pairs = Vec::new();
         for out in outs {
             match out {
@@ -195,7 +203,7 @@
                     self.shares.insert((zone, product), share);
                     pairs.push((zone, product));
                 }
-                word => words.push(word),
+                message => messages.push(message),
             }
         }
         pairs
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -1,8 +1,9 @@
-//! Fair shares of a fleet's work. A tree of tenants goes in and is compiled into a plan; demand and capacity go in
-//! round by round, and what each steward may let in comes out, as grants with an end that never add up to more than
-//! what there is.
+//! Divides the capacity of a fleet fairly among tenants. A tree of tenants is compiled into a [`Plan`]. In each round the
+//! consensus leader takes demand and capacity and issues grants: the rates that each controller may admit, with an
+//! expiry. The grants in force never add up to more than the capacity.
 //!
-//! What it never does: end a txn that is under way, give what is not yet taken back, or read a clock.
+//! This crate never ends a txn in progress, never grants capacity that has not been released yet, and never reads a
+//! clock: the caller passes the time, in ms.
 
 mod asked;
 mod chair;
@@ -30,17 +31,17 @@
 pub use section::{AtLevel, Floor, Range, Section, Survive, TenantRule};
 pub use types::*;
 
-/// Defects on purpose, one for each rule that grants stand on.
+/// Deliberate defects for tests, one for each rule that keeps grants within the capacity.
 #[cfg(feature = "seeded-bugs")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bug {
-    GivesBeforeTakenBack,
-    ForgetsOldChairs,
-    CountsByTheHoldersClock,
+    GrantsBeforeRelease,
+    ForgetsOldLeaders,
+    UsesHolderClock,
     AnswersUnconfirmed,
-    BelievesAYoungRun,
-    TakesUpOldTerms,
-    TakesUpOldRounds,
-    KeepsWhatIsOver,
+    TrustsYoungRun,
+    AcceptsOldTerms,
+    AcceptsOldRounds,
+    KeepsExpiredGrants,
 }
-pub use unfit::{Kind, Place, Rule, Unfit};
+pub use unfit::{Kind, Rule, Span, Unfit};
--- a/crates/shares/src/plain.rs
+++ b/crates/shares/src/plain.rs
@@ -1,43 +1,44 @@
-//! The same deal without any thought for speed, to compare with: every level is found by halving, every set of full
-//! zones by halving what the root deals, all from the start each time.
+//! Slow reference implementation of the allocation in `fair`, for comparison: every level is found by bisection, and
+//! every saturated set of zones by bisecting the total, each time from the start.
 
 use crate::plan::Plan;
-use crate::pool::Pool;
+use crate::pool::CapacityFlow;
 
-const HALVES: usize = 50;
+const BISECTION_STEPS: usize = 50;
 
-fn halve(mut under: f64, mut over: f64, fits: impl Fn(f64) -> bool) -> f64 {
-    if fits(over) {
-        return over;
+fn bisect(mut low: f64, mut high: f64, fits: impl Fn(f64) -> bool) -> f64 {
+    if fits(high) {
+        return high;
     }
-    for _ in 0..HALVES {
-        let half = (under + over) / 2.0;
-        if fits(half) {
-            under = half;
+    for _ in 0..BISECTION_STEPS {
+        let mid = (low + high) / 2.0;
+        if fits(mid) {
+            low = mid;
         } else {
-            over = half;
+            high = mid;
         }
     }
-    under
+    low
 }
 
-fn sums(plan: &Plan, x: &[f64]) -> Vec<f64> {
-    let mut sums = vec![0.0; plan.classes.len()];
-    plan.claims.iter().zip(x).for_each(|(claim, x)| sums[claim.class as usize] += x);
+fn totals(plan: &Plan, rates: &[f64]) -> Vec<f64> {
+    let mut sums = vec![0.0; plan.zone_sets.len()];
+    plan.claims.iter().zip(rates).for_each(|(claim, rate)| sums[claim.zone_set as usize] += rate);
     sums
 }
 
-/// Up the tree: each node's own bound put on the sum of those under it.
-fn up(plan: &Plan, claims: &[f64], own: impl Fn(usize, f64) -> f64) -> Vec<f64> {
+/// Aggregates from the claims to the root: `own` applies each node's limit to the sum of its children.
+fn aggregate(plan: &Plan, claims: &[f64], own: impl Fn(usize, f64) -> f64) -> Vec<f64> {
     let mut of = vec![0.0; plan.first_claim()];
     of.extend_from_slice(claims);
     for node in (0..plan.first_claim()).rev() {
-        let (begin, end) = (plan.under[node].0 as usize, plan.under[node].1 as usize);
+        let (begin, end) = (plan.children[node].0 as usize, plan.children[node].1 as usize);
         of[node] = own(node, of[begin..end].iter().sum());
     }
     of
 }
 
+/// By node: the limits between which a total is divided among its children.
 struct Limits {
     least: Vec<f64>,
     floor: Vec<f64>,
@@ -45,56 +46,61 @@
     weight: Vec<f64>,
 }
 
-fn down(plan: &Plan, total: f64, of: &Limits) -> Vec<f64> {
-    let mut x = vec![0.0; plan.parent.len()];
-    x[0] = total;
+/// Divides `total` from the root down to the claims: proportionally up to the floors, by weight above them.
+fn divide(plan: &Plan, total: f64, of: &Limits) -> Vec<f64> {
+    let mut rates = vec![0.0; plan.parent.len()];
+    rates[0] = total;
     for node in 0..plan.first_claim() {
-        let under = plan.under[node].0 as usize..plan.under[node].1 as usize;
+        let under = plan.children[node].0 as usize..plan.children[node].1 as usize;
         let sum = |of: &[f64]| of[under.clone()].iter().sum::<f64>();
         let (least, floor) = (sum(&of.least), sum(&of.floor));
-        if x[node] <= floor {
-            let part = if floor > least { ((x[node] - least) / (floor - least)).max(0.0) } else { 1.0 };
-            under.for_each(|at| x[at] = of.least[at] + part * (of.floor[at] - of.least[at]));
+        if rates[node] <= floor {
+            let fraction =
+                if floor > least { ((rates[node] - least) / (floor - least)).max(0.0) } else { 1.0 };
+            under.for_each(|at| rates[at] = of.least[at] + fraction * (of.floor[at] - of.least[at]));
             continue;
         }
         let at = |level: f64, at: usize| (of.weight[at] * level).max(of.floor[at]).min(of.cap[at]);
-        let top = under.clone().map(|at| of.cap[at] / of.weight[at]).fold(0.0, f64::max);
-        let level =
-            halve(0.0, top, |level| under.clone().map(|child| at(level, child)).sum::<f64>() <= x[node]);
-        under.for_each(|child| x[child] = at(level, child));
+        let highest = under.clone().map(|at| of.cap[at] / of.weight[at]).fold(0.0, f64::max);
+        let level = bisect(0.0, highest, |level| {
+            under.clone().map(|child| at(level, child)).sum::<f64>() <= rates[node]
+        });
+        under.for_each(|child| rates[child] = at(level, child));
     }
-    x.split_off(plan.first_claim())
+    rates.split_off(plan.first_claim())
 }
 
-/// What is fair by claim, under full service.
-pub fn plainly(plan: &Plan, ask: &[f64], room: &[f64]) -> Vec<f64> {
-    let promised = plan.guarantees(None);
-    let terms = |claim: usize| &plan.terms[plan.parent[plan.first_claim() + claim] as usize];
+/// Fair rate of each claim under full service, in txns per second.
+pub fn plainly(plan: &Plan, demand: &[f64], capacity: &[f64]) -> Vec<f64> {
+    let guaranteed = plan.guarantees(None);
+    let settings = |claim: usize| &plan.settings[plan.parent[plan.first_claim() + claim] as usize];
     let each = |claim: usize| plan.claims[claim].guarantee;
-    let asked = |claim: usize| if terms(claim).lends { ask[claim] } else { ask[claim].max(each(claim)) };
-    let mut cap: Vec<f64> = (0..ask.len()).map(asked).collect();
+    let demanded =
+        |claim: usize| if settings(claim).lends { demand[claim] } else { demand[claim].max(each(claim)) };
+    let mut cap: Vec<f64> = (0..demand.len()).map(demanded).collect();
     let weight: Vec<f64> = cap.iter().map(|cap| cap.max(1e-12)).collect();
     let floor: Vec<f64> = cap.iter().enumerate().map(|(claim, cap)| cap.min(each(claim))).collect();
-    let fits = |x: &[f64]| Pool::new(&plan.classes, room).route_all(&sums(plan, x)).is_ok();
-    // Classes whose zones are full with this and a little more.
-    let full = |x: &[f64]| -> Vec<bool> {
-        let more = |class: usize| {
-            let mut sums = sums(plan, x);
-            sums[class] += 1e-6 * room.iter().sum::<f64>();
-            Pool::new(&plan.classes, room).route_all(&sums).is_err()
+    let fits =
+        |rates: &[f64]| CapacityFlow::new(&plan.zone_sets, capacity).route_all(&totals(plan, rates)).is_ok();
+    // Whether each zone set is saturated, that is, can't take a little more.
+    let full = |rates: &[f64]| -> Vec<bool> {
+        let more = |zone_set: usize| {
+            let mut sums = totals(plan, rates);
+            sums[zone_set] += 1e-6 * capacity.iter().sum::<f64>();
+            CapacityFlow::new(&plan.zone_sets, capacity).route_all(&sums).is_err()
         };
-        (0..plan.classes.len()).map(more).collect()
+        (0..plan.zone_sets.len()).map(more).collect()
     };
-    let mut stopped: Vec<Option<f64>> = vec![None; plan.classes.len()];
-    let part = |stopped: &[Option<f64>], common: f64| -> Vec<f64> {
-        let of = |claim: usize| stopped[plan.claims[claim].class as usize].unwrap_or(common);
-        (0..ask.len()).map(|claim| of(claim) * floor[claim]).collect()
+    let mut stopped: Vec<Option<f64>> = vec![None; plan.zone_sets.len()];
+    let scaled = |stopped: &[Option<f64>], common: f64| -> Vec<f64> {
+        let of = |claim: usize| stopped[plan.claims[claim].zone_set as usize].unwrap_or(common);
+        (0..demand.len()).map(|claim| of(claim) * floor[claim]).collect()
     };
     loop {
-        let common = halve(0.0, 1.0, |common| fits(&part(&stopped, common)));
+        let common = bisect(0.0, 1.0, |common| fits(&scaled(&stopped, common)));
         let before = stopped.iter().flatten().count();
         if common < 1.0 {
-            let full = full(&part(&stopped, common));
+            let full = full(&scaled(&stopped, common));
             let open = stopped.iter_mut().zip(full).filter(|(stopped, full)| *full && stopped.is_none());
             open.for_each(|(stopped, _)| *stopped = Some(common));
         }
@@ -102,30 +108,30 @@
             break;
         }
     }
-    let mut x = part(&stopped, 1.0);
+    let mut rates = scaled(&stopped, 1.0);
     let mut stopped: Vec<bool> = stopped.iter().map(Option::is_some).collect();
     loop {
-        let stop = |claim: usize| stopped[plan.claims[claim].class as usize];
-        (0..ask.len()).filter(|claim| stop(*claim)).for_each(|claim| cap[claim] = x[claim]);
+        let stop = |claim: usize| stopped[plan.claims[claim].zone_set as usize];
+        (0..demand.len()).filter(|claim| stop(*claim)).for_each(|claim| cap[claim] = rates[claim]);
         let most = |node: usize, sum: f64| {
-            let terms = &plan.terms[node];
-            sum.min(if terms.borrows { terms.ceiling } else { terms.ceiling.min(promised[node]) })
+            let settings = &plan.settings[node];
+            sum.min(if settings.borrows { settings.ceiling } else { settings.ceiling.min(guaranteed[node]) })
         };
-        let caps = up(plan, &cap, most);
-        let floors = up(plan, &x, |node, sum| sum.max(promised[node].min(caps[node])));
-        let mut weights: Vec<f64> = plan.terms.iter().map(|terms| terms.weight).collect();
+        let caps = aggregate(plan, &cap, most);
+        let floors = aggregate(plan, &rates, |node, sum| sum.max(guaranteed[node].min(caps[node])));
+        let mut weights: Vec<f64> = plan.settings.iter().map(|settings| settings.weight).collect();
         weights.extend_from_slice(&weight);
-        let least = up(plan, &x, |_, sum| sum);
+        let least = aggregate(plan, &rates, |_, sum| sum);
         let limits = Limits { least, floor: floors, cap: caps, weight: weights };
-        let total = halve(limits.least[0], limits.cap[0], |total| fits(&down(plan, total, &limits)));
-        x = down(plan, total, &limits);
+        let total = bisect(limits.least[0], limits.cap[0], |total| fits(&divide(plan, total, &limits)));
+        rates = divide(plan, total, &limits);
         let before = stopped.iter().filter(|stopped| **stopped).count();
         if total < limits.cap[0] {
-            let full = full(&x);
+            let full = full(&rates);
             stopped.iter_mut().zip(full).for_each(|(stopped, full)| *stopped |= full);
         }
         if total >= limits.cap[0] || stopped.iter().filter(|stopped| **stopped).count() == before {
-            return x;
+            return rates;
         }
     }
 }
--- a/crates/shares/src/plan.rs
+++ b/crates/shares/src/plan.rs
@@ -1,36 +1,38 @@
-//! A section compiled: who owns which txns, who is under whom, what each is promised, and the proof that it can be
-//! kept. Indices and bit sets alone; names stay with [`Names`].
+//! Compiles the `[shares]` section into a [`Plan`]: which tenant owns which txns, the tree of tenants, their guarantees,
+//! and the check that all guarantees can be kept. A plan has only indices and bit sets; tenant names are in [`Names`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::{ProductId, ZoneId, Zones};
 use toml::Spanned;
 
-use crate::pool::Pool;
-use crate::unfit::{Kind, Place, Rule, Unfit};
+use crate::pool::CapacityFlow;
+use crate::unfit::{Kind, Rule, Span, Unfit};
 use crate::{Holder, Section, Tenant, TenantRule, Zone};
 
-/// What the section is compiled against.
+/// The fleet that the section is compiled for.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Facts {
-    /// In the order of their places.
+    /// In the order of their indices.
     pub zones: Vec<ZoneFact>,
     pub products: Vec<String>,
-    /// Residency: the zones that may serve a product that comes to a zone; a pair that is not there: all.
+    /// Residency: the zones that may serve a request class (`product`) that arrives in a zone. For a pair without an
+    /// entry all zones may.
     pub permits: BTreeMap<(ProductId, ZoneId), Zones>,
     /// Levels of service, from full service down.
     pub levels: Vec<String>,
 }
 
+/// A zone, its number of proxies and its capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneFact {
     pub name: String,
     pub proxies: u32,
-    /// What its hosts can do when all are up and warm.
+    /// Rate that its hosts can serve when all are up and warm, in txns per second.
     pub capacity_per_s: f64,
 }
 
-/// Tenants' names by place, for the log.
+/// Tenant names by index, for log lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names(pub Vec<String>);
 
@@ -40,23 +42,23 @@
     }
 }
 
-/// What comes for a tenant in a zone: the least that a grant names. Its place among all.
+/// Index of a claim: the txns of one tenant that arrive in one zone. It is the smallest unit of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claim(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Claimed {
+pub(crate) struct ClaimEntry {
     pub tenant: Tenant,
     pub zone: Zone,
-    /// Its reach, by place among all that differ.
-    pub class: u32,
-    /// What it is promised under full service.
+    /// Index of the set of zones whose hosts may serve it.
+    pub zone_set: u32,
+    /// Guaranteed rate under full service, in txns per second.
     pub guarantee: f64,
 }
 
-/// What a tenant may have.
+/// Settings of a tenant. Rates are in txns per second.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Terms {
+pub(crate) struct TenantSettings {
     pub guarantee: f64,
     pub weight: f64,
     pub ceiling: f64,
@@ -64,40 +66,43 @@
     pub borrows: bool,
     pub gives_way: u32,
     pub back_within: f64,
-    /// The part of the guarantee that holds, by level; beyond the last: all of it.
-    pub parts: Vec<f64>,
-    at: Place,
+    /// The fraction of the guarantee that holds, by level. It is 1 for levels beyond the end.
+    pub level_fractions: Vec<f64>,
+    at: Span,
 }
 
+/// A compiled section. Its nodes are the root, the tenants and the claims, numbered in breadth-first order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// By node: the root, then tenants with those under one parent side by side, then claims likewise.
+    /// Parent by node: the root, then the tenants, then the claims. Children of one parent are adjacent.
     pub(crate) parent: Vec<u32>,
-    /// By node before the claims: where those under it begin and end.
-    pub(crate) under: Vec<(u32, u32)>,
-    /// By node of a tenant; the root has no terms.
-    pub(crate) terms: Vec<Terms>,
-    pub(crate) claims: Vec<Claimed>,
-    pub(crate) classes: Vec<Zones>,
-    /// By tenant.
+    /// By node before the claims: the begin and end of the range of its children.
+    pub(crate) children: Vec<(u32, u32)>,
+    /// By node of the root and the tenants; the root has neutral settings.
+    pub(crate) settings: Vec<TenantSettings>,
+    pub(crate) claims: Vec<ClaimEntry>,
+    pub(crate) zone_sets: Vec<Zones>,
+    /// Node by tenant.
     node: Vec<u32>,
     owner: BTreeMap<(ZoneId, ProductId), Claim>,
-    pub(crate) zones: usize,
-    pub(crate) floor_part: f64,
-    pub(crate) stewards: u16,
-    pub(crate) again_after: f64,
-    pub(crate) silent_for: f64,
+    pub(crate) zone_count: usize,
+    pub(crate) floor_fraction: f64,
+    pub(crate) controllers: u16,
+    pub(crate) min_reduction_interval: f64,
+    pub(crate) silent_after: f64,
 }
 
 impl Plan {
     pub fn tenants(&self) -> usize {
         self.node.len()
     }
+    /// All claims with their tenant and zone.
     pub fn claims(&self) -> impl Iterator<Item = (Claim, Tenant, Zone)> + '_ {
         self.claims.iter().enumerate().map(|(at, claim)| (Claim(at as u32), claim.tenant, claim.zone))
     }
+    /// The claim of that tenant in that zone, if it has one.
     pub fn claim(&self, tenant: Tenant, zone: Zone) -> Option<Claim> {
-        let (begin, end) = self.under[*self.node.get(tenant.0 as usize)? as usize];
+        let (begin, end) = self.children[*self.node.get(tenant.0 as usize)? as usize];
         let first = self.first_claim() as u32;
         if begin < first {
             return None;
@@ -107,10 +112,11 @@
         let at = mine.binary_search_by_key(&zone, |claim| claim.zone).ok()?;
         Some(Claim(begin + at as u32))
     }
-    /// Whose a txn is: by the zone whose proxies it came to, and its product.
+    /// The claim that a txn belongs to, by the zone whose proxies it arrived at and its request class (`product`).
     pub fn owner(&self, zone: ZoneId, product: ProductId) -> Option<Claim> {
         self.owner.get(&(zone, product)).copied()
     }
+    /// All pairs of zone and request class (`product`) that a claim owns.
     pub fn owned(&self) -> impl Iterator<Item = (ZoneId, ProductId, Claim)> + '_ {
         self.owner.iter().map(|((zone, product), claim)| (*zone, *product, *claim))
     }
@@ -120,39 +126,42 @@
     pub fn zone(&self, claim: Claim) -> Zone {
         self.claims[claim.0 as usize].zone
     }
-    /// The zones whose hosts may serve it.
+    /// The zones whose hosts may serve the claim.
     pub fn reach(&self, claim: Claim) -> Zones {
-        self.classes[self.claims[claim.0 as usize].class as usize]
+        self.zone_sets[self.claims[claim.0 as usize].zone_set as usize]
     }
-    /// What the claim is promised under full service, txns a second.
+    /// Guaranteed rate of the claim under full service, in txns per second.
     pub fn guarantee(&self, claim: Claim) -> f64 {
         self.claims[claim.0 as usize].guarantee
     }
-    /// The longest time in which the tenant's guarantee is to be back, ms; infinite where none is stated.
+    /// The longest time after which the tenant must have its guarantee back, ms; infinite if not configured.
     pub fn back_within(&self, tenant: Tenant) -> f64 {
-        self.terms[self.node[tenant.0 as usize] as usize].back_within
+        self.settings[self.node[tenant.0 as usize] as usize].back_within
     }
-    /// What one steward lets in of it without any grant.
+    /// Rate of the claim that one controller admits without a grant, in txns per second.
     pub fn floor(&self, claim: Claim) -> f64 {
-        self.floor_part * self.guarantee(claim) / f64::from(self.stewards)
+        self.floor_fraction * self.guarantee(claim) / f64::from(self.controllers)
     }
-    /// Whether the floors are dealt over enough stewards.
+    /// Whether the floors were divided among at least as many controllers as there are.
     pub fn holds_for(&self, holders: &BTreeSet<Holder>) -> bool {
-        holders.len() <= usize::from(self.stewards)
+        holders.len() <= usize::from(self.controllers)
     }
     pub(crate) fn first_claim(&self) -> usize {
-        self.under.len()
+        self.children.len()
     }
-    /// By tenant node: what is promised under that level.
+    /// By node: the guaranteed rate under that level of service; `None` is full service.
     pub(crate) fn guarantees(&self, level: Option<usize>) -> Vec<f64> {
-        let part = |terms: &Terms| level.and_then(|at| terms.parts.get(at)).copied().unwrap_or(1.0);
-        self.terms.iter().map(|terms| terms.guarantee * part(terms)).collect()
+        let fraction = |settings: &TenantSettings| {
+            level.and_then(|at| settings.level_fractions.get(at)).copied().unwrap_or(1.0)
+        };
+        self.settings.iter().map(|settings| settings.guarantee * fraction(settings)).collect()
     }
 
-    /// Whether guarantees are back in time: a silent steward's grant has to be waited out.
+    /// Checks that guarantees are restored in time: the grant of a silent controller must expire first, after `longest`
+    /// ms.
     ///
     /// # Errors
-    /// The first tenant that wants its guarantee back sooner than that, or a fleet with too many stewards.
+    /// The first tenant that requires its guarantee back sooner than that.
     pub fn fits(&self, section: &Section, longest: f64) -> Result<(), Unfit> {
         for (tenant, rule) in section.tenant.iter().enumerate() {
             let wanted = self.back_within(Tenant(tenant as u32));
@@ -165,14 +174,16 @@
     }
 }
 
-/// Wider fleets have more zones than a set of them tells apart; places of tenants and claims go over the wire.
+/// Tenant indices are sent on the wire, so their number is bounded.
 const MOST_TENANTS: usize = 1_000_000;
 
-/// Resolves names, finds circles and rules that never apply, and proves that what is promised can be kept.
+/// Compiles a section: resolves names, rejects cycles and rules without effect, and checks that all guarantees can be
+/// kept.
 ///
 /// # Errors
-/// The first fault, or the smallest set found of rules that can't all hold.
+/// The first error found; for guarantees that can't all be kept, the smallest conflicting set of rules found.
 pub fn compile(section: &Section, facts: &Facts) -> Result<Plan, Unfit> {
+    // A `Zones` bit set can't represent more zones.
     if facts.zones.len() > usize::from(Zones::MOST) {
         return Err(Unfit::TooMany { what: "zones", most: usize::from(Zones::MOST), at: 0..0 });
     }
@@ -180,12 +191,12 @@
         let at = section.tenant[MOST_TENANTS].name.span();
         return Err(Unfit::TooMany { what: "tenants", most: MOST_TENANTS, at });
     }
-    figures(section)?;
-    let parents = parents(section)?;
-    let mut plan = tree(section, &parents, facts)?;
-    own(section, facts, &mut plan)?;
-    promised_in_the_tree(section, &plan)?;
-    promised_in_the_zones(section, facts, &plan)?;
+    check_values(section)?;
+    let parents = resolve_parents(section)?;
+    let mut plan = build_tree(section, &parents, facts)?;
+    assign_owners(section, facts, &mut plan)?;
+    check_guarantees_in_tree(section, &plan)?;
+    check_guarantees_in_zones(section, facts, &plan)?;
     Ok(plan)
 }
 
@@ -193,8 +204,13 @@
     rule.name.get_ref().clone()
 }
 
-/// A figure that can't be.
-fn figure(what: &'static str, value: &Spanned<f64>, fits: bool, expected: &'static str) -> Result<(), Unfit> {
+/// Rejects a value that does not satisfy `fits` or is not finite.
+fn check_value(
+    what: &'static str,
+    value: &Spanned<f64>,
+    fits: bool,
+    expected: &'static str,
+) -> Result<(), Unfit> {
     match fits && value.get_ref().is_finite() {
         true => Ok(()),
         false => {
@@ -204,47 +220,48 @@
     }
 }
 
-fn figures(section: &Section) -> Result<(), Unfit> {
+fn check_values(section: &Section) -> Result<(), Unfit> {
     let floor = &section.floor;
     let part = *floor.part.get_ref();
-    figure("floor.part", &floor.part, (0.0..=1.0).contains(&part), "0 to 1")?;
+    check_value("floor.part", &floor.part, (0.0..=1.0).contains(&part), "0 to 1")?;
     if *floor.stewards.get_ref() == 0 {
-        let (what, found, expected) = ("floor.stewards", "0".into(), "as many as the fleet may have");
+        let (what, found, expected) =
+            ("floor.stewards", "0".into(), "the number of controllers that the fleet may have");
         return Err(Unfit::Figure { what, found, expected, at: floor.stewards.span() });
     }
     let again = &section.gives_way_again_after_ms;
-    figure("gives_way_again_after_ms", again, *again.get_ref() >= 0.0, "0 or more")?;
+    check_value("gives_way_again_after_ms", again, *again.get_ref() >= 0.0, "0 or more")?;
     let silent = &section.silent_for_ms;
-    figure("silent_for_ms", silent, *silent.get_ref() > 0.0, "more than 0")?;
+    check_value("silent_for_ms", silent, *silent.get_ref() > 0.0, "more than 0")?;
     for rule in &section.tenant {
         if let Some(value) = &rule.guarantee_per_s {
-            figure("guarantee_per_s", value, *value.get_ref() >= 0.0, "0 or more")?;
+            check_value("guarantee_per_s", value, *value.get_ref() >= 0.0, "0 or more")?;
         }
         if let Some(value) = &rule.weight {
-            figure("weight", value, *value.get_ref() > 0.0, "more than 0")?;
+            check_value("weight", value, *value.get_ref() > 0.0, "more than 0")?;
         }
         if let Some(value) = &rule.ceiling_per_s {
-            figure("ceiling_per_s", value, *value.get_ref() > 0.0, "more than 0")?;
+            check_value("ceiling_per_s", value, *value.get_ref() > 0.0, "more than 0")?;
         }
         if let Some(value) = &rule.back_within_ms {
-            figure("back_within_ms", value, *value.get_ref() > 0.0, "more than 0")?;
+            check_value("back_within_ms", value, *value.get_ref() > 0.0, "more than 0")?;
         }
         for at in &rule.at_level {
             let part = Spanned::new(at.span(), at.get_ref().part);
-            figure("part", &part, (0.0..1.0).contains(part.get_ref()), "0 to less than 1")?;
+            check_value("part", &part, (0.0..1.0).contains(part.get_ref()), "0 to less than 1")?;
         }
-        dead(rule)?;
+        check_effective(rule)?;
     }
     Ok(())
 }
 
-/// Rules that can be read and never come to anything.
-fn dead(rule: &TenantRule) -> Result<(), Unfit> {
-    let promised = rule.guarantee_per_s.as_ref().is_some_and(|value| *value.get_ref() > 0.0);
+/// Rejects rules that are valid by themselves but have no effect.
+fn check_effective(rule: &TenantRule) -> Result<(), Unfit> {
+    let has_guarantee = rule.guarantee_per_s.as_ref().is_some_and(|value| *value.get_ref() > 0.0);
     let is = |flag: &Option<Spanned<bool>>, what| {
         flag.as_ref().filter(|flag| *flag.get_ref() == what).map(Spanned::span)
     };
-    let never = "it never borrows";
+    let never = "the tenant never borrows";
     let found = [
         (
             rule.gives_way.as_ref().map(Spanned::span).filter(|_| is(&rule.borrows, false).is_some()),
@@ -256,28 +273,36 @@
             "weight",
             never,
         ),
-        (is(&rule.lends, false).filter(|_| !promised), "lends = false", "it has no guarantee to keep back"),
         (
-            is(&rule.borrows, false).filter(|_| !promised),
+            is(&rule.lends, false).filter(|_| !has_guarantee),
+            "lends = false",
+            "the tenant has no guarantee to withhold",
+        ),
+        (
+            is(&rule.borrows, false).filter(|_| !has_guarantee),
             "borrows = false",
-            "without a guarantee it would get nothing",
+            "without a guarantee the tenant would get nothing",
         ),
         (
-            rule.back_within_ms.as_ref().map(Spanned::span).filter(|_| !promised),
+            rule.back_within_ms.as_ref().map(Spanned::span).filter(|_| !has_guarantee),
             "back_within_ms",
-            "it has no guarantee",
+            "the tenant has no guarantee",
+        ),
+        (
+            rule.at_level.first().map(Spanned::span).filter(|_| !has_guarantee),
+            "at_level",
+            "the tenant has no guarantee",
         ),
-        (rule.at_level.first().map(Spanned::span).filter(|_| !promised), "at_level", "it has no guarantee"),
         (
             Some(rule.name.span()).filter(|_| rule.products.as_ref().is_some_and(Vec::is_empty)),
             "products = []",
-            "no txn is its",
+            "no txn belongs to the tenant",
         ),
         (
             Some(rule.name.span())
                 .filter(|_| rule.zones.as_ref().is_some_and(Vec::is_empty) && rule.proxies.is_empty()),
             "zones = []",
-            "no txn is its",
+            "no txn belongs to the tenant",
         ),
     ];
     match found.into_iter().find_map(|(at, rule, why)| Some((at?, rule, why))) {
@@ -286,8 +311,8 @@
     }
 }
 
-/// What is most like it, where something is.
-fn near<'a>(name: &str, all: impl Iterator<Item = &'a str>) -> Option<String> {
+/// The most similar known name, if at least half of its characters are equal by position.
+fn most_similar<'a>(name: &str, all: impl Iterator<Item = &'a str>) -> Option<String> {
     let alike = |other: &str| {
         let (a, b) = (name.to_lowercase(), other.to_lowercase());
         a.chars().zip(b.chars()).filter(|(a, b)| a == b).count() * 2
@@ -296,17 +321,17 @@
     all.filter(|other| alike(other) >= 1).max_by_key(|other| alike(other)).map(String::from)
 }
 
-fn resolve(kind: Kind, wanted: &str, at: Place, known: &BTreeMap<&str, usize>) -> Result<usize, Unfit> {
+fn resolve(kind: Kind, wanted: &str, at: Span, known: &BTreeMap<&str, usize>) -> Result<usize, Unfit> {
     known.get(wanted).copied().ok_or_else(|| {
-        let near = near(wanted, known.keys().copied());
-        Unfit::Unknown { kind, name: wanted.into(), near, at }
+        let similar = most_similar(wanted, known.keys().copied());
+        Unfit::Unknown { kind, name: wanted.into(), similar, at }
     })
 }
 
-fn parents(section: &Section) -> Result<Vec<Option<usize>>, Unfit> {
-    let mut places: BTreeMap<&str, usize> = BTreeMap::new();
+fn resolve_parents(section: &Section) -> Result<Vec<Option<usize>>, Unfit> {
+    let mut index_by_name: BTreeMap<&str, usize> = BTreeMap::new();
     for (at, rule) in section.tenant.iter().enumerate() {
-        if let Some(first) = places.insert(rule.name.get_ref(), at) {
+        if let Some(first) = index_by_name.insert(rule.name.get_ref(), at) {
             let first = section.tenant[first].name.span();
             return Err(Unfit::Twice { name: name(rule), at: rule.name.span(), first });
         }
@@ -316,10 +341,10 @@
         let found = rule
             .parent
             .as_ref()
-            .map(|parent| resolve(Kind::Tenant, parent.get_ref(), parent.span(), &places));
+            .map(|parent| resolve(Kind::Tenant, parent.get_ref(), parent.span(), &index_by_name));
         parents.push(found.transpose()?);
     }
-    // Each is walked up once: 0 not yet, 1 on this walk, 2 leads to the top.
+    // Each tenant is visited once. State 0: not visited, 1: on the current path, 2: known to lead to a root tenant.
     let mut state = vec![0u8; parents.len()];
     for start in 0..parents.len() {
         let (mut walk, mut here) = (Vec::new(), Some(start));
@@ -329,24 +354,24 @@
             here = parents[at];
         }
         if let Some(begin) = here.filter(|at| state[*at] == 1) {
-            let circle = walk.iter().skip_while(|at| **at != begin);
-            let circle: Vec<&TenantRule> = circle.map(|at| &section.tenant[*at]).collect();
-            let at = circle.iter().filter_map(|rule| rule.parent.as_ref()).map(Spanned::span).collect();
-            return Err(Unfit::Circle { names: circle.into_iter().map(name).collect(), at });
+            let cycle = walk.iter().skip_while(|at| **at != begin);
+            let cycle: Vec<&TenantRule> = cycle.map(|at| &section.tenant[*at]).collect();
+            let at = cycle.iter().filter_map(|rule| rule.parent.as_ref()).map(Spanned::span).collect();
+            return Err(Unfit::Circle { names: cycle.into_iter().map(name).collect(), at });
         }
         walk.into_iter().for_each(|at| state[at] = 2);
     }
     Ok(parents)
 }
 
-fn tree(section: &Section, parents: &[Option<usize>], facts: &Facts) -> Result<Plan, Unfit> {
+fn build_tree(section: &Section, parents: &[Option<usize>], facts: &Facts) -> Result<Plan, Unfit> {
     let levels: BTreeMap<&str, usize> =
         facts.levels.iter().enumerate().map(|(at, level)| (level.as_str(), at)).collect();
-    let mut kids: Vec<Vec<usize>> = vec![vec![]; parents.len() + 1];
+    let mut child_tenants: Vec<Vec<usize>> = vec![vec![]; parents.len() + 1];
     for (tenant, parent) in parents.iter().enumerate() {
-        kids[parent.map_or(0, |parent| parent + 1)].push(tenant);
+        child_tenants[parent.map_or(0, |parent| parent + 1)].push(tenant);
     }
-    let rooted = Terms {
+    let root_settings = TenantSettings {
         guarantee: 0.0,
         weight: 1.0,
         ceiling: f64::INFINITY,
@@ -354,26 +379,28 @@
         borrows: true,
         gives_way: 0,
         back_within: f64::INFINITY,
-        parts: vec![],
+        level_fractions: vec![],
         at: 0..0,
     };
-    let (mut parent, mut under, mut terms) = (vec![0], vec![], vec![rooted]);
+    let (mut parent, mut children, mut settings) = (vec![0], vec![], vec![root_settings]);
     let mut node = vec![0; parents.len()];
-    // Nodes in the order of a walk by breadth; each names its tenant, the root none.
+    // Tenants in breadth-first order, by node; the root has none.
     let (mut order, mut at) = (vec![None], 0);
     while at < order.len() {
-        let tenants = &kids[order[at].map_or(0, |tenant: usize| tenant + 1)];
-        under.push((order.len() as u32, (order.len() + tenants.len()) as u32));
+        let tenants = &child_tenants[order[at].map_or(0, |tenant: usize| tenant + 1)];
+        children.push((order.len() as u32, (order.len() + tenants.len()) as u32));
         for &tenant in tenants {
             node[tenant] = order.len() as u32;
             parent.push(at as u32);
             order.push(Some(tenant));
-            terms.push(terms_of(&section.tenant[tenant], &levels)?);
+            settings.push(settings_of(&section.tenant[tenant], &levels)?);
         }
         at += 1;
     }
-    for (tenant, rule) in section.tenant.iter().enumerate().filter(|(at, _)| !kids[at + 1].is_empty()) {
-        let of = |what: &'static str, at: Option<Place>| at.map(|at| (what, at));
+    for (tenant, rule) in
+        section.tenant.iter().enumerate().filter(|(at, _)| !child_tenants[at + 1].is_empty())
+    {
+        let of = |what: &'static str, at: Option<Span>| at.map(|at| (what, at));
         let first = |names: &Option<Vec<Spanned<String>>>| {
             names.as_ref().map(|names| names.first().map_or(rule.name.span(), Spanned::span))
         };
@@ -386,41 +413,41 @@
     }
     Ok(Plan {
         parent,
-        under,
-        terms,
+        children,
+        settings,
         claims: vec![],
-        classes: vec![],
+        zone_sets: vec![],
         node,
         owner: BTreeMap::new(),
-        zones: facts.zones.len(),
-        floor_part: *section.floor.part.get_ref(),
-        stewards: *section.floor.stewards.get_ref(),
-        again_after: *section.gives_way_again_after_ms.get_ref(),
-        silent_for: *section.silent_for_ms.get_ref(),
+        zone_count: facts.zones.len(),
+        floor_fraction: *section.floor.part.get_ref(),
+        controllers: *section.floor.stewards.get_ref(),
+        min_reduction_interval: *section.gives_way_again_after_ms.get_ref(),
+        silent_after: *section.silent_for_ms.get_ref(),
     })
 }
 
-fn terms_of(rule: &TenantRule, levels: &BTreeMap<&str, usize>) -> Result<Terms, Unfit> {
+fn settings_of(rule: &TenantRule, levels: &BTreeMap<&str, usize>) -> Result<TenantSettings, Unfit> {
     fn value<T: Copy>(of: &Option<Spanned<T>>, else_: T) -> T {
         of.as_ref().map_or(else_, |value| *value.get_ref())
     }
-    let mut parts = Vec::new();
-    let mut told = BTreeSet::new();
+    let mut level_fractions = Vec::new();
+    let mut named = BTreeSet::new();
     for at in &rule.at_level {
         let level = resolve(Kind::Level, &at.get_ref().level, at.span(), levels)?;
-        if !told.insert(level) {
+        if !named.insert(level) {
             let (rule, tenant) = ("at_level", name(rule));
             return Err(Unfit::Dead {
                 tenant,
                 rule,
-                why: "an earlier one names the same level",
+                why: "an earlier entry names the same level",
                 at: at.span(),
             });
         }
-        parts.resize(parts.len().max(level + 1), 1.0);
-        parts[level] = at.get_ref().part;
+        level_fractions.resize(level_fractions.len().max(level + 1), 1.0);
+        level_fractions[level] = at.get_ref().part;
     }
-    Ok(Terms {
+    Ok(TenantSettings {
         guarantee: value(&rule.guarantee_per_s, 0.0),
         weight: value(&rule.weight, 1.0),
         ceiling: value(&rule.ceiling_per_s, f64::INFINITY),
@@ -428,39 +455,41 @@
         borrows: value(&rule.borrows, true),
         gives_way: value(&rule.gives_way, 0),
         back_within: value(&rule.back_within_ms, f64::INFINITY),
-        parts,
+        level_fractions,
         at: rule.guarantee_per_s.as_ref().map_or(rule.name.span(), Spanned::span),
     })
 }
 
-/// The zones a tenant's txns come through, and whether all of the zone's proxies are its.
-fn comes_through(
+/// The zones whose proxies receive the tenant's txns, and whether the tenant has all proxies of that zone.
+fn receiving_zones(
     rule: &TenantRule,
     facts: &Facts,
     zones: &BTreeMap<&str, usize>,
 ) -> Result<BTreeMap<usize, bool>, Unfit> {
-    let mut through = BTreeMap::new();
+    let mut receiving = BTreeMap::new();
     match &rule.zones {
         Some(named) => {
             for zone in named {
-                through.insert(resolve(Kind::Zone, zone.get_ref(), zone.span(), zones)?, true);
+                receiving.insert(resolve(Kind::Zone, zone.get_ref(), zone.span(), zones)?, true);
             }
         }
-        None if rule.proxies.is_empty() => through.extend((0..facts.zones.len()).map(|zone| (zone, true))),
+        None if rule.proxies.is_empty() => receiving.extend((0..facts.zones.len()).map(|zone| (zone, true))),
         None => {}
     }
     let mut ranges: BTreeMap<usize, Vec<(u32, u32)>> = BTreeMap::new();
     for range in &rule.proxies {
         let crate::Range { zone, from, to } = range.get_ref();
         let at = resolve(Kind::Zone, zone, range.span(), zones)?;
-        let there = facts.zones[at].proxies;
-        if from > to || *to >= there {
-            let (found, expected) =
-                (format!("{from} to {to} of {there}"), "from up to to, below the zone's number");
+        let proxies = facts.zones[at].proxies;
+        if from > to || *to >= proxies {
+            let (found, expected) = (
+                format!("{from} to {to} of {proxies}"),
+                "from <= to, and both below the zone's number of proxies",
+            );
             return Err(Unfit::Figure { what: "proxies", found, expected, at: range.span() });
         }
-        if through.get(&at) == Some(&true) {
-            let (tenant, why) = (name(rule), "all of that zone is its already");
+        if receiving.get(&at) == Some(&true) {
+            let (tenant, why) = (name(rule), "the tenant already has all of that zone");
             return Err(Unfit::Dead { tenant, rule: "proxies", why, at: range.span() });
         }
         ranges.entry(at).or_default().push((*from, *to));
@@ -469,13 +498,14 @@
         ranges.sort_unstable();
         let reached =
             ranges.iter().fold(0, |next, (from, to)| if *from <= next { next.max(to + 1) } else { next });
-        through.insert(zone, reached >= facts.zones[zone].proxies);
+        receiving.insert(zone, reached >= facts.zones[zone].proxies);
     }
-    Ok(through)
+    Ok(receiving)
 }
 
-/// Who owns which pair of product and zone, and what may serve it. Levels bind such pairs, so none has two owners.
-fn own(section: &Section, facts: &Facts, plan: &mut Plan) -> Result<(), Unfit> {
+/// Assigns each pair of zone and request class (`product`) to a claim, with the zones that may serve it. Service levels
+/// limit such pairs, so no pair may have two owners.
+fn assign_owners(section: &Section, facts: &Facts, plan: &mut Plan) -> Result<(), Unfit> {
     let zones: BTreeMap<&str, usize> =
         facts.zones.iter().enumerate().map(|(at, zone)| (zone.name.as_str(), at)).collect();
     let products: BTreeMap<&str, usize> =
@@ -483,9 +513,9 @@
     let everywhere: Zones = (0..facts.zones.len() as u16).map(ZoneId).collect();
     let tenants: BTreeMap<u32, usize> = plan.node.iter().enumerate().map(|(at, node)| (*node, at)).collect();
     let mut owned: BTreeMap<(ZoneId, ProductId), (usize, bool)> = BTreeMap::new();
-    let mut classes: BTreeMap<Zones, u32> = BTreeMap::new();
-    for node in 1..plan.under.len() {
-        if plan.under[node].0 != plan.under[node].1 {
+    let mut zone_sets: BTreeMap<Zones, u32> = BTreeMap::new();
+    for node in 1..plan.children.len() {
+        if plan.children[node].0 != plan.children[node].1 {
             continue;
         }
         let tenant = tenants[&(node as u32)];
@@ -500,14 +530,14 @@
             None => mine.extend(0..facts.products.len()),
         }
         let begin = plan.parent.len() as u32;
-        for (zone, whole) in comes_through(rule, facts, &zones)? {
+        for (zone, whole) in receiving_zones(rule, facts, &zones)? {
             let home = ZoneId(zone as u16);
             let claim = Claim(plan.claims.len() as u32);
             let (mut reach, mut served) = (everywhere, false);
             for product in mine.iter().map(|product| ProductId(*product as u16)) {
                 if let Some((other, other_whole)) = owned.insert((home, product), (tenant, whole)) {
                     let product = facts.products[usize::from(product.0)].clone();
-                    return Err(shared(
+                    return Err(shared_pair_error(
                         section,
                         (tenant, whole),
                         (other, other_whole),
@@ -517,7 +547,7 @@
                 }
                 let permitted =
                     facts.permits.get(&(product, home)).map_or(everywhere, |permit| permit.and(everywhere));
-                // What residency declines needs no room.
+                // Txns that residency rejects need no capacity.
                 if !permitted.is_empty() {
                     plan.owner.insert((home, product), claim);
                     reach = reach.and(permitted);
@@ -529,119 +559,126 @@
                 return Err(Unfit::NoZone { tenant: name(rule), zone, at: rule.name.span() });
             }
             if served {
-                let next = classes.len() as u32;
-                let class = *classes.entry(reach).or_insert(next);
+                let next = zone_sets.len() as u32;
+                let zone_set = *zone_sets.entry(reach).or_insert(next);
                 let (tenant, zone) = (Tenant(tenant as u32), Zone(zone as u16));
-                plan.claims.push(Claimed { tenant, zone, class, guarantee: 0.0 });
+                plan.claims.push(ClaimEntry { tenant, zone, zone_set, guarantee: 0.0 });
                 plan.parent.push(node as u32);
             }
         }
         let end = plan.parent.len() as u32;
-        plan.under[node] = (begin, end);
-        let promised = plan.terms[node].guarantee;
-        if begin == end && promised > 0.0 {
+        plan.children[node] = (begin, end);
+        let guaranteed = plan.settings[node].guarantee;
+        if begin == end && guaranteed > 0.0 {
             let zone = "any".into();
             return Err(Unfit::NoZone { tenant: name(rule), zone, at: rule.name.span() });
         }
-        let first = plan.under.len();
+        let first = plan.children.len();
         for claim in begin as usize..end as usize {
-            plan.claims[claim - first].guarantee = promised / f64::from(end - begin);
+            plan.claims[claim - first].guarantee = guaranteed / f64::from(end - begin);
         }
     }
-    let mut in_order: Vec<(u32, Zones)> = classes.into_iter().map(|(zones, at)| (at, zones)).collect();
+    let mut in_order: Vec<(u32, Zones)> = zone_sets.into_iter().map(|(zones, at)| (at, zones)).collect();
     in_order.sort_unstable();
-    plan.classes = in_order.into_iter().map(|(_, zones)| zones).collect();
+    plan.zone_sets = in_order.into_iter().map(|(_, zones)| zones).collect();
     Ok(())
 }
 
-fn shared(section: &Section, new: (usize, bool), old: (usize, bool), product: String, zone: &str) -> Unfit {
-    // The one that has only a part is the one to mend.
-    let (part, other) = if new.1 { (old, new) } else { (new, old) };
-    let (rule, beside) = (&section.tenant[part.0], &section.tenant[other.0]);
+fn shared_pair_error(
+    section: &Section,
+    new: (usize, bool),
+    old: (usize, bool),
+    product: String,
+    zone: &str,
+) -> Unfit {
+    // If one of them has only some of the zone's proxies, the error is about that one.
+    let (partial, other) = if new.1 { (old, new) } else { (new, old) };
+    let (rule, other_rule) = (&section.tenant[partial.0], &section.tenant[other.0]);
     let zone = zone.to_string();
-    if part.1 {
+    if partial.1 {
         let (first, second) = (&section.tenant[old.0], &section.tenant[new.0]);
         let at = vec![first.name.span(), second.name.span()];
         return Unfit::Shared { first: name(first), second: name(second), product, zone, at };
     }
     let range = rule.proxies.iter().find(|range| range.get_ref().zone == zone);
-    let at = vec![range.map_or(rule.name.span(), Spanned::span), beside.name.span()];
-    Unfit::PartOfZone { tenant: name(rule), other: name(beside), product, zone, at }
+    let at = vec![range.map_or(rule.name.span(), Spanned::span), other_rule.name.span()];
+    Unfit::PartOfZone { tenant: name(rule), other: name(other_rule), product, zone, at }
 }
 
-fn says(section: &Section, tenant: usize, per_s: f64) -> String {
+fn guarantee_text(section: &Section, tenant: usize, per_s: f64) -> String {
     format!("{} is guaranteed {per_s}/s", section.tenant[tenant].name.get_ref())
 }
 
-/// No parent promises or allows less than is promised to those under it.
-fn promised_in_the_tree(section: &Section, plan: &Plan) -> Result<(), Unfit> {
+/// Checks that no parent has a guarantee or a ceiling below the sum of its children's guarantees.
+fn check_guarantees_in_tree(section: &Section, plan: &Plan) -> Result<(), Unfit> {
     let tenants: BTreeMap<u32, usize> = plan.node.iter().enumerate().map(|(at, node)| (*node, at)).collect();
-    // By node: what is promised to it and under it, and by whose rules: its own where it has one.
-    let mut promised: Vec<Vec<(f64, usize)>> = vec![vec![]; plan.under.len()];
-    for node in (1..plan.under.len()).rev() {
-        let (tenant, terms) = (tenants[&(node as u32)], &plan.terms[node]);
+    // By node: the guarantees of its children with their tenants. A child without a guarantee of its own passes on those
+    // of its children.
+    let mut guaranteed: Vec<Vec<(f64, usize)>> = vec![vec![]; plan.children.len()];
+    for node in (1..plan.children.len()).rev() {
+        let (tenant, settings) = (tenants[&(node as u32)], &plan.settings[node]);
         let rule = &section.tenant[tenant];
-        let mut below = std::mem::take(&mut promised[node]);
+        let mut below = std::mem::take(&mut guaranteed[node]);
         below.sort_by(|a, b| b.0.total_cmp(&a.0));
         let sum: f64 = below.iter().map(|(per_s, _)| per_s).sum();
-        let own = rule.guarantee_per_s.as_ref().filter(|_| !below.is_empty() || terms.guarantee > 0.0);
+        let own = rule.guarantee_per_s.as_ref().filter(|_| !below.is_empty() || settings.guarantee > 0.0);
         let limits = [
             own.filter(|_| !below.is_empty()).map(|own| (own.span(), *own.get_ref(), "is guaranteed")),
-            rule.ceiling_per_s
-                .as_ref()
-                .map(|ceiling| (ceiling.span(), *ceiling.get_ref(), "never has more than")),
+            rule.ceiling_per_s.as_ref().map(|ceiling| (ceiling.span(), *ceiling.get_ref(), "is limited to")),
         ];
-        let asked: Vec<(f64, usize)> = match own {
+        let own_or_below: Vec<(f64, usize)> = match own {
             Some(own) => vec![(*own.get_ref(), tenant)],
             None => below.clone(),
         };
         for (which, limit) in limits.into_iter().enumerate() {
-            let Some((at, there, word)) = limit else { continue };
-            // Its own guarantee stands against its ceiling; what is under it against both.
-            let mut against = if which == 1 && asked.iter().map(|(per_s, _)| per_s).sum::<f64>() > there {
-                &asked
-            } else {
-                &below
-            };
-            if against.is_empty() {
-                against = &asked;
+            let Some((at, available, verb)) = limit else { continue };
+            // The tenant's own guarantee is checked against its ceiling, its children's guarantees against both.
+            let mut checked =
+                if which == 1 && own_or_below.iter().map(|(per_s, _)| per_s).sum::<f64>() > available {
+                    &own_or_below
+                } else {
+                    &below
+                };
+            if checked.is_empty() {
+                checked = &own_or_below;
             }
-            let sum = against.iter().map(|(per_s, _)| per_s).sum::<f64>();
-            if sum <= there * (1.0 + 1e-9) {
+            let sum = checked.iter().map(|(per_s, _)| per_s).sum::<f64>();
+            if sum <= available * (1.0 + 1e-9) {
                 continue;
             }
-            let (mut asked, mut rules) =
-                (0.0, vec![Rule { at, says: format!("{} {word} {there}/s", name(rule)) }]);
-            for (per_s, tenant) in against {
-                if asked > there * (1.0 + 1e-9) {
+            let (mut promised, mut rules) =
+                (0.0, vec![Rule { at, text: format!("{} {verb} {available}/s", name(rule)) }]);
+            for (per_s, tenant) in checked {
+                if promised > available * (1.0 + 1e-9) {
                     break;
                 }
-                asked += per_s;
-                let at = plan.terms[plan.node[*tenant] as usize].at.clone();
-                rules.push(Rule { at, says: says(section, *tenant, *per_s) });
+                promised += per_s;
+                let at = plan.settings[plan.node[*tenant] as usize].at.clone();
+                rules.push(Rule { at, text: guarantee_text(section, *tenant, *per_s) });
             }
-            return Err(Unfit::Contradict { rules, asked, there, lost: vec![] });
+            return Err(Unfit::Contradict { rules, promised, available, lost: vec![] });
         }
         let up = plan.parent[node] as usize;
         let own = own.map(|own| (own.get_ref().max(sum), tenant)).filter(|own| own.0 > 0.0);
         match own {
-            Some(own) => promised[up].push(own),
-            None => promised[up].extend(below),
+            Some(own) => guaranteed[up].push(own),
+            None => guaranteed[up].extend(below),
         }
     }
     Ok(())
 }
 
-/// What a rule promises, by class of reach.
-struct Promise {
+/// The guarantee of one tenant, and the rates that it needs by zone set.
+struct TenantGuarantee {
     tenant: usize,
     total: f64,
-    parts: Vec<(usize, f64)>,
+    rates: Vec<(usize, f64)>,
 }
 
-/// Guarantees fit into the zones that residency permits, with each set of as many zones lost as is to be survived.
-fn promised_in_the_zones(section: &Section, facts: &Facts, plan: &Plan) -> Result<(), Unfit> {
-    let (mut classes, promises) = promises(plan);
+/// Checks that all guarantees fit into the zones that residency permits, after the loss of every combination of as many
+/// zones as must be survived.
+fn check_guarantees_in_zones(section: &Section, facts: &Facts, plan: &Plan) -> Result<(), Unfit> {
+    let (mut zone_sets, guarantees) = guarantees(plan);
     let full: Vec<f64> = facts.zones.iter().map(|zone| zone.capacity_per_s.max(0.0)).collect();
     let survive = section.survive.as_ref().map_or(0, |survive| survive.get_ref().zones);
     if survive > 0 && survive >= full.len() {
@@ -649,46 +686,47 @@
         return Err(Unfit::Figure {
             what: "survive.zones",
             found,
-            expected: "fewer than there are zones",
+            expected: "fewer than the number of zones",
             at,
         });
     }
-    let everything: Vec<usize> = (0..promises.len()).collect();
+    let all: Vec<usize> = (0..guarantees.len()).collect();
     let sums = |of: &[usize]| {
-        let mut sums = vec![0.0; classes.len()];
-        let parts = of.iter().flat_map(|promise| &promises[*promise].parts);
-        parts.for_each(|(class, per_s)| sums[*class] += per_s);
+        let mut sums = vec![0.0; zone_sets.len()];
+        let rates = of.iter().flat_map(|guarantee| &guarantees[*guarantee].rates);
+        rates.for_each(|(zone_set, per_s)| sums[*zone_set] += per_s);
         sums
     };
-    let cut = |of: &[usize], room: &[f64]| Pool::new(&classes, room).route_all(&sums(of)).err();
+    let cut =
+        |of: &[usize], capacity: &[f64]| CapacityFlow::new(&zone_sets, capacity).route_all(&sums(of)).err();
     let mut smallest: Option<(Vec<usize>, Vec<usize>)> = None;
-    // Nothing lost comes first: what can't be even then is no matter of what is survived.
-    let losses =
-        std::iter::once(vec![]).chain((survive > 0).then(|| sets(full.len(), survive)).into_iter().flatten());
+    // The case without a loss comes first: a conflict there does not depend on `survive`.
+    let losses = std::iter::once(vec![])
+        .chain((survive > 0).then(|| combinations(full.len(), survive)).into_iter().flatten());
     for lost in losses {
         if smallest.as_ref().is_some_and(|(_, lost)| lost.is_empty()) {
             break;
         }
-        let mut room = full.clone();
-        lost.iter().for_each(|zone: &usize| room[*zone] = 0.0);
-        let Some(found) = cut(&everything, &room) else { continue };
-        // The largest first, so that few are enough; then each that is not needed goes.
-        let mut of: Vec<usize> = everything.clone();
-        of.retain(|at| promises[*at].parts.iter().any(|part| found.classes.contains(&part.0)));
-        of.sort_by(|a, b| promises[*b].total.total_cmp(&promises[*a].total));
-        let (mut few, mut many) = (0, of.len());
-        while few + 1 < many {
-            let half = (few + many) / 2;
-            if cut(&of[..half], &room).is_some() {
-                many = half;
+        let mut capacity = full.clone();
+        lost.iter().for_each(|zone: &usize| capacity[*zone] = 0.0);
+        let Some(found) = cut(&all, &capacity) else { continue };
+        // The largest guarantees come first, so that few are needed; then each one that is not needed is removed.
+        let mut of: Vec<usize> = all.clone();
+        of.retain(|at| guarantees[*at].rates.iter().any(|rate| found.zone_sets.contains(&rate.0)));
+        of.sort_by(|a, b| guarantees[*b].total.total_cmp(&guarantees[*a].total));
+        let (mut too_few, mut enough) = (0, of.len());
+        while too_few + 1 < enough {
+            let mid = (too_few + enough) / 2;
+            if cut(&of[..mid], &capacity).is_some() {
+                enough = mid;
             } else {
-                few = half;
+                too_few = mid;
             }
         }
-        of.truncate(many);
+        of.truncate(enough);
         for at in (0..of.len()).rev() {
             let left: Vec<usize> = [&of[..at], &of[at + 1..]].concat();
-            if cut(&left, &room).is_some() {
+            if cut(&left, &capacity).is_some() {
                 of = left;
             }
         }
@@ -697,71 +735,76 @@
         }
     }
     let Some((of, lost)) = smallest else { return Ok(()) };
-    let mut room = full;
-    lost.iter().for_each(|zone| room[*zone] = 0.0);
-    let there = cut(&of, &room).map_or(0.0, |cut| cut.room);
-    let asked = of.iter().flat_map(|promise| &promises[*promise].parts);
-    let found = cut(&of, &room).map_or(vec![], |cut| cut.classes);
-    let asked = asked.filter(|part| found.contains(&part.0)).map(|part| part.1).sum();
+    let mut capacity = full;
+    lost.iter().for_each(|zone| capacity[*zone] = 0.0);
+    let available = cut(&of, &capacity).map_or(0.0, |cut| cut.capacity);
+    let promised = of.iter().flat_map(|guarantee| &guarantees[*guarantee].rates);
+    let found = cut(&of, &capacity).map_or(vec![], |cut| cut.zone_sets);
+    let promised = promised.filter(|rate| found.contains(&rate.0)).map(|rate| rate.1).sum();
     let mut rules: Vec<Rule> = of
         .iter()
         .map(|at| {
-            let Promise { tenant, total, .. } = &promises[*at];
+            let TenantGuarantee { tenant, total, .. } = &guarantees[*at];
             Rule {
-                at: plan.terms[plan.node[*tenant] as usize].at.clone(),
-                says: says(section, *tenant, *total),
+                at: plan.settings[plan.node[*tenant] as usize].at.clone(),
+                text: guarantee_text(section, *tenant, *total),
             }
         })
         .collect();
     rules.sort_by_key(|rule| rule.at.start);
     if let Some(survive) = section.survive.as_ref().filter(|_| !lost.is_empty()) {
         let count = survive.get_ref().zones;
-        rules.push(Rule { at: survive.span(), says: format!("the loss of {count} zones is survived") });
+        rules.push(Rule { at: survive.span(), text: format!("the loss of {count} zones must be survived") });
     }
-    classes.clear();
+    zone_sets.clear();
     let lost = lost.iter().map(|zone| facts.zones[*zone].name.clone()).collect();
-    Err(Unfit::Contradict { rules, asked, there, lost })
+    Err(Unfit::Contradict { rules, promised, available, lost })
 }
 
-/// What each rule promises beyond those under it, and the classes of reach for it: the plan's, and for what a parent
-/// promises to those under it together, all that they may use.
-fn promises(plan: &Plan) -> (Vec<Zones>, Vec<Promise>) {
-    let mut classes = plan.classes.clone();
+/// The guarantee of each tenant beyond those of its children, and the zone sets for them: those of the plan, and for the
+/// guarantee of a parent the union of the zones that its children may use.
+fn guarantees(plan: &Plan) -> (Vec<Zones>, Vec<TenantGuarantee>) {
+    let mut zone_sets = plan.zone_sets.clone();
     let tenants: BTreeMap<u32, usize> = plan.node.iter().enumerate().map(|(at, node)| (*node, at)).collect();
     let first = plan.first_claim();
-    let mut below = vec![0.0; plan.under.len()];
-    let mut reach = vec![Zones::NONE; plan.under.len()];
-    let mut promises = Vec::new();
-    for node in (1..plan.under.len()).rev() {
-        let (begin, end) = plan.under[node];
+    let mut below = vec![0.0; plan.children.len()];
+    let mut reach = vec![Zones::NONE; plan.children.len()];
+    let mut guarantees = Vec::new();
+    for node in (1..plan.children.len()).rev() {
+        let (begin, end) = plan.children[node];
         let tenant = tenants[&(node as u32)];
-        let own = plan.terms[node].guarantee;
+        let own = plan.settings[node].guarantee;
         let leaf = begin as usize >= first;
         if leaf {
             let claims = &plan.claims[begin as usize - first..end as usize - first];
-            let zones = claims.iter().map(|claim| plan.classes[claim.class as usize]);
+            let zones = claims.iter().map(|claim| plan.zone_sets[claim.zone_set as usize]);
             reach[node] = zones.fold(Zones::NONE, Zones::or);
             if own > 0.0 {
-                let parts = claims.iter().map(|claim| (claim.class as usize, claim.guarantee)).collect();
-                promises.push(Promise { tenant, total: own, parts });
+                let rates = claims.iter().map(|claim| (claim.zone_set as usize, claim.guarantee)).collect();
+                guarantees.push(TenantGuarantee { tenant, total: own, rates });
             }
         } else if own > below[node] * (1.0 + 1e-9) {
-            let class = classes.iter().position(|class| *class == reach[node]).unwrap_or_else(|| {
-                classes.push(reach[node]);
-                classes.len() - 1
+            let zone_set =
+                zone_sets.iter().position(|zone_set| *zone_set == reach[node]).unwrap_or_else(|| {
+                    zone_sets.push(reach[node]);
+                    zone_sets.len() - 1
+                });
+            guarantees.push(TenantGuarantee {
+                tenant,
+                total: own,
+                rates: vec![(zone_set, own - below[node])],
             });
-            promises.push(Promise { tenant, total: own, parts: vec![(class, own - below[node])] });
         }
         let up = plan.parent[node] as usize;
         below[up] += own.max(below[node]);
         reach[up] = reach[up].or(reach[node]);
     }
-    promises.reverse();
-    (classes, promises)
+    guarantees.reverse();
+    (zone_sets, guarantees)
 }
 
-/// All sets of so many places.
-fn sets(of: usize, size: usize) -> Vec<Vec<usize>> {
+/// All combinations of `size` of the indices below `of`.
+fn combinations(of: usize, size: usize) -> Vec<Vec<usize>> {
     if size == 0 {
         return vec![vec![]];
     }
@@ -769,5 +812,5 @@
         let from = set.last().map_or(0, |last| last + 1);
         (from..of).map(move |next| [&set[..], &[next]].concat()).collect::<Vec<_>>()
     };
-    sets(of, size - 1).into_iter().flat_map(longer).collect()
+    combinations(of, size - 1).into_iter().flat_map(longer).collect()
 }
--- a/crates/shares/src/pool.rs
+++ b/crates/shares/src/pool.rs
@@ -1,33 +1,34 @@
-//! How much of what each class of reach is dealt fits into the zones together: a flow from classes to zones, found by
-//! augmenting along shortest paths (Edmonds and Karp, 1972), one class after another. What is routed once stays
-//! routed, maybe elsewhere.
+//! Checks whether the rates of all zone sets fit into the capacity of the zones together. A zone set is a set of zones
+//! whose hosts may serve a claim. The check is a maximum flow from zone sets to zones, found by augmenting along shortest
+//! paths (Edmonds and Karp, 1972), one zone set after another. An amount that is routed stays routed, but may move to
+//! other zones.
 
 use amberarch_core::Zones;
 
-/// As near to a full set of zones as is looked for, as a part of what they can do.
-pub(crate) const NEAR: f64 = 1e-7;
+/// Relative tolerance, as a fraction of the capacity, within which a set of zones counts as full.
+pub(crate) const RELATIVE_TOLERANCE: f64 = 1e-7;
 
-/// Zones and classes are few, so a full matrix is the smallest thing that does it.
-pub(crate) struct Pool<'a> {
+/// Flow from zone sets to zones. Both are few, so a full matrix is the simplest representation.
+pub(crate) struct CapacityFlow<'a> {
     reach: &'a [Zones],
-    room: Vec<f64>,
-    left: Vec<f64>,
-    /// By class, then zone.
+    capacity: Vec<f64>,
+    free: Vec<f64>,
+    /// By zone set, then zone.
     flow: Vec<f64>,
-    /// What rounding may leave.
-    pub dust: f64,
+    /// Amounts up to this count as rounding errors.
+    pub tolerance: f64,
 }
 
-/// Why it does not fit: these classes may use no other zones than those, all full.
+/// Why an amount does not fit: these zone sets together reach only zones that are all full.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Cut {
     pub missing: f64,
-    pub classes: Vec<usize>,
-    /// What those zones can do.
-    pub room: f64,
+    pub zone_sets: Vec<usize>,
+    /// Capacity of those zones.
+    pub capacity: f64,
 }
 
-fn bits(zones: Zones, most: usize) -> impl Iterator<Item = usize> {
+fn zone_indices(zones: Zones, most: usize) -> impl Iterator<Item = usize> {
     let mut rest = if most >= 128 { zones.0 } else { zones.0 & ((1u128 << most) - 1) };
     std::iter::from_fn(move || {
         let at = rest.trailing_zeros() as usize;
@@ -38,35 +39,35 @@
     })
 }
 
-impl<'a> Pool<'a> {
-    pub fn new(reach: &'a [Zones], room: &[f64]) -> Pool<'a> {
-        let dust = 1e-12 * room.iter().sum::<f64>().max(1.0);
-        let flow = vec![0.0; reach.len() * room.len()];
-        Pool { reach, room: room.to_vec(), left: room.to_vec(), flow, dust }
+impl<'a> CapacityFlow<'a> {
+    pub fn new(reach: &'a [Zones], capacity: &[f64]) -> CapacityFlow<'a> {
+        let tolerance = 1e-12 * capacity.iter().sum::<f64>().max(1.0);
+        let flow = vec![0.0; reach.len() * capacity.len()];
+        CapacityFlow { reach, capacity: capacity.to_vec(), free: capacity.to_vec(), flow, tolerance }
     }
 
-    /// Places so much more of the class; what does not fit comes back with the reason.
-    pub fn route(&mut self, class: usize, mut amount: f64) -> Result<(), Cut> {
-        let zones = self.room.len();
+    /// Routes `amount` more for the zone set. If not all of it fits, the error has the rest and the saturated cut.
+    pub fn route(&mut self, zone_set: usize, mut amount: f64) -> Result<(), Cut> {
+        let zones = self.capacity.len();
         loop {
-            if amount <= self.dust {
+            if amount <= self.tolerance {
                 return Ok(());
             }
-            // By zone the class it was reached from; by class the zone.
-            let mut from_class = vec![usize::MAX; zones];
+            // Search tree: by zone the zone set that it was reached from, and by zone set the zone.
+            let mut from_zone_set = vec![usize::MAX; zones];
             let mut from_zone = vec![usize::MAX; self.reach.len()];
             let mut seen = vec![false; self.reach.len()];
-            let (mut queue, mut at, mut end) = (vec![class], 0, None);
-            seen[class] = true;
+            let (mut queue, mut at, mut end) = (vec![zone_set], 0, None);
+            seen[zone_set] = true;
             'search: while at < queue.len() {
                 let here = queue[at];
                 at += 1;
-                for zone in bits(self.reach[here], zones) {
-                    if from_class[zone] != usize::MAX {
+                for zone in zone_indices(self.reach[here], zones) {
+                    if from_zone_set[zone] != usize::MAX {
                         continue;
                     }
-                    from_class[zone] = here;
-                    if self.left[zone] > 0.0 {
+                    from_zone_set[zone] = here;
+                    if self.free[zone] > 0.0 {
                         end = Some(zone);
                         break 'search;
                     }
@@ -80,24 +81,24 @@
                 }
             }
             let Some(end) = end else {
-                let room = (0..zones).filter(|zone| from_class[*zone] != usize::MAX);
-                let room = room.map(|zone| self.room[zone]).sum();
-                return Err(Cut { missing: amount, classes: queue, room });
+                let capacity = (0..zones).filter(|zone| from_zone_set[*zone] != usize::MAX);
+                let capacity = capacity.map(|zone| self.capacity[zone]).sum();
+                return Err(Cut { missing: amount, zone_sets: queue, capacity });
             };
-            let mut most = amount.min(self.left[end]);
+            let mut most = amount.min(self.free[end]);
             let mut zone = end;
-            while from_class[zone] != class {
-                let here = from_class[zone];
+            while from_zone_set[zone] != zone_set {
+                let here = from_zone_set[zone];
                 zone = from_zone[here];
                 most = most.min(self.flow[here * zones + zone]);
             }
-            self.left[end] -= most;
+            self.free[end] -= most;
             amount -= most;
             let mut zone = end;
             loop {
-                let here = from_class[zone];
+                let here = from_zone_set[zone];
                 self.flow[here * zones + zone] += most;
-                if here == class {
+                if here == zone_set {
                     break;
                 }
                 zone = from_zone[here];
@@ -106,37 +107,45 @@
         }
     }
 
-    /// All of it in order; the first that does not fit tells why.
+    /// Routes all amounts, by zone set; the first that does not fit is the error.
     pub fn route_all(&mut self, amounts: &[f64]) -> Result<(), Cut> {
-        (0..amounts.len()).try_for_each(|class| self.route(class, amounts[class]))
+        (0..amounts.len()).try_for_each(|zone_set| self.route(zone_set, amounts[zone_set]))
     }
 }
 
-/// By class, the part of `rise` that fits beside `from`, which does: raised by equal parts, and who may use full zones
-/// alone stops there. The second: whether it stopped.
-pub(crate) fn raise(reach: &[Zones], room: &[f64], from: &[f64], rise: &[f64]) -> Vec<(f64, bool)> {
-    let mut met = vec![f64::NAN; rise.len()];
+/// By zone set, the fraction of `rise` that fits in addition to `from`, which fits itself. All fractions are raised
+/// equally; a zone set stops when all of its zones are full. The second value tells whether it stopped.
+pub(crate) fn raise_evenly(
+    reach: &[Zones],
+    capacity: &[f64],
+    from: &[f64],
+    rise: &[f64],
+) -> Vec<(f64, bool)> {
+    let mut reached = vec![f64::NAN; rise.len()];
     loop {
-        let mut common: f64 = 1.0;
+        let mut fraction: f64 = 1.0;
         let mut tight: Option<Cut> = None;
         for _ in 0..=4 * rise.len() {
-            let part = |class: usize| if met[class].is_nan() { common } else { met[class] };
-            let amounts: Vec<f64> =
-                (0..rise.len()).map(|class| from[class] + part(class) * rise[class]).collect();
-            let Err(cut) = Pool::new(reach, room).route_all(&amounts) else { break };
-            let open = |class: &&usize| met[**class].is_nan();
-            let fixed = |class: &usize| if open(&class) { from[*class] } else { amounts[*class] };
-            let fixed: f64 = cut.classes.iter().map(fixed).sum();
-            let rest: f64 = cut.classes.iter().filter(open).map(|class| rise[*class]).sum();
+            let fraction_of =
+                |zone_set: usize| if reached[zone_set].is_nan() { fraction } else { reached[zone_set] };
+            let amounts: Vec<f64> = (0..rise.len())
+                .map(|zone_set| from[zone_set] + fraction_of(zone_set) * rise[zone_set])
+                .collect();
+            let Err(cut) = CapacityFlow::new(reach, capacity).route_all(&amounts) else { break };
+            let open = |zone_set: &&usize| reached[**zone_set].is_nan();
+            let fixed = |zone_set: &usize| if open(&zone_set) { from[*zone_set] } else { amounts[*zone_set] };
+            let fixed: f64 = cut.zone_sets.iter().map(fixed).sum();
+            let rest: f64 = cut.zone_sets.iter().filter(open).map(|zone_set| rise[*zone_set]).sum();
             if rest <= 0.0 {
                 break;
             }
-            common = common.min((1.0 - NEAR) * (cut.room - fixed).max(0.0) / rest);
+            fraction = fraction.min((1.0 - RELATIVE_TOLERANCE) * (cut.capacity - fixed).max(0.0) / rest);
             tight = Some(cut);
         }
         let Some(cut) = tight else { break };
-        let stops: Vec<usize> = cut.classes.into_iter().filter(|class| met[*class].is_nan()).collect();
-        stops.into_iter().for_each(|class| met[class] = common);
+        let stops: Vec<usize> =
+            cut.zone_sets.into_iter().filter(|zone_set| reached[*zone_set].is_nan()).collect();
+        stops.into_iter().for_each(|zone_set| reached[zone_set] = fraction);
     }
-    met.into_iter().map(|met| if met.is_nan() { (1.0, false) } else { (met, true) }).collect()
+    reached.into_iter().map(|reached| if reached.is_nan() { (1.0, false) } else { (reached, true) }).collect()
 }
--- a/crates/shares/src/section.rs
+++ b/crates/shares/src/section.rs
@@ -1,22 +1,24 @@
-//! `[shares]` of the policy file: the words and their places. What makes a plan of them stands in `compile`.
+//! The `[shares]` section of the policy file, with the position of each value. `compile` makes a plan of it.
 
 use serde::Deserialize;
 use toml::Spanned;
 
 use crate::{Names, Tenant};
 
+/// The `[shares]` section.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
-    /// The guarantees hold although so many zones lose all of their hosts.
+    /// The guarantees must hold when this many zones lose all of their hosts.
     pub survive: Option<Spanned<Survive>>,
-    /// What a steward without a grant lets in.
+    /// The rate that a controller without a grant admits.
     pub floor: Floor,
-    /// A tenant that gave way does not do so again for so long.
-    #[serde(default = "again_after")]
+    /// Minimum time between two reductions of a tenant's share in favour of others.
+    #[serde(default = "default_gives_way_again_after")]
     pub gives_way_again_after_ms: Spanned<f64>,
-    /// So long a silent steward's last demand stands; then it counts with its part of the guarantees at the most.
-    #[serde(default = "silent")]
+    /// How long the last demand of a silent controller is kept. After that it counts with at most its fraction of the
+    /// guarantees.
+    #[serde(default = "default_silent_for")]
     pub silent_for_ms: Spanned<f64>,
     #[serde(default)]
     pub tenant: Vec<TenantRule>,
@@ -28,7 +30,8 @@
     pub zones: usize,
 }
 
-/// Of each guarantee this part stands without a grant, dealt evenly over so many stewards: the fleet may have no more.
+/// The fraction `part` of each guarantee is admitted without a grant, divided evenly among `stewards` controllers. The
+/// fleet may not have more controllers than that.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Floor {
@@ -36,35 +39,36 @@
     pub stewards: Spanned<u16>,
 }
 
+/// One `[[shares.tenant]]` entry.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantRule {
     pub name: Spanned<String>,
     pub parent: Option<Spanned<String>>,
-    /// Its txns are those of these products; none named: of all. Only for one without children.
+    /// The products whose txns belong to the tenant; all of them if not set. Only for tenants without children.
     pub products: Option<Vec<Spanned<String>>>,
-    /// They come through proxies of these zones; none named: of all.
+    /// The zones whose proxies receive these txns; all of them if not set.
     pub zones: Option<Vec<Spanned<String>>>,
-    /// Or through these of a zone's proxies.
+    /// Ranges of a zone's proxies that receive these txns, instead of whole zones.
     #[serde(default)]
     pub proxies: Vec<Spanned<Range>>,
     pub guarantee_per_s: Option<Spanned<f64>>,
     pub weight: Option<Spanned<f64>>,
     pub ceiling_per_s: Option<Spanned<f64>>,
-    /// Others may use what it does not ask of its guarantee.
+    /// Whether other tenants may use the part of its guarantee that it does not ask for.
     pub lends: Option<Spanned<bool>>,
-    /// It may have more than its guarantee.
+    /// Whether it may have more than its guarantee.
     pub borrows: Option<Spanned<bool>>,
-    /// The lower gives way first.
+    /// Priority at which it is reduced in favour of others: lower values first.
     pub gives_way: Option<Spanned<u32>>,
-    /// The longest time until it has its guarantee back once it asks for it.
+    /// The longest time from asking for its guarantee until the tenant has it back.
     pub back_within_ms: Option<Spanned<f64>>,
-    /// Under these levels of service only a part of the guarantee holds.
+    /// Levels of service under which only a fraction of the guarantee holds.
     #[serde(default)]
     pub at_level: Vec<Spanned<AtLevel>>,
 }
 
-/// Proxies of a zone by their place in it, ends included.
+/// Proxies of a zone by their index in it, `from` and `to` included.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Range {
@@ -73,6 +77,7 @@
     pub to: u32,
 }
 
+/// The fraction of the guarantee that holds under a level of service.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AtLevel {
@@ -80,22 +85,22 @@
     pub part: f64,
 }
 
-// Where the file says nothing: ten periods of sums of a second, so that what one cut brought is seen before another;
-// and three of them, since one may be lost and one late.
-fn again_after() -> Spanned<f64> {
+// Defaults. Traffic reports cover one second: ten of them show the effect of one reduction before the next, and three
+// allow for one lost and one late report.
+fn default_gives_way_again_after() -> Spanned<f64> {
     Spanned::new(0..0, 10_000.0)
 }
-fn silent() -> Spanned<f64> {
+fn default_silent_for() -> Spanned<f64> {
     Spanned::new(0..0, 3_000.0)
 }
 
 impl Section {
-    /// Tenants by their place, for people.
+    /// Tenant names by index, for log lines.
     pub fn names(&self) -> Names {
         Names(self.tenant.iter().map(|tenant| tenant.name.get_ref().clone()).collect())
     }
 
-    /// The tenant of that name.
+    /// The tenant with that name.
     pub fn find(&self, name: &str) -> Option<Tenant> {
         let at = self.tenant.iter().position(|tenant| tenant.name.get_ref() == name)?;
         Some(Tenant(at as u32))
--- a/crates/shares/src/types.rs
+++ b/crates/shares/src/types.rs
@@ -1,17 +1,17 @@
-//! What the dealing speaks of, and every message of it between members. Rates are txns a second, times ms.
+//! Types of the grant protocol and its messages between members. Rates are in txns per second, times in ms.
 
 use amberarch_core::{ProductId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// A tenant's place in the plan.
+/// A tenant, by its index in the section.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Tenant(pub u32);
 
-/// A steward that lets work in, by its place among the members.
+/// A controller that holds grants and admits txns, by its index among the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder(pub u16);
 
-/// A zone as it goes over the wire.
+/// A zone index as sent on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Zone(pub u16);
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// What a holder may let in for a tenant in a zone.
+/// The rate that a holder may admit for a tenant in a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
     pub tenant: Tenant,
@@ -29,31 +29,33 @@
     pub per_s: f64,
 }
 
-/// What one steward has seen and holds.
+/// Report of one controller: its demand, the capacity that it sees, and the grants that it holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
-    /// Counts this run's words, so that old ones are told from new; the upper half is drawn at the run's start.
+    /// Number of the report, which tells old reports from new ones. The upper 32 bits are a random number drawn when the
+    /// process starts, the lower 32 bits count its reports.
     pub round: u64,
-    /// The highest term of a chair that it knows: what a chair of an earlier one dealt it takes up no more.
+    /// The highest leader term that the controller knows. It no longer accepts grants of earlier terms.
     pub term: u64,
-    /// The policy's revision that its tenants' places are of.
+    /// The policy revision that the tenant indices refer to.
     pub plan: u64,
-    /// How long this run lives already; a run before it may have left grants with proxies.
+    /// How long this process has been running, ms. Proxies may still act on grants of a process before it.
     pub lived: f64,
-    /// What came for each tenant at each zone's proxies, whether let in or not.
+    /// Rate of txns that arrived for each tenant at each zone's proxies, admitted or not.
     pub demand: Vec<Grant>,
-    /// What the open, warm hosts of each zone can do, as this steward sees it.
+    /// Rate that the open, warm hosts of each zone can serve, as this controller sees it.
     pub capacity: Vec<(Zone, f64)>,
-    /// What it may let in now, and for how long still.
+    /// The grants in force at this controller, each with the remaining time in ms.
     pub held: Vec<(Grant, f64)>,
 }
 
-/// What members say to each other about shares.
+/// Messages between members about grants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Said {
     Seen(Seen),
-    /// All that the holder may let in from here on, for so long after it spoke in that round; what is not in it is
-    /// taken back. `term` is the chair's, `plan` the revision whose tenants it names.
+    /// Answers report `round` with all grants of the holder, which last for `lasts` ms from the time it sent that
+    /// report. A grant that is not listed is revoked. `term` is the leader's term, `plan` the policy revision that the
+    /// tenant indices refer to.
     Dealt {
         round: u64,
         term: u64,
@@ -61,14 +63,15 @@
         grants: Vec<Grant>,
         lasts: f64,
     },
-    /// The holder has taken this up: what it held beyond it is no longer let in.
+    /// The holder has applied the grants of that answer and no longer admits more than they allow.
     Taken {
         round: u64,
         term: u64,
     },
 }
 
-/// What a steward does about it: of the product in the zone no more than that share of what comes is let in.
+/// Limit that a controller enforces: of the request class (`product`) in the zone at most this fraction of the arriving
+/// txns is admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     pub zone: ZoneId,
--- a/crates/shares/src/unfit.rs
+++ b/crates/shares/src/unfit.rs
@@ -1,14 +1,14 @@
-//! Why a section makes no plan, where, and what to do about it.
+//! Errors in the `[shares]` section: the reason, the position in the policy file, and advice for the operator.
 
 use std::fmt;
 use std::ops::Range;
 
 use amberarch_operator::Fault;
 
-/// Bytes of the policy file.
-pub type Place = Range<usize>;
+/// Byte range in the policy file.
+pub type Span = Range<usize>;
 
-/// A kind of thing that is named.
+/// Kind of a name that could not be resolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Tenant,
@@ -28,75 +28,74 @@
     }
 }
 
-/// One of several rules that can't all hold.
+/// One of several rules that can't all hold, with its position and a description.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    pub at: Place,
-    pub says: String,
+    pub at: Span,
+    pub text: String,
 }
 
+/// Why a section can't be compiled into a plan.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Unfit {
-    #[error("two tenants are named {name}")]
-    Twice { name: String, at: Place, first: Place },
-    #[error("no {kind} is named {name}{}", near.as_ref().map_or(String::new(), |near| format!("; there is {near}")))]
-    Unknown { kind: Kind, name: String, near: Option<String>, at: Place },
-    #[error("{}: each is under the next and the last under the first", names.join(", "))]
-    Circle { names: Vec<String>, at: Vec<Place> },
+    #[error("tenant name {name} is used twice")]
+    Twice { name: String, at: Span, first: Span },
+    #[error("unknown {kind} {name}{}", similar.as_ref().map_or(String::new(), |similar| format!(" (similar name: {similar})")))]
+    Unknown { kind: Kind, name: String, similar: Option<String>, at: Span },
+    #[error("cycle of parents among the tenants {}", names.join(", "))]
+    Circle { names: Vec<String>, at: Vec<Span> },
     #[error("{what} = {found}: expected {expected}")]
-    Figure { what: &'static str, found: String, expected: &'static str, at: Place },
-    #[error("{tenant} has tenants under it and is told by {what} of its own")]
-    Inner { tenant: String, what: &'static str, at: Place },
-    #[error("{first} and {second} are both told by product {product} in zone {zone}")]
-    Shared { first: String, second: String, product: String, zone: String, at: Vec<Place> },
-    #[error("{tenant} has only a part of zone {zone}'s proxies, and {other} shares product {product} there")]
-    PartOfZone { tenant: String, other: String, product: String, zone: String, at: Vec<Place> },
-    #[error("{tenant}: {rule} never applies: {why}")]
-    Dead { tenant: String, rule: &'static str, why: &'static str, at: Place },
-    #[error(
-        "{tenant}: the products it is told by have no permitted zone in common for what comes in zone {zone}"
-    )]
-    NoZone { tenant: String, zone: String, at: Place },
-    #[error("{}", contradiction(rules, *asked, *there, lost))]
-    Contradict { rules: Vec<Rule>, asked: f64, there: f64, lost: Vec<String> },
-    #[error("{tenant} wants its guarantee back within {wanted} ms; a silent steward's grant lasts up to {longest} ms")]
-    Slow { tenant: String, wanted: f64, longest: f64, at: Place },
+    Figure { what: &'static str, found: String, expected: &'static str, at: Span },
+    #[error("{tenant} has child tenants and also sets {what}")]
+    Inner { tenant: String, what: &'static str, at: Span },
+    #[error("{first} and {second} both own product {product} in zone {zone}")]
+    Shared { first: String, second: String, product: String, zone: String, at: Vec<Span> },
+    #[error("{tenant} has only some of zone {zone}'s proxies, and {other} owns product {product} there too")]
+    PartOfZone { tenant: String, other: String, product: String, zone: String, at: Vec<Span> },
+    #[error("{tenant}: {rule} has no effect: {why}")]
+    Dead { tenant: String, rule: &'static str, why: &'static str, at: Span },
+    #[error("{tenant}: residency permits no common zone for its products that arrive in zone {zone}")]
+    NoZone { tenant: String, zone: String, at: Span },
+    #[error("{}", contradiction(rules, *promised, *available, lost))]
+    Contradict { rules: Vec<Rule>, promised: f64, available: f64, lost: Vec<String> },
+    #[error("{tenant} requires its guarantee back within {wanted} ms, but a silent controller's grant lasts up to {longest} ms")]
+    Slow { tenant: String, wanted: f64, longest: f64, at: Span },
     #[error("more than {most} {what}")]
-    TooMany { what: &'static str, most: usize, at: Place },
+    TooMany { what: &'static str, most: usize, at: Span },
 }
 
-fn contradiction(rules: &[Rule], asked: f64, there: f64, lost: &[String]) -> String {
-    let says: Vec<&str> = rules.iter().map(|rule| rule.says.as_str()).collect();
+fn contradiction(rules: &[Rule], promised: f64, available: f64, lost: &[String]) -> String {
+    let texts: Vec<&str> = rules.iter().map(|rule| rule.text.as_str()).collect();
     let without = if lost.is_empty() { String::new() } else { format!(" without {}", lost.join(", ")) };
     format!(
-        "these can't all hold: {}; {asked:.1}/s is promised where {there:.1}/s is there{without}",
-        says.join("; ")
+        "these rules can't all hold: {}; {promised:.1}/s is guaranteed, but {available:.1}/s is available{without}",
+        texts.join("; ")
     )
 }
 
 impl Unfit {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            Unfit::Twice { .. } => "give each tenant a name of its own",
-            Unfit::Unknown { .. } => "name one that is there, or add it first where it belongs",
-            Unfit::Circle { .. } => "take `parent` away from one of them",
-            Unfit::Figure { .. } => "give a figure within what is expected",
-            Unfit::Inner { .. } => "move products, zones and proxies to the tenants under it",
-            Unfit::Shared { .. } => "let one of them name other products or zones; each txn belongs to one tenant",
+            Unfit::Twice { .. } => "give each tenant a unique name",
+            Unfit::Unknown { .. } => "use an existing name, or define this one first",
+            Unfit::Circle { .. } => "remove `parent` from one of them",
+            Unfit::Figure { .. } => "set a value in the expected range",
+            Unfit::Inner { .. } => "move products, zones and proxies to its child tenants",
+            Unfit::Shared { .. } => "change the products or zones of one of them; each txn belongs to one tenant",
             Unfit::PartOfZone { .. } => {
-                "give it all of the zone's proxies, or a product of its own there: levels bind a zone and a product"
+                "give it all of the zone's proxies, or a separate product there: limits apply to a zone and a product"
             }
-            Unfit::Dead { .. } => "take the rule away, or the one that keeps it from applying",
+            Unfit::Dead { .. } => "remove this rule, or the one that disables it",
             Unfit::NoZone { .. } => "permit a zone under residency, or split the tenant by product",
-            Unfit::Contradict { .. } => "lower one of the guarantees that are named, permit more zones, or survive less",
-            Unfit::Slow { .. } => "allow a longer time, or shorten the grants in the operator's file",
-            Unfit::TooMany { .. } => "split the fleet, or join tenants that are treated alike",
+            Unfit::Contradict { .. } => "lower one of the named guarantees, permit more zones, or lower survive.zones",
+            Unfit::Slow { .. } => "allow a longer time, or shorten the grant duration in the operator's file",
+            Unfit::TooMany { .. } => "split the fleet, or merge tenants that are treated alike",
         }
     }
 
-    /// Where it stands, the first of all first.
-    pub fn places(&self) -> Vec<Place> {
+    /// Positions in the file, the main one first.
+    pub fn spans(&self) -> Vec<Span> {
         match self {
             Unfit::Twice { at, first, .. } => vec![at.clone(), first.clone()],
             Unfit::Circle { at, .. } => at.clone(),
@@ -112,14 +111,17 @@
         }
     }
 
-    /// The same with line and column for each place; what a rule of several says stands at its own.
+    /// The error as faults with line and column, one for each position. Conflicting rules are each reported at their own
+    /// position.
     pub fn faults(&self, text: &str) -> Vec<Fault> {
-        let says = |at: usize| match self {
-            Unfit::Contradict { rules, .. } if at > 0 => format!("the same: {}", rules[at].says),
-            _ if at > 0 => "the same, from here".into(),
+        let text_at = |at: usize| match self {
+            Unfit::Contradict { rules, .. } if at > 0 => {
+                format!("part of the same error: {}", rules[at].text)
+            }
+            _ if at > 0 => "part of the same error".into(),
             _ => format!("{self}; {}", self.advice()),
         };
-        let places = self.places().into_iter().enumerate();
-        places.map(|(at, place)| Fault::at(text, place.start, says(at))).collect()
+        let spans = self.spans().into_iter().enumerate();
+        spans.map(|(at, span)| Fault::at(text, span.start, text_at(at))).collect()
     }
 }
--- a/crates/shares/tests/cases/compiling.rs
+++ b/crates/shares/tests/cases/compiling.rs
@@ -8,7 +8,7 @@
 
 fn refused(text: &str, facts: &Facts) -> Unfit {
     match compile(&section(text), facts) {
-        Ok(_) => panic!("it is taken"),
+        Ok(_) => panic!("the section is accepted"),
         Err(why) => why,
     }
 }
@@ -16,7 +16,7 @@
 fn shows(text: &str, facts: &Facts, expected: Expect) {
     let why = refused(text, facts);
     let faults: Vec<String> = why.faults(text).iter().map(ToString::to_string).collect();
-    assert!(!why.places().is_empty() && !why.advice().is_empty());
+    assert!(!why.spans().is_empty() && !why.advice().is_empty());
     expected.assert_eq(&faults.join("\n"));
 }
 
@@ -31,21 +31,21 @@
     }
     let facts = facts(&[1_000.0, 100.0, 1_000.0], 10);
     assert!(compile(&section(&text), &facts).is_ok(), "other zones may serve them");
-    let facts = at_home(facts);
+    let facts = served_locally(facts);
     let why = refused(&text, &facts);
-    let Unfit::Contradict { rules, asked, there, lost } = &why else { panic!("{why}") };
-    // 24 + 23 + 22 + 21 are 90; no four are more than 100, and five of the largest are.
-    assert_eq!((rules.len(), *there, lost.len()), (5, 100.0, 0));
-    assert!(*asked > 100.0);
+    let Unfit::Contradict { rules, promised, available, lost } = &why else { panic!("{why}") };
+    // The four largest guarantees add up to 90, which fits into 100; the five largest don't fit.
+    assert_eq!((rules.len(), *available, lost.len()), (5, 100.0, 0));
+    assert!(*promised > 100.0);
     shows(
         &text,
         &facts,
         expect![[r#"
-            32:19: these can't all hold: t5 is guaranteed 20/s; t6 is guaranteed 21/s; t7 is guaranteed 22/s; t8 is guaranteed 23/s; t9 is guaranteed 24/s; 110.0/s is promised where 100.0/s is there; lower one of the guarantees that are named, permit more zones, or survive less
-            37:19: the same: t6 is guaranteed 21/s
-            42:19: the same: t7 is guaranteed 22/s
-            47:19: the same: t8 is guaranteed 23/s
-            52:19: the same: t9 is guaranteed 24/s"#]],
+            32:19: these rules can't all hold: t5 is guaranteed 20/s; t6 is guaranteed 21/s; t7 is guaranteed 22/s; t8 is guaranteed 23/s; t9 is guaranteed 24/s; 110.0/s is guaranteed, but 100.0/s is available; lower one of the named guarantees, permit more zones, or lower survive.zones
+            37:19: part of the same error: t6 is guaranteed 21/s
+            42:19: part of the same error: t7 is guaranteed 22/s
+            47:19: part of the same error: t8 is guaranteed 23/s
+            52:19: part of the same error: t9 is guaranteed 24/s"#]],
     );
 }
 
@@ -59,8 +59,8 @@
         &text,
         &facts(&[200.0, 200.0, 100.0], 1),
         expect![[r#"
-            6:19: these can't all hold: x is guaranteed 350/s; the loss of 1 zones is survived; 350.0/s is promised where 300.0/s is there without a; lower one of the guarantees that are named, permit more zones, or survive less
-            2:11: the same: the loss of 1 zones is survived"#]],
+            6:19: these rules can't all hold: x is guaranteed 350/s; the loss of 1 zones must be survived; 350.0/s is guaranteed, but 300.0/s is available without a; lower one of the named guarantees, permit more zones, or lower survive.zones
+            2:11: part of the same error: the loss of 1 zones must be survived"#]],
     );
 }
 
@@ -71,32 +71,39 @@
     shows(
         &(HEAD.to_string() + &x + &x),
         &facts,
-        expect!["7:8: two tenants are named x; give each tenant a name of its own\n4:8: the same, from here"],
+        expect![
+            "7:8: tenant name x is used twice; give each tenant a unique name\n4:8: part of the same error"
+        ],
     );
     shows(
         &(HEAD.to_string() + &tenant("x", "products = [\"p9\"]")),
         &facts,
-        expect!["5:13: no product is named p9; there is p1; name one that is there, or add it first where it belongs"],
+        expect![
+            "5:13: unknown product p9 (similar name: p1); use an existing name, or define this one first"
+        ],
     );
     shows(
         &(HEAD.to_string() + &tenant("x", "parent = \"press\"")),
         &facts,
-        expect!["5:10: no tenant is named press; name one that is there, or add it first where it belongs"],
+        expect!["5:10: unknown tenant press; use an existing name, or define this one first"],
     );
     shows(
         &(HEAD.to_string() + &tenant("x", "zones = [\"a\", \"zz\"]")),
         &facts,
-        expect!["5:15: no zone is named zz; name one that is there, or add it first where it belongs"],
+        expect!["5:15: unknown zone zz; use an existing name, or define this one first"],
     );
     shows(
-        &(HEAD.to_string() + &tenant("x", "guarantee_per_s = 1\nat_level = [{ level = \"leam\", part = 0.5 }]")),
+        &(HEAD.to_string()
+            + &tenant("x", "guarantee_per_s = 1\nat_level = [{ level = \"leam\", part = 0.5 }]")),
         &facts,
-        expect!["6:13: no level is named leam; there is lean; name one that is there, or add it first where it belongs"],
+        expect![
+            "6:13: unknown level leam (similar name: lean); use an existing name, or define this one first"
+        ],
     );
 }
 
 #[test]
-fn tenants_stand_under_each_other_in_a_circle() {
+fn parents_of_tenants_form_a_cycle() {
     let text = HEAD.to_string()
         + &tenant("x", "parent = \"z\"")
         + &tenant("y", "parent = \"x\"")
@@ -106,9 +113,9 @@
         &text,
         &facts(&[100.0], 1),
         expect![[r#"
-            5:10: x, z, y: each is under the next and the last under the first; take `parent` away from one of them
-            11:10: the same, from here
-            8:10: the same, from here"#]],
+            5:10: cycle of parents among the tenants x, z, y; remove `parent` from one of them
+            11:10: part of the same error
+            8:10: part of the same error"#]],
     );
 }
 
@@ -134,7 +141,7 @@
 }
 
 #[test]
-fn figures_that_can_not_be() {
+fn values_are_out_of_range() {
     let facts = facts(&[100.0, 100.0], 2);
     for (rest, name) in [
         ("guarantee_per_s = -1", "guarantee_per_s"),
@@ -154,7 +161,7 @@
     }
     let why = refused(&HEAD.replace("[shares]", "[shares]\nsurvive = { zones = 2 }"), &facts);
     assert!(matches!(why, Unfit::Figure { what: "survive.zones", .. }), "{why}");
-    assert!(toml::from_str::<File>(&(HEAD.to_string() + "flor = 1\n")).is_err(), "unknown words are refused");
+    assert!(toml::from_str::<File>(&(HEAD.to_string() + "flor = 1\n")).is_err(), "unknown keys are refused");
 }
 
 #[test]
@@ -165,8 +172,8 @@
         &both,
         &facts,
         expect![[r#"
-            4:8: x and y are both told by product p0 in zone b; let one of them name other products or zones; each txn belongs to one tenant
-            7:8: the same, from here"#]],
+            4:8: x and y both own product p0 in zone b; change the products or zones of one of them; each txn belongs to one tenant
+            7:8: part of the same error"#]],
     );
     let part = tenant("x", "products = [\"p0\"]\nproxies = [{ zone = \"a\", from = 0, to = 49 }]");
     let rest = tenant("y", "products = [\"p0\"]\nproxies = [{ zone = \"a\", from = 50, to = 99 }]");
@@ -174,10 +181,10 @@
         &(HEAD.to_string() + &part + &rest),
         &facts,
         expect![[r#"
-            10:12: y has only a part of zone a's proxies, and x shares product p0 there; give it all of the zone's proxies, or a product of its own there: levels bind a zone and a product
-            4:8: the same, from here"#]],
+            10:12: y has only some of zone a's proxies, and x owns product p0 there too; give it all of the zone's proxies, or a separate product there: limits apply to a zone and a product
+            4:8: part of the same error"#]],
     );
-    // Alone it has the pair, and two ranges that meet are a whole zone.
+    // Without the other tenant it owns the pair. Two overlapping ranges cover the whole zone.
     assert!(compile(&section(&(HEAD.to_string() + &part)), &facts).is_ok());
     let whole = "products = [\"p0\"]\nproxies = [{ zone = \"a\", from = 40, to = 99 }, { zone = \"a\", from = 0, to = 60 }]";
     let twice = HEAD.to_string() + &tenant("x", whole) + &tenant("y", "zones = [\"a\"]");
@@ -218,7 +225,7 @@
     facts.permits.insert((ProductId(1), ZoneId(0)), Zones::one(ZoneId(1)));
     let text = HEAD.to_string() + &tenant("x", "");
     assert!(matches!(refused(&text, &facts), Unfit::NoZone { .. }));
-    // What is declined by residency needs no room; a promise of it can't be kept.
+    // Txns that residency rejects need no capacity, but a guarantee for them can't be kept.
     facts.permits.insert((ProductId(1), ZoneId(0)), Zones::NONE);
     let plan = compile(&section(&text), &facts).expect("it fits");
     assert_eq!(plan.owner(ZoneId(0), ProductId(1)), None);
@@ -227,13 +234,13 @@
             facts.permits.insert((ProductId(product), ZoneId(zone)), Zones::NONE);
         }
     }
-    assert_eq!(compile(&section(&text), &facts).expect("nothing is dealt").claims().count(), 0);
+    assert_eq!(compile(&section(&text), &facts).expect("a plan without claims").claims().count(), 0);
     let promised = HEAD.to_string() + &tenant("x", "guarantee_per_s = 1");
     assert!(matches!(refused(&promised, &facts), Unfit::NoZone { .. }));
 }
 
 #[test]
-fn a_guarantee_is_wanted_back_before_a_silent_steward_lets_go() {
+fn a_guarantee_is_required_back_before_the_grant_of_a_silent_controller_expires() {
     let facts = facts(&[100.0], 1);
     let section = section(&(HEAD.to_string() + &tenant("x", "guarantee_per_s = 9\nback_within_ms = 4000")));
     let plan = compile(&section, &facts).expect("it fits");
@@ -244,15 +251,15 @@
     assert!(Lengths::new(2e3, 0.1, -1.0).is_err());
 }
 
-/// A hundred parents of a hundred tenants, a hundred products in a hundred zones.
+/// A hundred parents with a hundred tenants each, for a hundred products in a hundred zones.
 pub fn many(guarantee: f64) -> (String, Facts) {
     let mut text = "[shares]\nsurvive = { zones = 1 }\nfloor = { part = 0.1, stewards = 500 }\n".to_string();
     for parent in 0..100 {
         text += &tenant(&format!("parent{parent}"), &format!("weight = {}", 1 + parent % 5));
         for child in 0..100 {
-            let told =
+            let owned =
                 format!("products = [\"p{child}\"]\nzones = [\"z{parent}\"]\nguarantee_per_s = {guarantee}");
-            let rest = format!("parent = \"parent{parent}\"\nweight = {}\n{told}", 1 + child % 7);
+            let rest = format!("parent = \"parent{parent}\"\nweight = {}\n{owned}", 1 + child % 7);
             text += &tenant(&format!("t{parent}x{child}"), &rest);
         }
     }
@@ -260,7 +267,7 @@
     facts.zones = (0..100)
         .map(|at| ZoneFact { name: format!("z{at}"), proxies: 100, capacity_per_s: 10_000.0 })
         .collect();
-    // Of each zone's txns, its own ten and its neighbours' may serve them: ten classes of reach.
+    // The txns of a zone may be served by the ten zones of its group: ten zone sets in all.
     for zone in 0..100u16 {
         let ten = (0..10).map(|at| ZoneId(zone / 10 * 10 + at)).collect::<Zones>();
         (0..100).for_each(|product| {
@@ -280,77 +287,77 @@
     facts.zones[42].capacity_per_s = 0.0;
     let Err(why) = compile(&section, &facts) else { panic!("two of ten zones are lost") };
     let Unfit::Contradict { rules, .. } = &why else { panic!("{why}") };
-    // Of 1,000 promises of 85 in that ten, 941 fit into the eight zones that are left.
+    // Of the 1,000 guarantees of 85 in that group, 941 fit into the eight remaining zones.
     assert_eq!(rules.len(), 942 + 1);
-    // In a debug build on a busy machine.
+    // The limit allows for a debug build on a busy machine.
     assert!(begun.elapsed().as_secs() < 60, "{:?}", begun.elapsed());
 }
 
-/// Whether promises fit, by a linear program.
-fn fits(rooms: &[f64], reach: &[u8], promises: &[f64]) -> bool {
+/// Whether the guarantees fit, by a linear program.
+fn fits(capacities: &[f64], reach: &[u8], guarantees: &[f64]) -> bool {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
-    let mut loads = vec![vec![]; rooms.len()];
-    for (reach, promise) in reach.iter().zip(promises) {
+    let mut loads = vec![vec![]; capacities.len()];
+    for (reach, guarantee) in reach.iter().zip(guarantees) {
         let mut parts = vec![];
-        for zone in (0..rooms.len()).filter(|zone| reach >> zone & 1 == 1) {
+        for zone in (0..capacities.len()).filter(|zone| reach >> zone & 1 == 1) {
             let flow = problem.add_var(1.0, (0.0, f64::INFINITY));
             parts.push((flow, 1.0));
             loads[zone].push((flow, 1.0));
         }
-        problem.add_constraint(parts, ComparisonOp::Le, *promise);
+        problem.add_constraint(parts, ComparisonOp::Le, *guarantee);
     }
-    for (room, load) in rooms.iter().zip(loads) {
-        problem.add_constraint(load, ComparisonOp::Le, *room);
+    for (capacity, load) in capacities.iter().zip(loads) {
+        problem.add_constraint(load, ComparisonOp::Le, *capacity);
     }
-    let Ok(SolveOutcome::Solution(solution)) = problem.solve() else { panic!("it has a solution") };
-    solution.objective() >= promises.iter().sum::<f64>() - 1e-6
+    let Ok(SolveOutcome::Solution(solution)) = problem.solve() else { panic!("the program has no solution") };
+    solution.objective() >= guarantees.iter().sum::<f64>() - 1e-6
 }
 
 proptest! {
-    /// One claim a tenant: product at zone a, with a reach of its own.
+    /// Each tenant has one claim: one product in zone a, with its own zone set.
     #[test]
-    fn what_is_refused_can_not_be_and_needs_each_rule_of_the_set(
-        rooms in prop::collection::vec(0u32..60, 2..5),
+    fn a_refused_set_of_guarantees_does_not_fit_and_has_no_needless_rule(
+        capacities in prop::collection::vec(0u32..60, 2..5),
         tenants in prop::collection::vec((1u8..16, 1u32..50), 1..8),
         survive in 0usize..2,
     ) {
-        let rooms: Vec<f64> = rooms.into_iter().map(f64::from).collect();
-        let all = (1u8 << rooms.len()) - 1;
+        let capacities: Vec<f64> = capacities.into_iter().map(f64::from).collect();
+        let all = (1u8 << capacities.len()) - 1;
         let reach: Vec<u8> = tenants.iter().map(|(reach, _)| if reach & all == 0 { all } else { reach & all }).collect();
-        let promises: Vec<f64> = tenants.iter().map(|(_, promise)| f64::from(*promise)).collect();
-        let mut facts = facts(&rooms, tenants.len());
+        let guarantees: Vec<f64> = tenants.iter().map(|(_, guarantee)| f64::from(*guarantee)).collect();
+        let mut facts = facts(&capacities, tenants.len());
         let mut text = HEAD.to_string();
         if survive > 0 {
             text = text.replace("[shares]\n", "[shares]\nsurvive = { zones = 1 }\n");
         }
         for (at, reach) in reach.iter().enumerate() {
-            let zones = (0..rooms.len() as u16).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
+            let zones = (0..capacities.len() as u16).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
             facts.permits.insert((ProductId(at as u16), ZoneId(0)), zones);
-            let rest = format!("products = [\"p{at}\"]\nzones = [\"a\"]\nguarantee_per_s = {}", promises[at]);
+            let rest = format!("products = [\"p{at}\"]\nzones = [\"a\"]\nguarantee_per_s = {}", guarantees[at]);
             text += &tenant(&format!("t{at}"), &rest);
         }
-        let mut losses = vec![rooms.clone()];
-        for lost in (0..rooms.len()).filter(|_| survive > 0) {
-            let mut rooms = rooms.clone();
-            rooms[lost] = 0.0;
-            losses.push(rooms);
+        let mut losses = vec![capacities.clone()];
+        for lost in (0..capacities.len()).filter(|_| survive > 0) {
+            let mut capacities = capacities.clone();
+            capacities[lost] = 0.0;
+            losses.push(capacities);
         }
-        let possible = |promises: &[f64]| losses.iter().all(|rooms| fits(rooms, &reach, promises));
+        let possible = |guarantees: &[f64]| losses.iter().all(|capacities| fits(capacities, &reach, guarantees));
         match compile(&section(&text), &facts) {
-            Ok(_) => prop_assert!(possible(&promises)),
+            Ok(_) => prop_assert!(possible(&guarantees)),
             Err(Unfit::Contradict { rules, .. }) => {
-                let of: Vec<usize> =
-                    (0..promises.len()).filter(|at| rules.iter().any(|rule| rule.says.starts_with(&format!("t{at} ")))).collect();
+                let conflicting: Vec<usize> =
+                    (0..guarantees.len()).filter(|at| rules.iter().any(|rule| rule.text.starts_with(&format!("t{at} ")))).collect();
                 let only = |keep: &dyn Fn(usize) -> bool| -> Vec<f64> {
-                    promises.iter().enumerate().map(|(at, per_s)| if keep(at) { *per_s } else { 0.0 }).collect()
+                    guarantees.iter().enumerate().map(|(at, per_s)| if keep(at) { *per_s } else { 0.0 }).collect()
                 };
-                prop_assert!(!possible(&only(&|at| of.contains(&at))), "the set alone can't be");
-                // Without any one of it, what is left fits the same losses that it was refused for.
-                let lost_any = rules.len() > of.len();
-                let refused = losses.iter().filter(|rooms| !fits(rooms, &reach, &only(&|at| of.contains(&at))));
-                let needs_each = |rooms: &Vec<f64>| of.iter().all(|gone| fits(rooms, &reach, &only(&|at| of.contains(&at) && at != *gone)));
+                prop_assert!(!possible(&only(&|at| conflicting.contains(&at))), "the reported set of guarantees fits");
+                // If any one of the set is left out, the rest fits under the same loss of zones.
+                let lost_any = rules.len() > conflicting.len();
+                let refused = losses.iter().filter(|capacities| !fits(capacities, &reach, &only(&|at| conflicting.contains(&at))));
+                let needs_each = |capacities: &Vec<f64>| conflicting.iter().all(|gone| fits(capacities, &reach, &only(&|at| conflicting.contains(&at) && at != *gone)));
                 prop_assert!(refused.clone().any(needs_each));
-                prop_assert_eq!(lost_any, fits(&rooms, &reach, &promises));
+                prop_assert_eq!(lost_any, fits(&capacities, &reach, &guarantees));
             }
             Err(why) => prop_assert!(false, "{}", why),
         }
