--- a/crates/shares/tests/cases/fairness.rs
+++ b/crates/shares/tests/cases/fairness.rs
@@ -4,22 +4,23 @@
 
 use super::*;
 
-/// One claim a tenant, all under the root.
+/// A tenant with one claim, directly under the root.
 #[derive(Clone, Debug)]
 pub struct One {
     pub reach: u8,
-    pub ask: f64,
+    pub demand: f64,
     pub weight: f64,
     pub guarantee: f64,
     pub ceiling: f64,
 }
 
 /// Tenant `t{at}` with product `p{at}` at zone a.
-pub fn flat(rooms: &[f64], ones: &[One]) -> Option<Arc<Plan>> {
-    let mut facts = facts(rooms, ones.len());
+pub fn plan_of(capacities: &[f64], ones: &[One]) -> Option<Arc<Plan>> {
+    let mut facts = facts(capacities, ones.len());
     let mut text = HEAD.to_string();
     for (at, one) in ones.iter().enumerate() {
-        let zones = (0..rooms.len() as u16).filter(|zone| one.reach >> zone & 1 == 1).map(ZoneId).collect();
+        let zones =
+            (0..capacities.len() as u16).filter(|zone| one.reach >> zone & 1 == 1).map(ZoneId).collect();
         facts.permits.insert((ProductId(at as u16), ZoneId(0)), zones);
         let mut rest = format!("products = [\"p{at}\"]\nzones = [\"a\"]\nweight = {}\n", one.weight);
         rest += &format!("guarantee_per_s = {}\n", one.guarantee);
@@ -31,10 +32,10 @@
     compile(&section(&text), &facts).ok().map(Arc::new)
 }
 
-/// The most that the goal may be while each has at least and at most so much; the goal is the level (with weights)
-/// or one tenant's part.
+/// Maximizes the goal while each tenant's rate is between `least` and `most`. The goal is the level (by weights) or one
+/// tenant's rate.
 fn program(
-    rooms: &[f64],
+    capacities: &[f64],
     ones: &[One],
     least: &[f64],
     most: &[f64],
@@ -43,10 +44,10 @@
 ) -> f64 {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
     let level = problem.add_var(if goal.is_none() { 1.0 } else { 0.0 }, (0.0, 1e6));
-    let mut loads: Vec<Vec<(Variable, f64)>> = vec![vec![]; rooms.len()];
+    let mut loads: Vec<Vec<(Variable, f64)>> = vec![vec![]; capacities.len()];
     for (at, one) in ones.iter().enumerate() {
         let mut parts = vec![];
-        for zone in (0..rooms.len()).filter(|zone| one.reach >> zone & 1 == 1) {
+        for zone in (0..capacities.len()).filter(|zone| one.reach >> zone & 1 == 1) {
             let flow = problem.add_var(if goal == Some(at) { 1.0 } else { 0.0 }, (0.0, f64::INFINITY));
             parts.push((flow, 1.0));
             loads[zone].push((flow, 1.0));
@@ -58,8 +59,8 @@
             problem.add_constraint(parts, ComparisonOp::Ge, 0.0);
         }
     }
-    for (room, load) in rooms.iter().zip(loads) {
-        problem.add_constraint(load, ComparisonOp::Le, *room);
+    for (capacity, load) in capacities.iter().zip(loads) {
+        problem.add_constraint(load, ComparisonOp::Le, *capacity);
     }
     match problem.solve() {
         Ok(SolveOutcome::Solution(solution)) => solution.objective(),
@@ -67,9 +68,10 @@
     }
 }
 
-/// Max-min by linear programs: the level is raised as far as it goes, who can't go on stops, and so on.
-pub fn exact(rooms: &[f64], ones: &[One]) -> Vec<f64> {
-    let cap: Vec<f64> = ones.iter().map(|one| one.ask.min(one.ceiling)).collect();
+/// Max-min allocation by linear programs: the level is raised as far as possible, tenants that can't get more are fixed,
+/// and this is repeated for the others.
+pub fn allocate_by_programs(capacities: &[f64], ones: &[One]) -> Vec<f64> {
+    let cap: Vec<f64> = ones.iter().map(|one| one.demand.min(one.ceiling)).collect();
     let floor: Vec<f64> = ones.iter().zip(&cap).map(|(one, cap)| one.guarantee.min(*cap)).collect();
     let mut stopped: Vec<Option<f64>> = vec![None; ones.len()];
     while stopped.iter().any(Option::is_none) {
@@ -77,7 +79,7 @@
         let least: Vec<f64> = (0..ones.len()).map(|at| stopped[at].unwrap_or(floor[at])).collect();
         let most: Vec<f64> = (0..ones.len()).map(|at| stopped[at].unwrap_or(cap[at])).collect();
         let ease = |least: &[f64]| least.iter().map(|least| (least - 1e-7).max(0.0)).collect::<Vec<_>>();
-        let level = program(rooms, ones, &ease(&least), &most, &rising, None);
+        let level = program(capacities, ones, &ease(&least), &most, &rising, None);
         let at_level =
             |at: usize| stopped[at].unwrap_or((ones[at].weight * level).max(floor[at]).min(cap[at]));
         let least: Vec<f64> = (0..ones.len()).map(at_level).collect();
@@ -86,22 +88,22 @@
             let full = least[at] >= cap[at] - 1e-7;
             let most: Vec<f64> =
                 (0..ones.len()).map(|other| if other == at { f64::INFINITY } else { most[other] }).collect();
-            let can = program(rooms, ones, &ease(&least), &most, &rising, Some(at));
+            let can = program(capacities, ones, &ease(&least), &most, &rising, Some(at));
             if full || can <= least[at] + 1e-5 {
                 stopped[at] = Some(least[at]);
                 one_stopped = true;
             }
         }
-        assert!(one_stopped, "somebody is at the limit: {rooms:?} {ones:?} {least:?}");
+        assert!(one_stopped, "no tenant is at its limit: {capacities:?} {ones:?} {least:?}");
     }
     stopped.into_iter().flatten().collect()
 }
 
 fn one() -> impl Strategy<Value = One> {
     (1u8..8, 0u32..100, 1u32..5, 0u32..20, prop::option::of(20u32..60)).prop_map(
-        |(reach, ask, weight, guarantee, ceiling)| One {
+        |(reach, demand, weight, guarantee, ceiling)| One {
             reach,
-            ask: f64::from(ask),
+            demand: f64::from(demand),
             weight: f64::from(weight),
             guarantee: f64::from(guarantee),
             ceiling: ceiling.map_or(f64::INFINITY, f64::from),
@@ -109,84 +111,88 @@
     )
 }
 
-/// The most that still fits, by halving; over many orders of size at first.
-fn halve(mut under: f64, mut over: f64, fits: impl Fn(f64) -> bool) -> f64 {
-    if fits(over) {
-        return over;
+/// The largest value that fits, by bisection; first over orders of magnitude.
+fn bisect(mut low: f64, mut high: f64, fits: impl Fn(f64) -> bool) -> f64 {
+    if fits(high) {
+        return high;
     }
-    while over - under > 1e-13 * (1.0 + over) {
-        let wide = over > 2.0 * under + 1e-9 && over > 1e-6;
-        let half = if wide { f64::sqrt((under + 1e-9) * over) } else { (under + over) / 2.0 };
-        if fits(half) {
-            under = half;
+    while high - low > 1e-13 * (1.0 + high) {
+        let wide = high > 2.0 * low + 1e-9 && high > 1e-6;
+        let mid = if wide { f64::sqrt((low + 1e-9) * high) } else { (low + high) / 2.0 };
+        if fits(mid) {
+            low = mid;
         } else {
-            over = half;
+            high = mid;
         }
     }
-    under
+    low
 }
 
-/// Whether so much of each class can be served, by looking at every set of zones.
-pub fn carried(rooms: &[f64], reach: &[u8], amounts: &[f64]) -> bool {
-    (0..1u8 << rooms.len()).all(|zones| {
-        let room: f64 = (0..rooms.len()).filter(|zone| zones >> zone & 1 == 1).map(|zone| rooms[zone]).sum();
+/// Whether these amounts can be served by the zones that each may use, by checking every set of zones.
+pub fn fits_capacity(capacities: &[f64], reach: &[u8], amounts: &[f64]) -> bool {
+    (0..1u8 << capacities.len()).all(|zones| {
+        let capacity: f64 =
+            (0..capacities.len()).filter(|zone| zones >> zone & 1 == 1).map(|zone| capacities[zone]).sum();
         let inside = |(reach, amount): (&u8, &f64)| if reach & !zones == 0 { *amount } else { 0.0 };
-        reach.iter().zip(amounts).map(inside).sum::<f64>() <= room * (1.0 + 1e-6) + 1e-6
+        reach.iter().zip(amounts).map(inside).sum::<f64>() <= capacity * (1.0 + 1e-6) + 1e-6
     })
 }
 
-/// A node of the plain model: those under it, or for a claim the zones that may serve it and what it asks.
+/// A node of the reference model: an inner node with its children, or a claim with the zones that may serve it and its
+/// demand.
 #[derive(Clone, Debug)]
 enum Node {
-    Under { weight: f64, guarantee: f64, ceiling: f64, kids: Vec<Node> },
-    Claim { reach: u8, ask: f64, guarantee: f64, at: usize },
+    Inner { weight: f64, guarantee: f64, ceiling: f64, children: Vec<Node> },
+    Claim { reach: u8, demand: f64, guarantee: f64, at: usize },
 }
 
 impl Node {
     fn cap(&self, caps: &[f64]) -> f64 {
         match self {
-            Node::Under { ceiling, kids, .. } => {
-                kids.iter().map(|kid| kid.cap(caps)).sum::<f64>().min(*ceiling)
+            Node::Inner { ceiling, children, .. } => {
+                children.iter().map(|child| child.cap(caps)).sum::<f64>().min(*ceiling)
             }
             Node::Claim { at, .. } => caps[*at],
         }
     }
     fn floor(&self, caps: &[f64], least: &[f64]) -> f64 {
         match self {
-            Node::Under { guarantee, kids, .. } => {
-                kids.iter().map(|kid| kid.floor(caps, least)).sum::<f64>().max(guarantee.min(self.cap(caps)))
-            }
+            Node::Inner { guarantee, children, .. } => children
+                .iter()
+                .map(|child| child.floor(caps, least))
+                .sum::<f64>()
+                .max(guarantee.min(self.cap(caps))),
             Node::Claim { at, .. } => least[*at].min(caps[*at]),
         }
     }
     fn least(&self, least: &[f64]) -> f64 {
         match self {
-            Node::Under { kids, .. } => kids.iter().map(|kid| kid.least(least)).sum(),
+            Node::Inner { children, .. } => children.iter().map(|child| child.least(least)).sum(),
             Node::Claim { at, .. } => least[*at],
         }
     }
     fn weight(&self) -> f64 {
         match self {
-            Node::Under { weight, .. } => *weight,
-            Node::Claim { ask, .. } => ask.max(1e-12),
+            Node::Inner { weight, .. } => *weight,
+            Node::Claim { demand, .. } => demand.max(1e-12),
         }
     }
     fn claims<'a>(&'a self, out: &mut Vec<&'a Node>) {
         match self {
-            Node::Under { kids, .. } => kids.iter().for_each(|kid| kid.claims(out)),
+            Node::Inner { children, .. } => children.iter().for_each(|child| child.claims(out)),
             Node::Claim { .. } => out.push(self),
         }
     }
-    /// Deals so much down the tree by halving, with no thought for speed.
+    /// Divides a total down the tree by bisection, without regard to speed.
     fn deal(&self, total: f64, caps: &[f64], least: &[f64], x: &mut [f64]) {
-        let Node::Under { kids, .. } = self else {
+        let Node::Inner { children, .. } = self else {
             if let Node::Claim { at, .. } = self {
                 x[*at] = total;
             }
             return;
         };
-        let floors: Vec<f64> = kids.iter().map(|kid| kid.floor(caps, least)).collect();
-        let leasts: Vec<f64> = kids.iter().map(|kid| kid.least(least)).collect();
+        let floors: Vec<f64> = children.iter().map(|child| child.floor(caps, least)).collect();
+        let leasts: Vec<f64> = children.iter().map(|child| child.least(least)).collect();
         let (floor, low) = (floors.iter().sum::<f64>(), leasts.iter().sum::<f64>());
         let parts: Vec<f64> = if total <= floor {
             let part = if floor > low { ((total - low) / (floor - low)).max(0.0) } else { 1.0 };
@@ -194,44 +200,44 @@
         } else {
             let at = |level: f64| -> Vec<f64> {
                 let part =
-                    |(kid, floor): (&Node, &f64)| (kid.weight() * level).max(*floor).min(kid.cap(caps));
-                kids.iter().zip(&floors).map(part).collect()
+                    |(child, floor): (&Node, &f64)| (child.weight() * level).max(*floor).min(child.cap(caps));
+                children.iter().zip(&floors).map(part).collect()
             };
-            at(halve(0.0, 1e16, |level| at(level).iter().sum::<f64>() <= total))
+            at(bisect(0.0, 1e16, |level| at(level).iter().sum::<f64>() <= total))
         };
-        kids.iter().zip(parts).for_each(|(kid, part)| kid.deal(part, caps, least, x));
+        children.iter().zip(parts).for_each(|(child, part)| child.deal(part, caps, least, x));
     }
 }
 
-/// Both fillings, each step by halving.
-fn plainly(rooms: &[f64], root: &Node) -> Vec<f64> {
+/// Both phases of the allocation, each step by bisection.
+fn reference(capacities: &[f64], root: &Node) -> Vec<f64> {
     let mut claims = vec![];
     root.claims(&mut claims);
     let of = |claim: &&Node| match claim {
-        Node::Claim { reach, ask, guarantee, .. } => (*reach, *ask, guarantee.min(*ask)),
-        Node::Under { .. } => unreachable!(),
+        Node::Claim { reach, demand, guarantee, .. } => (*reach, *demand, guarantee.min(*demand)),
+        Node::Inner { .. } => unreachable!(),
     };
     let reach: Vec<u8> = claims.iter().map(|claim| of(claim).0).collect();
     let mut caps: Vec<f64> = claims.iter().map(|claim| of(claim).1).collect();
     let floors: Vec<f64> = claims.iter().map(|claim| of(claim).2).collect();
-    // The first: guarantees by equal parts; who is in a full set of zones stops, with all of the same reach.
+    // Phase 1 raises guarantees by the same fraction. Claims whose zones are full stop, with all of the same zone set.
     let mut part: Vec<Option<f64>> = vec![None; claims.len()];
     while part.iter().any(Option::is_none) {
         let at = |common: f64| -> Vec<f64> {
             floors.iter().zip(&part).map(|(floor, part)| floor * part.unwrap_or(common)).collect()
         };
-        let under = halve(0.0, 1.0, |common| carried(rooms, &reach, &at(common)));
-        let now = at(under);
+        let fraction = bisect(0.0, 1.0, |common| fits_capacity(capacities, &reach, &at(common)));
+        let now = at(fraction);
         let more = |claim: usize| {
             let mut next = now.clone();
             next[claim] += 1e-4;
-            carried(rooms, &reach, &next)
+            fits_capacity(capacities, &reach, &next)
         };
         let stops: Vec<usize> =
-            (0..claims.len()).filter(|at| part[*at].is_none() && (under >= 1.0 || !more(*at))).collect();
+            (0..claims.len()).filter(|at| part[*at].is_none() && (fraction >= 1.0 || !more(*at))).collect();
         for at in stops {
-            part[at] = Some(under);
-            if under < 1.0 {
+            part[at] = Some(fraction);
+            if fraction < 1.0 {
                 caps[at] = now[at];
             }
         }
@@ -247,7 +253,7 @@
             root.deal(total, &caps, &least, &mut x);
             x
         };
-        let total = halve(root.least(&least), most, |total| carried(rooms, &reach, &at(total)));
+        let total = bisect(root.least(&least), most, |total| fits_capacity(capacities, &reach, &at(total)));
         let next = at(total);
         if total >= most {
             return next;
@@ -255,7 +261,7 @@
         let more = |claim: usize| {
             let mut next = next.clone();
             next[claim] += 1e-4;
-            carried(rooms, &reach, &next)
+            fits_capacity(capacities, &reach, &next)
         };
         let stops: Vec<usize> = (0..claims.len()).filter(|at| !stopped[*at] && !more(*at)).collect();
         x.clone_from(&next);
@@ -278,28 +284,28 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(28), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_deal_is_as_fair_as_linear_programs_have_it(
-        rooms in prop::collection::vec(1u32..80, 3),
+    fn an_allocation_is_as_fair_as_by_linear_programs(
+        capacities in prop::collection::vec(1u32..80, 3),
         ones in prop::collection::vec(one(), 1..7),
     ) {
-        let rooms: Vec<f64> = rooms.into_iter().map(f64::from).collect();
-        let Some(plan) = flat(&rooms, &ones) else { return Ok(()) };
-        let asks: Vec<f64> = ones.iter().map(|one| one.ask).collect();
-        let found = Round::new(plan).fair(&asks, &rooms, None).to_vec();
-        let expected = exact(&rooms, &ones);
+        let capacities: Vec<f64> = capacities.into_iter().map(f64::from).collect();
+        let Some(plan) = plan_of(&capacities, &ones) else { return Ok(()) };
+        let demands: Vec<f64> = ones.iter().map(|one| one.demand).collect();
+        let found = Round::new(plan).fair(&demands, &capacities, None).to_vec();
+        let expected = allocate_by_programs(&capacities, &ones);
         prop_assert!(close(&found, &expected), "{found:?} {expected:?}");
     }
 
-    /// Trees, several claims of a tenant, and room that has fallen below what is promised.
+    /// Trees, several claims per tenant, and capacity below the guarantees.
     #[test]
-    fn a_deal_down_a_tree_is_as_a_plain_one(
-        rooms in prop::collection::vec(1u32..120, 3),
+    fn an_allocation_in_a_tree_equals_the_reference(
+        capacities in prop::collection::vec(1u32..120, 3),
         parents in prop::collection::vec((1u32..5, prop::option::of(0u32..40), prop::option::of(40u32..90)), 1..4),
         leaves in prop::collection::vec((0usize..4, 1u32..5, 0u32..15, prop::option::of(15u32..50), prop::collection::vec((0u32..60, 1u8..8), 1..4)), 1..7),
         left in 1u32..11,
     ) {
-        let rooms: Vec<f64> = rooms.into_iter().map(f64::from).collect();
-        let mut facts = facts(&rooms, leaves.len());
+        let capacities: Vec<f64> = capacities.into_iter().map(f64::from).collect();
+        let mut facts = facts(&capacities, leaves.len());
         let mut text = HEAD.to_string();
         let used: Vec<usize> = (0..parents.len()).filter(|parent| leaves.iter().any(|leaf| leaf.0 == *parent)).collect();
         for parent in &used {
@@ -310,9 +316,9 @@
             if let Some(ceiling) = ceiling { rest += &format!("ceiling_per_s = {}\n", ceiling + under + guarantee.unwrap_or(0)) }
             text += &tenant(&format!("g{parent}"), &rest);
         }
-        let mut kids: Vec<Vec<Node>> = vec![vec![]; parents.len() + 1];
-        // The plan's order is not the model's: claims are matched by tenant and zone.
-        let mut asks: Vec<(u32, u16, f64)> = vec![];
+        let mut children: Vec<Vec<Node>> = vec![vec![]; parents.len() + 1];
+        // The plan orders claims differently from the model, so they are matched by tenant and zone.
+        let mut demands: Vec<(u32, u16, f64)> = vec![];
         for (leaf, (parent, weight, guarantee, ceiling, claims)) in leaves.iter().enumerate() {
             let top = !used.contains(parent);
             let zones: Vec<String> = (0..claims.len()).map(|zone| format!("\"{}\"", ["a", "b", "c"][zone])).collect();
@@ -321,56 +327,56 @@
             if let Some(ceiling) = ceiling { rest += &format!("ceiling_per_s = {ceiling}\n") }
             text += &tenant(&format!("t{leaf}"), &rest);
             let mut mine = vec![];
-            for (zone, (ask, reach)) in claims.iter().enumerate() {
+            for (zone, (demand, reach)) in claims.iter().enumerate() {
                 let permit = (0..3).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
                 facts.permits.insert((ProductId(leaf as u16), ZoneId(zone as u16)), permit);
                 let guarantee = f64::from(*guarantee) / claims.len() as f64;
-                mine.push(Node::Claim { reach: *reach, ask: f64::from(*ask), guarantee, at: asks.len() });
-                asks.push(((used.len() + leaf) as u32, zone as u16, f64::from(*ask)));
+                mine.push(Node::Claim { reach: *reach, demand: f64::from(*demand), guarantee, at: demands.len() });
+                demands.push(((used.len() + leaf) as u32, zone as u16, f64::from(*demand)));
             }
-            kids[if top { parents.len() } else { *parent }].push(Node::Under {
+            children[if top { parents.len() } else { *parent }].push(Node::Inner {
                 weight: f64::from(*weight),
                 guarantee: f64::from(*guarantee),
                 ceiling: ceiling.map_or(f64::INFINITY, f64::from),
-                kids: mine,
+                children: mine,
             });
         }
         let Ok(plan) = compile(&section(&text), &facts) else { return Ok(()) };
-        let mut root = kids.pop().unwrap();
+        let mut root = children.pop().unwrap();
         for parent in used {
             let (weight, guarantee, ceiling) = parents[parent];
             let under: u32 = leaves.iter().filter(|leaf| leaf.0 == parent).map(|leaf| leaf.2).sum();
-            root.push(Node::Under {
+            root.push(Node::Inner {
                 weight: f64::from(weight),
                 guarantee: guarantee.map_or(0.0, |more| f64::from(under + more)),
                 ceiling: ceiling.map_or(f64::INFINITY, |ceiling| f64::from(ceiling + under + guarantee.unwrap_or(0))),
-                kids: std::mem::take(&mut kids[parent]),
+                children: std::mem::take(&mut children[parent]),
             });
         }
-        let root = Node::Under { weight: 1.0, guarantee: 0.0, ceiling: f64::INFINITY, kids: root };
-        let rooms: Vec<f64> = rooms.iter().map(|room| room * f64::from(left) / 10.0).collect();
-        // The model numbers claims as they were made; its leaves are walked in another order.
+        let root = Node::Inner { weight: 1.0, guarantee: 0.0, ceiling: f64::INFINITY, children: root };
+        let capacities: Vec<f64> = capacities.iter().map(|capacity| capacity * f64::from(left) / 10.0).collect();
+        // The model numbers claims in creation order, but visits its leaves in another order.
         let mut claims = vec![];
         root.claims(&mut claims);
-        let order: Vec<usize> = claims.iter().map(|claim| match claim { Node::Claim { at, .. } => *at, Node::Under { .. } => unreachable!() }).collect();
+        let order: Vec<usize> = claims.iter().map(|claim| match claim { Node::Claim { at, .. } => *at, Node::Inner { .. } => unreachable!() }).collect();
         let mut renumbered = root.clone();
         let mut next = 0;
         renumber(&mut renumbered, &mut next);
-        let found = plainly(&rooms, &renumbered);
-        let mut expected = vec![0.0; asks.len()];
+        let found = reference(&capacities, &renumbered);
+        let mut expected = vec![0.0; demands.len()];
         order.iter().zip(&found).for_each(|(at, x)| expected[*at] = *x);
         let plan = Arc::new(plan);
-        let by_claim: Vec<usize> = plan.claims().map(|(_, tenant, zone)| asks.iter().position(|ask| (ask.0, ask.1) == (tenant.0, zone.0)).unwrap()).collect();
-        let ask: Vec<f64> = by_claim.iter().map(|at| asks[*at].2).collect();
+        let by_claim: Vec<usize> = plan.claims().map(|(_, tenant, zone)| demands.iter().position(|demand| (demand.0, demand.1) == (tenant.0, zone.0)).unwrap()).collect();
+        let demand: Vec<f64> = by_claim.iter().map(|at| demands[*at].2).collect();
         let expected: Vec<f64> = by_claim.iter().map(|at| expected[*at]).collect();
-        let found = Round::new(plan).fair(&ask, &rooms, None).to_vec();
+        let found = Round::new(plan).fair(&demand, &capacities, None).to_vec();
         prop_assert!(close(&found, &expected), "{found:?} {expected:?}");
     }
 }
 
 fn renumber(node: &mut Node, next: &mut usize) {
     match node {
-        Node::Under { kids, .. } => kids.iter_mut().for_each(|kid| renumber(kid, next)),
+        Node::Inner { children, .. } => children.iter_mut().for_each(|child| renumber(child, next)),
         Node::Claim { at, .. } => {
             *at = *next;
             *next += 1;
@@ -379,7 +385,7 @@
 }
 
 #[test]
-fn what_is_not_lent_stays_free_and_what_never_borrows_stays_within() {
+fn a_guarantee_that_is_not_lent_stays_free_and_a_tenant_that_never_borrows_stays_within() {
     let text = HEAD.to_string()
         + &tenant("keeps", "products = [\"p0\"]\nguarantee_per_s = 40\nlends = false")
         + &tenant("stays", "products = [\"p1\"]\nguarantee_per_s = 20\nborrows = false")
@@ -391,7 +397,7 @@
 }
 
 #[test]
-fn under_a_level_a_part_of_the_guarantee_holds() {
+fn under_a_level_a_fraction_of_the_guarantee_applies() {
     let text = HEAD.to_string()
         + &tenant(
             "x",
@@ -415,14 +421,14 @@
         );
     }
     let plan = plan(&text, &facts(&[300.0, 300.0], 10));
-    let asks = vec![500.0; plan.claims().count()];
+    let demands = vec![500.0; plan.claims().count()];
     let mut round = Round::new(plan.clone());
-    round.deal(0.0, &asks, &[300.0, 300.0], None);
+    round.deal(0.0, &demands, &[300.0, 300.0], None);
     let sum = |round: &Round| round.rates().iter().sum::<f64>();
     assert!((sum(&round) - 600.0).abs() < 0.01, "{}", sum(&round));
-    let dealt = round.deal(1_000.0, &asks, &[30.0, 30.0], None);
+    let dealt = round.deal(1_000.0, &demands, &[30.0, 30.0], None);
     assert!(dealt.short && sum(&round) <= 60.0 + 1e-6 && sum(&round) > 59.9);
-    // 275 are promised and 60 are there: each has the same part of its guarantee.
+    // The guarantees are 275 and the capacity is 60, so each tenant gets the same fraction of its guarantee.
     for (claim, tenant, _) in plan.claims() {
         let part = round.rates()[claim.0 as usize] / (5.0 * f64::from(tenant.0 + 1) / 2.0);
         assert!((part - 60.0 / 275.0).abs() < 0.01, "{part}");
--- a/crates/shares/tests/cases/hard.rs
+++ b/crates/shares/tests/cases/hard.rs
@@ -1,4 +1,4 @@
-//! Zones lost for real, ranges of proxies, and levels beside grants, against what a plain reading says.
+//! Loss of zones, ranges of proxies, and limits of service levels combined with grants, compared with simple models.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,23 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use super::fairness::{carried, exact, One};
+use super::fairness::{allocate_by_programs, fits_capacity, One};
 use super::*;
 
 const ONE_LOST: &str = "[shares]\nsurvive = { zones = 1 }\nfloor = { part = 0.1, stewards = 4 }\n";
 
-/// Tenants at home in the zones in turn, each with a product, a reach and a guarantee.
-fn spread(head: &str, rooms: &[f64], ones: &[(u8, f64)], place: impl Fn(&str) -> String) -> Option<Plan> {
-    let mut facts = facts(rooms, ones.len());
+/// Tenants whose txns arrive in the zones in turn, each with its own product, zone set and guarantee.
+fn spread(
+    head: &str,
+    capacities: &[f64],
+    ones: &[(u8, f64)],
+    place: impl Fn(&str) -> String,
+) -> Option<Plan> {
+    let mut facts = facts(capacities, ones.len());
     let mut text = head.to_string();
     for (at, (reach, guarantee)) in ones.iter().enumerate() {
-        let home = at % rooms.len();
-        let zones = (0..rooms.len() as u16).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
+        let home = at % capacities.len();
+        let zones = (0..capacities.len() as u16).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
         facts.permits.insert((ProductId(at as u16), ZoneId(home as u16)), zones);
         let place = place(&facts.zones[home].name);
         let rest = format!("products = [\"p{at}\"]\n{place}\nguarantee_per_s = {guarantee}");
@@ -37,75 +42,77 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(28), ..ProptestConfig::default() })]
 
-    /// What a plan that survives a zone promises is there as soon as one is lost, whichever, and whatever was lent.
+    /// Under a plan that survives the loss of one zone, all guarantees are met as soon as any zone is lost, whatever was
+    /// lent before.
     #[test]
     fn a_zone_is_lost_and_every_guarantee_is_there_in_the_same_round(
-        rooms in prop::collection::vec(30u32..120, 3),
+        capacities in prop::collection::vec(30u32..120, 3),
         ones in ones(),
         before in prop::collection::vec(0u32..150, 7),
         lost in 0usize..3,
     ) {
-        let mut rooms: Vec<f64> = rooms.into_iter().map(f64::from).collect();
-        let promised: Vec<(u8, f64)> = ones.iter().map(|one| (one.0, f64::from(one.1))).collect();
-        let Some(plan) = spread(ONE_LOST, &rooms, &promised, in_zone) else { return Ok(()) };
+        let mut capacities: Vec<f64> = capacities.into_iter().map(f64::from).collect();
+        let guarantees: Vec<(u8, f64)> = ones.iter().map(|one| (one.0, f64::from(one.1))).collect();
+        let Some(plan) = spread(ONE_LOST, &capacities, &guarantees, in_zone) else { return Ok(()) };
         let mut round = Round::new(Arc::new(plan));
         let asks: Vec<f64> = before.iter().take(ones.len()).map(|ask| f64::from(*ask)).collect();
         for second in 0..3 {
-            round.deal(1_000.0 * f64::from(second), &asks, &rooms, None);
+            round.deal(1_000.0 * f64::from(second), &asks, &capacities, None);
         }
-        rooms[lost] = 0.0;
+        capacities[lost] = 0.0;
         let asks: Vec<f64> = ones.iter().map(|one| f64::from(one.2)).collect();
-        let dealt = round.deal(3_000.0, &asks, &rooms, None);
+        let dealt = round.deal(3_000.0, &asks, &capacities, None);
         let reach: Vec<u8> = ones.iter().map(|one| one.0).collect();
-        prop_assert!(carried(&rooms, &reach, round.rates()), "{:?} in {rooms:?}", round.rates());
+        prop_assert!(fits_capacity(&capacities, &reach, round.rates()), "{:?} in {capacities:?}", round.rates());
         prop_assert!(!dealt.short);
         for (at, (rate, ask)) in round.rates().iter().zip(&asks).enumerate() {
-            prop_assert!(*rate >= promised[at].1.min(*ask) * (1.0 - 1e-4) - 1e-6, "{at}: {:?}", round.rates());
+            prop_assert!(*rate >= guarantees[at].1.min(*ask) * (1.0 - 1e-4) - 1e-6, "{at}: {:?}", round.rates());
         }
     }
 
-    /// A range that shares its pair with nobody has the whole of it: dealt as a tenant of the zone is, and as programs say.
+    /// A range of proxies whose pair has no other owner owns the whole pair: it is allocated the same as a tenant of the
+    /// whole zone, and the same as by linear programs.
     #[test]
-    fn a_tenant_is_a_range_of_proxies_and_is_dealt_as_one_of_the_whole_zone(
-        rooms in prop::collection::vec(1u32..80, 3),
+    fn a_tenant_is_a_range_of_proxies_and_is_allocated_as_one_of_the_whole_zone(
+        capacities in prop::collection::vec(1u32..80, 3),
         ones in ones(),
         (from, to) in (0u32..50, 50u32..100),
     ) {
-        let rooms: Vec<f64> = rooms.into_iter().map(f64::from).collect();
-        let promised: Vec<(u8, f64)> = ones.iter().map(|one| (one.0, f64::from(one.1))).collect();
+        let capacities: Vec<f64> = capacities.into_iter().map(f64::from).collect();
+        let guarantees: Vec<(u8, f64)> = ones.iter().map(|one| (one.0, f64::from(one.1))).collect();
         let range = |zone: &str| format!("proxies = [{{ zone = \"{zone}\", from = {from}, to = {to} }}]");
-        let by_range = spread(HEAD, &rooms, &promised, range);
-        let by_zone = spread(HEAD, &rooms, &promised, in_zone);
+        let by_range = spread(HEAD, &capacities, &guarantees, range);
+        let by_zone = spread(HEAD, &capacities, &guarantees, in_zone);
         prop_assert_eq!(by_range.is_some(), by_zone.is_some());
         let (Some(by_range), Some(by_zone)) = (by_range, by_zone) else { return Ok(()) };
         prop_assert!(by_range.owned().eq(by_zone.owned()));
         let asks: Vec<f64> = ones.iter().map(|one| f64::from(one.2)).collect();
-        let found = Round::new(Arc::new(by_range)).fair(&asks, &rooms, None).to_vec();
+        let found = Round::new(Arc::new(by_range)).fair(&asks, &capacities, None).to_vec();
         let ones: Vec<One> = ones.iter().map(|(reach, guarantee, ask)| One {
             reach: *reach,
-            ask: f64::from(*ask),
+            demand: f64::from(*ask),
             weight: 1.0,
             guarantee: f64::from(*guarantee),
             ceiling: f64::INFINITY,
         }).collect();
-        let expected = exact(&rooms, &ones);
+        let expected = allocate_by_programs(&capacities, &ones);
         let close = |(found, expected): (&f64, &f64)| (found - expected).abs() <= 1e-3 * expected.max(1.0);
         prop_assert!(found.iter().zip(&expected).all(close), "{found:?} {expected:?}");
     }
 
-    /// Words of levels and of grants in any order: the decisions go by the lesser share and the level's word on tries, and
-    /// hear of a pair only what is new.
+    /// Limits of levels and grants come in any order. The emitted limit has the smaller share and the tries of the level,
+    /// and is emitted only when it changes.
     #[test]
     fn levels_and_grants_bound_the_same_products_in_any_order_and_the_lesser_holds(
-        words in prop::collection::vec((any::<bool>(), 0u16..2, 0u16..2, 0u32..11, any::<bool>()), 1..60),
+        limits in prop::collection::vec((any::<bool>(), 0u16..2, 0u16..2, 0u32..11, any::<bool>()), 1..60),
     ) {
         type Side = BTreeMap<(u16, u16), (f64, Tries)>;
         let mut lesser = Lesser::default();
-        let (mut levels, mut grants, mut told): (Side, Side, Side) = Default::default();
-        for (level, zone, product, share, one) in words {
+        let (mut levels, mut grants, mut emitted): (Side, Side, Side) = Default::default();
+        for (level, zone, product, share, one) in limits {
             let (pair, share) = ((zone, product), f64::from(share) / 10.0);
             let (zone, product) = (ZoneId(zone), ProductId(product));
-            // Grants say nothing of tries; without a level's word they are as without any bound.
+            // Grants do not limit tries; without a limit by level tries are as without any limit.
             let tries = if one { Tries::One } else { Tries::AfterAny };
             let out = if level {
                 levels.insert(pair, (share, tries));
@@ -117,24 +124,24 @@
             let of = |side: &Side| side.get(&pair).copied();
             let tries = of(&levels).map_or(Tries::TwiceAfterAny, |level| level.1);
             let share = f64::min(of(&levels).map_or(1.0, |level| level.0), of(&grants).map_or(1.0, |grant| grant.0));
-            let before = told.insert(pair, (share, tries));
-            let news =
+            let before = emitted.insert(pair, (share, tries));
+            let expected =
                 (before != Some((share, tries))).then_some(Event::Bound { zone, product, share, tries });
-            prop_assert_eq!(out, news);
+            prop_assert_eq!(out, expected);
         }
     }
 }
 
-/// The zone falls after the steward's word was heard and before the chair is confirmed: what it deals then is dealt
-/// without that zone.
+/// A zone is lost after a report arrived and before the leader is confirmed. Guards against grants for the capacity of
+/// that zone.
 #[test]
-fn a_zone_is_lost_between_a_word_and_its_answer_and_nothing_is_dealt_of_it() {
-    let rooms = [100.0, 100.0, 100.0];
+fn a_zone_is_lost_between_a_report_and_its_answer_and_none_of_it_is_granted() {
+    let capacities = [100.0, 100.0, 100.0];
     let plan =
-        Arc::new(spread(ONE_LOST, &rooms, &[(7, 60.0), (7, 50.0), (7, 40.0)], in_zone).expect("a plan"));
+        Arc::new(spread(ONE_LOST, &capacities, &[(7, 60.0), (7, 50.0), (7, 40.0)], in_zone).expect("a plan"));
     let lengths = Lengths::new(1_000.0, 0.0, 0.0).expect("lengths");
     let mut chair = Chair::new(0.0, 1, 1, plan.clone(), [Holder(0)].into(), lengths);
-    for (at, falls) in [(1u64, false), (2, false), (3, true)] {
+    for (at, zone_is_lost) in [(1u64, false), (2, false), (3, true)] {
         let now = 2_000.0 + 200.0 * at as f64;
         let demand = plan.claims().map(|(_, tenant, zone)| Grant { tenant, zone, per_s: 200.0 });
         let capacity = (0..3).map(|zone| (Zone(zone), 100.0)).collect();
@@ -142,7 +149,7 @@
         let seen =
             Seen { round, term: 1, plan: 1, lived: 1e6, demand: demand.collect(), capacity, held: vec![] };
         chair.handle(now, Input::Heard { from: Holder(0), said: Said::Seen(seen) });
-        if falls {
+        if zone_is_lost {
             chair.handle(now + 40.0, Input::Fell { zone: Zone(1), per_s: 0.0 });
         }
         let out = chair.handle(now + 150.0, Input::Stood { since: now + 50.0 });
@@ -152,11 +159,11 @@
         };
         let grants: Vec<Grant> = out.iter().flat_map(granted).collect();
         let sum: f64 = grants.iter().map(|grant| grant.per_s).sum();
-        // Floors of three stewards that are not there are kept free.
-        let there = if falls { 200.0 } else { 300.0 };
-        assert!(sum <= there && sum > 0.9 * there, "{at}: {grants:?}");
-        for (grant, promised) in grants.iter().zip([60.0, 50.0, 40.0]) {
-            assert!(grant.per_s >= promised * 0.925 - 1e-6, "{at}: {grants:?}");
+        // The floors of three absent controllers are reserved.
+        let available = if zone_is_lost { 200.0 } else { 300.0 };
+        assert!(sum <= available && sum > 0.9 * available, "{at}: {grants:?}");
+        for (grant, guarantee) in grants.iter().zip([60.0, 50.0, 40.0]) {
+            assert!(grant.per_s >= guarantee * 0.925 - 1e-6, "{at}: {grants:?}");
         }
         chair.handle(now + 160.0, Input::Heard { from: Holder(0), said: Said::Taken { round, term: 1 } });
     }
--- a/crates/shares/tests/cases/main.rs
+++ b/crates/shares/tests/cases/main.rs
@@ -1,4 +1,4 @@
-//! What compiling, dealing and granting have to hold, each under the failure it is named after.
+//! Tests of compilation, allocation and grants. Each test is named after the failure that it covers.
 
 mod compiling;
 mod fairness;
@@ -28,23 +28,23 @@
     }
 }
 
-/// Zones a, b, c ... that can do so much, and products p0, p1 ...
-fn facts(rooms: &[f64], products: usize) -> Facts {
-    let zone = |(at, room): (usize, &f64)| ZoneFact {
+/// Zones a, b, c ... with these capacities, and products p0, p1 ...
+fn facts(capacities: &[f64], products: usize) -> Facts {
+    let zone = |(at, capacity): (usize, &f64)| ZoneFact {
         name: char::from(b'a' + at as u8).to_string(),
         proxies: 100,
-        capacity_per_s: *room,
+        capacity_per_s: *capacity,
     };
     Facts {
-        zones: rooms.iter().enumerate().map(zone).collect(),
+        zones: capacities.iter().enumerate().map(zone).collect(),
         products: (0..products).map(|at| format!("p{at}")).collect(),
         permits: Default::default(),
         levels: vec!["full".into(), "lean".into()],
     }
 }
 
-/// What comes to a zone is served there alone.
-fn at_home(mut facts: Facts) -> Facts {
+/// Restricts residency: txns are served only in the zone where they arrive.
+fn served_locally(mut facts: Facts) -> Facts {
     for zone in 0..facts.zones.len() as u16 {
         for product in 0..facts.products.len() as u16 {
             facts.permits.insert((ProductId(product), ZoneId(zone)), Zones::one(ZoneId(zone)));
--- a/crates/shares/tests/cases/stewards.rs
+++ b/crates/shares/tests/cases/stewards.rs
@@ -5,19 +5,19 @@
 
 use super::*;
 
-fn two() -> Arc<Plan> {
+fn two_tenants() -> Arc<Plan> {
     let text = HEAD.to_string()
         + &tenant("x", "products = [\"p0\", \"p1\"]\nguarantee_per_s = 80")
         + &tenant("y", "products = [\"p2\"]\nguarantee_per_s = 20");
     plan(&text, &facts(&[200.0], 3))
 }
 
-fn came(x: f64, y: f64) -> Heard {
+fn arrivals(x: f64, y: f64) -> Heard {
     let product = |at, per_s| (ZoneId(0), ProductId(at), per_s);
     Heard::Came(vec![product(0, x / 2.0), product(1, x / 2.0), product(2, y)])
 }
 
-pub fn bounds(out: &[Out]) -> Vec<(u16, f64)> {
+pub fn limits(out: &[Out]) -> Vec<(u16, f64)> {
     let bound = |out: &Out| match out {
         Out::Bound(bound) => Some((bound.product.0, bound.share)),
         Out::Say(_) => None,
@@ -33,110 +33,115 @@
 }
 
 pub fn round(out: &[Out]) -> u64 {
-    seen(out).next().expect("it speaks").round
+    seen(out).next().expect("a report").round
 }
 
-pub fn dealt(round: u64, term: u64, plan: u64, per_s: f64) -> Heard {
+pub fn grant(round: u64, term: u64, plan: u64, per_s: f64) -> Heard {
     let grants = vec![Grant { tenant: Tenant(0), zone: Zone(0), per_s }];
     Heard::From(Said::Dealt { round, term, plan, grants, lasts: 2_000.0 })
 }
 
 #[test]
-fn no_chair_is_there_and_floors_stand() {
-    let mut held = Held::new(0.0, 1, 1, two());
-    // A tenth of 80 over four stewards is 2, of 40; a tenth of 20 is 0.5, of 10.
-    let out = held.handle(0.0, came(40.0, 10.0));
-    assert_eq!(bounds(&out), vec![(0, 0.05), (1, 0.05), (2, 0.05)]);
-    assert!(!held.granted(0.0) && held.due() == f64::INFINITY, "it says nothing to nobody");
+fn without_a_leader_the_floors_apply() {
+    let mut held = Held::new(0.0, 1, 1, two_tenants());
+    // The floors are a tenth of the guarantees over four controllers: 2 of 40 arriving, and 0.5 of 10.
+    let out = held.handle(0.0, arrivals(40.0, 10.0));
+    assert_eq!(limits(&out), vec![(0, 0.05), (1, 0.05), (2, 0.05)]);
+    assert!(!held.granted(0.0) && held.due() == f64::INFINITY, "nothing is reported without a leader");
 }
 
 #[test]
-fn a_grant_is_over_while_the_chair_is_silent() {
-    let mut held = Held::new(0.0, 1, 1, two());
-    held.handle(0.0, came(40.0, 0.0));
+fn a_grant_expires_while_the_leader_is_silent() {
+    let mut held = Held::new(0.0, 1, 1, two_tenants());
+    held.handle(0.0, arrivals(40.0, 0.0));
     let out = held.handle(100.0, Heard::Chair { term: 5 });
-    let out = held.handle(150.0, dealt(round(&out), 5, 1, 30.0));
+    let out = held.handle(150.0, grant(round(&out), 5, 1, 30.0));
     assert!(out.contains(&Out::Say(Said::Taken { round: (1 << 32) + 1, term: 5 })));
-    assert_eq!(bounds(&out), vec![(0, 0.7), (1, 0.7)]);
-    let end = held.due_of_grants().expect("it has some");
-    assert_eq!(end, 2_100.0, "from before it spoke");
-    assert_eq!(bounds(&held.handle(end - 1.0, Heard::Tick)), vec![]);
-    assert_eq!(bounds(&held.handle(end, Heard::Tick)), vec![(0, 0.05), (1, 0.05)]);
+    assert_eq!(limits(&out), vec![(0, 0.7), (1, 0.7)]);
+    let end = held.due_of_grants().expect("it has grants");
+    assert_eq!(end, 2_100.0, "it counts from when the report was sent");
+    assert_eq!(limits(&held.handle(end - 1.0, Heard::Tick)), vec![]);
+    assert_eq!(limits(&held.handle(end, Heard::Tick)), vec![(0, 0.05), (1, 0.05)]);
 }
 
 #[test]
-fn words_come_for_another_run_term_plan_or_too_late() {
-    let mut held = Held::new(0.0, 2, 3, two());
-    held.handle(0.0, came(40.0, 0.0));
+fn grants_for_another_run_term_or_plan_or_too_late_are_ignored() {
+    let mut held = Held::new(0.0, 2, 3, two_tenants());
+    held.handle(0.0, arrivals(40.0, 0.0));
     let said = round(&held.handle(0.0, Heard::Chair { term: 5 }));
-    for word in [
-        dealt((1 << 32) + 1, 5, 3, 30.0),
-        dealt(said, 4, 3, 30.0),
-        dealt(said, 6, 3, 30.0),
-        dealt(said, 5, 2, 30.0),
+    for message in [
+        grant((1 << 32) + 1, 5, 3, 30.0),
+        grant(said, 4, 3, 30.0),
+        grant(said, 6, 3, 30.0),
+        grant(said, 5, 2, 30.0),
     ] {
-        assert_eq!(held.handle(10.0, word), vec![]);
+        assert_eq!(held.handle(10.0, message), vec![]);
     }
-    assert_eq!(bounds(&held.handle(3_000.0, dealt(said, 5, 3, 30.0))), vec![], "it is over already");
+    assert_eq!(
+        limits(&held.handle(3_000.0, grant(said, 5, 3, 30.0))),
+        vec![],
+        "the grant has expired already"
+    );
     assert!(!held.granted(3_000.0));
 }
 
 #[test]
-fn what_comes_hovers_and_no_bounds_are_written() {
-    let mut held = Held::new(0.0, 1, 1, two());
-    held.handle(0.0, came(100.0, 0.0));
+fn fluctuating_arrivals_emit_no_limits() {
+    let mut held = Held::new(0.0, 1, 1, two_tenants());
+    held.handle(0.0, arrivals(100.0, 0.0));
     let said = round(&held.handle(0.0, Heard::Chair { term: 5 }));
-    held.handle(10.0, dealt(said, 5, 1, 60.0));
-    let mut told = vec![];
+    held.handle(10.0, grant(said, 5, 1, 60.0));
+    let mut emitted = vec![];
     for second in 1..200u32 {
-        let hover = 100.0 + 8.0 * f64::from(second * 7_919 % 13 % 3) - 8.0;
-        let out = held.handle(10.0 + f64::from(second), came(hover, 0.0));
-        told.extend(bounds(&out));
+        let fluctuating = 100.0 + 8.0 * f64::from(second * 7_919 % 13 % 3) - 8.0;
+        let out = held.handle(10.0 + f64::from(second), arrivals(fluctuating, 0.0));
+        emitted.extend(limits(&out));
     }
-    assert!(told.len() <= 4, "{told:?}");
-    // A burst is bounded at once.
-    let out = held.handle(300.0, came(600.0, 0.0));
-    assert_eq!(bounds(&out), vec![(0, 0.1), (1, 0.1)]);
+    assert!(emitted.len() <= 4, "{emitted:?}");
+    // A burst is limited at once.
+    let out = held.handle(300.0, arrivals(600.0, 0.0));
+    assert_eq!(limits(&out), vec![(0, 0.1), (1, 0.1)]);
 }
 
-/// Where sums of half a second hold a handful of txns each fourth is half as much again by chance. Guards against those
-/// being taken for bursts: shares were then of a quarter more than comes, and a guarantee was not let in.
+/// In traffic reports of half a second with a handful of txns, every fourth one is half again as high by chance. Guards
+/// against treating these as bursts: shares were then computed from a quarter more than what arrives, and the guarantee
+/// was not admitted in full.
 #[test]
-fn few_txns_that_swing_by_chance_lose_a_fifth_of_their_grant() {
-    let chance = |count: u64| {
+fn few_txns_that_fluctuate_by_chance_lose_a_fifth_of_their_grant() {
+    let random = |count: u64| {
         let mut hasher = DefaultHasher::new();
         (29u64, count).hash(&mut hasher);
         (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
     };
-    let (usual, granted, over): (f64, f64, f64) = (8.0, 4.0, 0.4);
-    let mut held = Held::new(0.0, 1, 1, two());
-    held.handle(0.0, came(usual, 0.0));
+    let (arrival_rate, granted, period_s): (f64, f64, f64) = (8.0, 4.0, 0.4);
+    let mut held = Held::new(0.0, 1, 1, two_tenants());
+    held.handle(0.0, arrivals(arrival_rate, 0.0));
     let said = round(&held.handle(0.0, Heard::Chair { term: 5 }));
     let grant = Grant { tenant: Tenant(0), zone: Zone(0), per_s: granted };
     let lasts = 1e9;
-    let word = Said::Dealt { round: said, term: 5, plan: 1, grants: vec![grant], lasts };
-    held.handle(10.0, Heard::From(word));
-    let (mut share, mut let_in, mut drawn) = (1.0, 0.0, 0);
-    const SUMS: u64 = 2_000;
-    for sum in 1..=SUMS {
-        // Gaps of chance: as many txns as come within the sum.
+    let message = Said::Dealt { round: said, term: 5, plan: 1, grants: vec![grant], lasts };
+    held.handle(10.0, Heard::From(message));
+    let (mut share, mut admitted, mut draws) = (1.0, 0.0, 0);
+    const REPORTS: u64 = 2_000;
+    for report in 1..=REPORTS {
+        // Random gaps between txns: counts those that arrive within the report's period.
         let (mut txns, mut at): (f64, f64) = (0.0, 0.0);
-        while at < over {
-            drawn += 1;
-            at -= f64::ln(1.0 - chance(drawn)) / usual;
-            txns += f64::from(at < over);
+        while at < period_s {
+            draws += 1;
+            at -= f64::ln(1.0 - random(draws)) / arrival_rate;
+            txns += f64::from(at < period_s);
         }
-        // Each sum is told twice, as a steward does between two of them.
+        // Each traffic report is passed twice, as it is repeated until the next one.
         for half in 0..2 {
-            let now = 1e3 * over * (sum as f64 + 0.5 * f64::from(half));
-            let told = bounds(&held.handle(now, came(txns / over, 0.0)));
-            share = told.iter().find(|of| of.0 == 0).map_or(share, |of| of.1);
-            let_in += 0.5 * over * usual * share;
+            let now = 1e3 * period_s * (report as f64 + 0.5 * f64::from(half));
+            let emitted = limits(&held.handle(now, arrivals(txns / period_s, 0.0)));
+            share = emitted.iter().find(|of| of.0 == 0).map_or(share, |of| of.1);
+            admitted += 0.5 * period_s * arrival_rate * share;
         }
     }
-    let let_in = let_in / (over * SUMS as f64);
-    assert!(let_in > 0.85 * granted, "{let_in:.2} a second are let in of {granted}");
-    assert!(let_in <= granted, "{let_in:.2} a second are let in of {granted}");
+    let admitted = admitted / (period_s * REPORTS as f64);
+    assert!(admitted > 0.85 * granted, "{admitted:.2} per second are admitted of {granted}");
+    assert!(admitted <= granted, "{admitted:.2} per second are admitted of {granted}");
 }
 
 #[test]
@@ -148,18 +153,18 @@
     assert_eq!(lesser.share(grant(0.5)), Some(level(0.5, Tries::TwiceAfterAny)));
     assert_eq!(lesser.level(level(0.8, Tries::One)), Some(level(0.5, Tries::One)));
     assert_eq!(lesser.level(level(0.3, Tries::One)), Some(level(0.3, Tries::One)));
-    assert_eq!(lesser.share(grant(0.7)), None, "the level is the lesser");
+    assert_eq!(lesser.share(grant(0.7)), None, "the level has the smaller share");
     assert_eq!(lesser.level(level(1.0, Tries::AfterAny)), Some(level(0.7, Tries::AfterAny)));
     assert_eq!(lesser.share(grant(1.0)), Some(level(1.0, Tries::AfterAny)));
     assert_eq!(lesser.level(Event::Await { on: true }), Some(Event::Await { on: true }));
 }
 
 #[test]
-fn every_fault_says_what_to_do() {
+fn every_error_has_advice() {
     let (at, name) = (|| 3..5, || "x".to_string());
     let all = [
         Unfit::Twice { name: name(), at: at(), first: at() },
-        Unfit::Unknown { kind: Kind::Zone, name: name(), near: None, at: at() },
+        Unfit::Unknown { kind: Kind::Zone, name: name(), similar: None, at: at() },
         Unfit::Circle { names: vec![name()], at: vec![at()] },
         Unfit::Figure { what: "weight", found: name(), expected: "1", at: at() },
         Unfit::Inner { tenant: name(), what: "zones", at: at() },
@@ -174,16 +179,16 @@
         Unfit::Dead { tenant: name(), rule: "weight", why: "none", at: at() },
         Unfit::NoZone { tenant: name(), zone: name(), at: at() },
         Unfit::Contradict {
-            rules: vec![Rule { at: at(), says: name() }],
-            asked: 2.0,
-            there: 1.0,
+            rules: vec![Rule { at: at(), text: name() }],
+            promised: 2.0,
+            available: 1.0,
             lost: vec![],
         },
         Unfit::Slow { tenant: name(), wanted: 1.0, longest: 2.0, at: at() },
         Unfit::TooMany { what: "zones", most: 128, at: at() },
     ];
     let said: std::collections::BTreeSet<&str> = all.iter().map(Unfit::advice).collect();
-    assert_eq!(said.len(), all.len(), "each its own");
+    assert_eq!(said.len(), all.len(), "two errors have the same advice");
     for fault in all {
         let faults = fault.faults("ab\ncd\n");
         assert!(faults.iter().all(|fault| (fault.line, fault.column) == (2, 1)), "{fault}");
