--- a/crates/shares/src/asked.rs
+++ b/crates/shares/src/asked.rs
@@ -73,7 +73,7 @@
             false => observed,
         };
         self.high = self.high.max(observed);
-        let (most, mean_coverage) = (kind.deviations + 1.0, self.mean_span_ms / MEAN_WINDOW_MS);
+        let (max_deviations, mean_coverage) = (kind.deviations + 1.0, self.mean_span_ms / MEAN_WINDOW_MS);
         self.exceeded_since = self.exceeded_since.filter(|_| observed > self.value);
         let exceeds = observed > self.value && {
             let since = *self.exceeded_since.get_or_insert(now);
@@ -84,8 +84,11 @@
         if exceeds {
             (self.value, self.high, self.since) =
                 (Band::with_headroom(observed, kind.deviations), observed, now);
-        } else if Band::with_headroom(self.mean, most - (1.0 + MEAN_TOLERANCE) * mean_coverage) > self.value {
-            (self.value, self.high, self.since) = (Band::with_headroom(self.mean, most), observed, now);
+        } else if Band::with_headroom(self.mean, max_deviations - (1.0 + MEAN_TOLERANCE) * mean_coverage)
+            > self.value
+        {
+            (self.value, self.high, self.since) =
+                (Band::with_headroom(self.mean, max_deviations), observed, now);
         } else if now - self.since >= LOWER_AFTER_MS {
             let high = Band::with_headroom(self.high, kind.deviations);
             if high < kind.lower_below * self.value {
@@ -148,11 +151,11 @@
     }
 
     pub fn retain(&mut self, holder: impl Fn(&Holder) -> bool) {
-        let gone: Vec<Holder> = self.controllers.keys().filter(|known| !holder(known)).copied().collect();
-        for gone in gone {
+        let removed: Vec<Holder> = self.controllers.keys().filter(|known| !holder(known)).copied().collect();
+        for removed in removed {
             self.changed = true;
             for (claim, demand) in
-                self.controllers.remove(&gone).into_iter().flat_map(|controller| controller.demands)
+                self.controllers.remove(&removed).into_iter().flat_map(|controller| controller.demands)
             {
                 self.totals[claim as usize].remove(&demand);
             }
@@ -288,8 +291,8 @@
             if observed.is_empty() {
                 continue;
             }
-            let middle = (observed.len() - 1) / 2;
-            let observed = *observed.select_nth_unstable_by(middle, f64::total_cmp).1;
+            let median_at = (observed.len() - 1) / 2;
+            let observed = *observed.select_nth_unstable_by(median_at, f64::total_cmp).1;
             let capacity = &mut self.capacities[zone];
             if *capacity > observed || observed > CAPACITY_RISE * *capacity {
                 let next = CAPACITY_FRACTION * observed.max(0.0);
--- a/crates/shares/src/chair.rs
+++ b/crates/shares/src/chair.rs
@@ -121,11 +121,13 @@
     }
 
     #[cfg(feature = "seeded-bugs")]
+    /// Seeds a deliberate defect.
     pub fn with(mut self, bug: Option<crate::Bug>) -> Chair {
         self.bug = bug;
         self
     }
 
+    /// Processes an input at `now`, in ms of the leader's clock.
     pub fn handle(&mut self, now: f64, input: Input) -> Vec<Output> {
         self.ledger.expire(now);
         match input {
@@ -190,6 +192,7 @@
         self.bug == Some(bug)
     }
 
+    /// Records a report. It is answered after the next confirmation by a majority.
     fn handle_report(&mut self, now: f64, from: Holder, seen: &Seen) -> Vec<Output> {
         self.superseded |= seen.term > self.term;
         if self.superseded || seen.term < self.term || !self.holders.contains(&from) {
@@ -242,6 +245,7 @@
         vec![]
     }
 
+    /// Answers the reports that arrived before the confirmation's round began, after an allocation round if one is due.
     fn handle_confirmation(&mut self, now: f64, since: f64) -> Vec<Output> {
         if self.superseded {
             return vec![];
--- a/crates/shares/src/fair.rs
+++ b/crates/shares/src/fair.rs
@@ -232,16 +232,17 @@
         let (mut reached, mut hint_at): (f64, usize) = (0.0, 0);
         let (mut capacity, zones) =
             (capacity.to_vec(), component.zone_sets.iter().fold(Zones::NONE, |all, zones| all.or(*zones)));
-        let mine = |zone: usize| zones.0 >> zone & 1 == 1;
-        let total: f64 = (0..capacity.len()).filter(|zone| mine(*zone)).map(|zone| capacity[zone]).sum();
+        let in_component = |zone: usize| zones.0 >> zone & 1 == 1;
+        let total: f64 =
+            (0..capacity.len()).filter(|zone| in_component(*zone)).map(|zone| capacity[zone]).sum();
         // Each iteration stops at least one zone set.
         for _ in 0..=component.zone_sets.len() {
-            let top =
+            let highest =
                 component.top_nodes.iter().map(|top| self.cap[*top] / self.weight[*top]).fold(0.0, f64::max);
-            let most = reached.max(1.0 + top);
+            let most = reached.max(1.0 + highest);
             let mut now = (most, self.rates_at(plan, component, most));
             let mut begin: Option<LevelRates> = None;
-            let mut tight: Option<Cut> = None;
+            let mut last_cut: Option<Cut> = None;
             for _ in 0..=2 * component.zone_sets.len() {
                 let Err(cut) = CapacityFlow::new(&component.zone_sets, &capacity).route_all(&now.1) else {
                     break;
@@ -260,9 +261,9 @@
                     None => level_hints.push(now.0),
                 }
                 hint_at += 1;
-                tight = Some(cut);
+                last_cut = Some(cut);
             }
-            let Some(cut) = tight else { break };
+            let Some(cut) = last_cut else { break };
             reached = now.0;
             // The last iteration may have left a little capacity in a set that stopped. It must not hide another full set.
             capacity.iter_mut().for_each(|capacity| *capacity += 0.25 * RELATIVE_TOLERANCE * total);
@@ -307,15 +308,16 @@
     ) -> LevelRates {
         /// The rates of zone sets grow with the level slower than proportionally, by about this factor.
         const SLOWDOWN: f64 = 2.0;
-        let got = |sums: &[f64]| cut.zone_sets.iter().map(|zone_set| sums[*zone_set]).sum::<f64>();
+        let cut_rate = |sums: &[f64]| cut.zone_sets.iter().map(|zone_set| sums[*zone_set]).sum::<f64>();
         // The target is a little below the capacity, so that the result fits. If it is that full already at the start, the
         // target is a little above the start.
-        let now = got(&from.1);
+        let now = cut_rate(&from.1);
         let capacity = f64::max(
             (1.0 - RELATIVE_TOLERANCE) * cut.capacity,
             now + 0.2 * RELATIVE_TOLERANCE * cut.capacity,
         );
-        let (mut low, mut under, mut high, mut above) = (from.0, now - capacity, to.0, got(&to.1) - capacity);
+        let (mut low, mut under, mut high, mut above) =
+            (from.0, now - capacity, to.0, cut_rate(&to.1) - capacity);
         if above <= 0.0 {
             let sums = self.rates_at(plan, component, high);
             return (high, sums);
@@ -334,7 +336,7 @@
                 next = if iteration % 3 == 2 { (low + high) / 2.0 } else { line };
             }
             let sums = self.rates_at(plan, component, next);
-            let found = got(&sums) - capacity;
+            let found = cut_rate(&sums) - capacity;
             if found.abs() <= 0.1 * RELATIVE_TOLERANCE * capacity || high - low <= 1e-14 * high {
                 return (next, sums);
             }
--- a/crates/shares/src/held.rs
+++ b/crates/shares/src/held.rs
@@ -94,31 +94,31 @@
     before: &'a [(ZoneId, f64)],
     now: &'a [(ZoneId, f64)],
 ) -> impl Iterator<Item = (ZoneId, f64)> + 'a {
-    let can = |zone: ZoneId| now.iter().find(|of| of.0 == zone).map_or(0.0, |of| of.1);
-    let changes = before.iter().map(move |(zone, before)| (*zone, *before, can(*zone)));
+    let capacity_of = |zone: ZoneId| now.iter().find(|of| of.0 == zone).map_or(0.0, |of| of.1);
+    let changes = before.iter().map(move |(zone, before)| (*zone, *before, capacity_of(*zone)));
     changes.filter(|(_, before, now)| *now < CAPACITY_DROP_RATIO * before).map(|(zone, _, now)| (zone, now))
 }
 
 /// Replaces the known capacities. A zone that is no longer listed has lost all its hosts and gets 0.
 pub(crate) fn update_capacity(known: &mut Vec<(ZoneId, f64)>, now: Vec<(ZoneId, f64)>) {
-    let gone = known.iter().filter(|(zone, _)| now.iter().all(|of| of.0 != *zone));
-    let gone: Vec<(ZoneId, f64)> = gone.map(|(zone, _)| (*zone, 0.0)).collect();
+    let lost = known.iter().filter(|(zone, _)| now.iter().all(|of| of.0 != *zone));
+    let lost: Vec<(ZoneId, f64)> = lost.map(|(zone, _)| (*zone, 0.0)).collect();
     *known = now;
-    known.extend(gone);
+    known.extend(lost);
 }
 
 /// Rounds a share to steps, given the share that was emitted last.
 fn stepped_share(emitted: f64, share: f64) -> f64 {
-    let down = |share: f64| {
+    let round_down = |share: f64| {
         let step = if share < 4.0 * SHARE_STEP { FINE_SHARE_STEP } else { SHARE_STEP };
         // Rounded to hundredths, so that equal shares compare as equal.
         ((share / step + 1e-9).floor() * step * 100.0).round() / 100.0
     };
     let share = share.max(0.0);
     if share < emitted {
-        return down(share);
+        return round_down(share);
     }
-    down((share - RAISE_MARGIN.min(0.1 * share)).min(1.0)).max(emitted)
+    round_down((share - RAISE_MARGIN.min(0.1 * share)).min(1.0)).max(emitted)
 }
 
 impl Held {
@@ -148,6 +148,7 @@
     }
 
     #[cfg(feature = "seeded-bugs")]
+    /// Seeds a deliberate defect.
     pub fn with(mut self, bug: Option<crate::Bug>) -> Held {
         self.bug = bug;
         self
@@ -172,6 +173,7 @@
         products
     }
 
+    /// Processes an input at `now`, in ms of the controller's clock.
     pub fn handle(&mut self, now: f64, heard: Heard) -> Vec<Out> {
         let mut out = Vec::new();
         match heard {
@@ -260,6 +262,8 @@
         self.applied.as_ref().is_some_and(|applied| applied.until > now)
     }
 
+    /// Applies the grants of an answer and acknowledges them, unless the answer is outdated, has expired, or belongs to
+    /// another leader or plan.
     fn apply_grants(
         &mut self,
         now: f64,
@@ -287,6 +291,7 @@
         Some(Out::Say(Said::Taken { round, term }))
     }
 
+    /// Makes the next report.
     fn report(&mut self, now: f64) -> Seen {
         self.round += 1;
         // Grants that answer older reports than these have expired.
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -35,13 +35,21 @@
 #[cfg(feature = "seeded-bugs")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bug {
+    /// The leader grants capacity before its holder has released it.
     GrantsBeforeRelease,
+    /// A new leader ignores the grants of earlier leaders.
     ForgetsOldLeaders,
+    /// The leader counts expiry without margins for clock drift and delay.
     UsesHolderClock,
+    /// The leader answers a report without confirmation by a majority.
     AnswersUnconfirmed,
+    /// A new leader trusts the report of a process that started recently.
     TrustsYoungRun,
+    /// A holder accepts grants of an earlier term.
     AcceptsOldTerms,
+    /// A holder accepts an answer to an earlier report than the last one applied.
     AcceptsOldRounds,
+    /// A holder keeps using expired grants.
     KeepsExpiredGrants,
 }
 pub use unfit::{Kind, Rule, Span, Unfit};
--- a/crates/shares/src/plain.rs
+++ b/crates/shares/src/plain.rs
@@ -51,21 +51,21 @@
     let mut rates = vec![0.0; plan.parent.len()];
     rates[0] = total;
     for node in 0..plan.first_claim() {
-        let under = plan.children[node].0 as usize..plan.children[node].1 as usize;
-        let sum = |of: &[f64]| of[under.clone()].iter().sum::<f64>();
+        let children = plan.children[node].0 as usize..plan.children[node].1 as usize;
+        let sum = |of: &[f64]| of[children.clone()].iter().sum::<f64>();
         let (least, floor) = (sum(&of.least), sum(&of.floor));
         if rates[node] <= floor {
             let fraction =
                 if floor > least { ((rates[node] - least) / (floor - least)).max(0.0) } else { 1.0 };
-            under.for_each(|at| rates[at] = of.least[at] + fraction * (of.floor[at] - of.least[at]));
+            children.for_each(|at| rates[at] = of.least[at] + fraction * (of.floor[at] - of.least[at]));
             continue;
         }
         let at = |level: f64, at: usize| (of.weight[at] * level).max(of.floor[at]).min(of.cap[at]);
-        let highest = under.clone().map(|at| of.cap[at] / of.weight[at]).fold(0.0, f64::max);
+        let highest = children.clone().map(|at| of.cap[at] / of.weight[at]).fold(0.0, f64::max);
         let level = bisect(0.0, highest, |level| {
-            under.clone().map(|child| at(level, child)).sum::<f64>() <= rates[node]
+            children.clone().map(|child| at(level, child)).sum::<f64>() <= rates[node]
         });
-        under.for_each(|child| rates[child] = at(level, child));
+        children.for_each(|child| rates[child] = at(level, child));
     }
     rates.split_off(plan.first_claim())
 }
@@ -74,12 +74,17 @@
 pub fn plainly(plan: &Plan, demand: &[f64], capacity: &[f64]) -> Vec<f64> {
     let guaranteed = plan.guarantees(None);
     let settings = |claim: usize| &plan.settings[plan.parent[plan.first_claim() + claim] as usize];
-    let each = |claim: usize| plan.claims[claim].guarantee;
-    let demanded =
-        |claim: usize| if settings(claim).lends { demand[claim] } else { demand[claim].max(each(claim)) };
+    let guarantee_of = |claim: usize| plan.claims[claim].guarantee;
+    let demanded = |claim: usize| {
+        if settings(claim).lends {
+            demand[claim]
+        } else {
+            demand[claim].max(guarantee_of(claim))
+        }
+    };
     let mut cap: Vec<f64> = (0..demand.len()).map(demanded).collect();
     let weight: Vec<f64> = cap.iter().map(|cap| cap.max(1e-12)).collect();
-    let floor: Vec<f64> = cap.iter().enumerate().map(|(claim, cap)| cap.min(each(claim))).collect();
+    let floor: Vec<f64> = cap.iter().enumerate().map(|(claim, cap)| cap.min(guarantee_of(claim))).collect();
     let fits =
         |rates: &[f64]| CapacityFlow::new(&plan.zone_sets, capacity).route_all(&totals(plan, rates)).is_ok();
     // Whether each zone set is saturated, that is, can't take a little more.
@@ -101,8 +106,9 @@
         let before = stopped.iter().flatten().count();
         if common < 1.0 {
             let full = full(&scaled(&stopped, common));
-            let open = stopped.iter_mut().zip(full).filter(|(stopped, full)| *full && stopped.is_none());
-            open.for_each(|(stopped, _)| *stopped = Some(common));
+            let newly_stopped =
+                stopped.iter_mut().zip(full).filter(|(stopped, full)| *full && stopped.is_none());
+            newly_stopped.for_each(|(stopped, _)| *stopped = Some(common));
         }
         if common >= 1.0 || stopped.iter().flatten().count() == before {
             break;
@@ -111,13 +117,13 @@
     let mut rates = scaled(&stopped, 1.0);
     let mut stopped: Vec<bool> = stopped.iter().map(Option::is_some).collect();
     loop {
-        let stop = |claim: usize| stopped[plan.claims[claim].zone_set as usize];
-        (0..demand.len()).filter(|claim| stop(*claim)).for_each(|claim| cap[claim] = rates[claim]);
-        let most = |node: usize, sum: f64| {
+        let is_stopped = |claim: usize| stopped[plan.claims[claim].zone_set as usize];
+        (0..demand.len()).filter(|claim| is_stopped(*claim)).for_each(|claim| cap[claim] = rates[claim]);
+        let limit = |node: usize, sum: f64| {
             let settings = &plan.settings[node];
             sum.min(if settings.borrows { settings.ceiling } else { settings.ceiling.min(guaranteed[node]) })
         };
-        let caps = aggregate(plan, &cap, most);
+        let caps = aggregate(plan, &cap, limit);
         let floors = aggregate(plan, &rates, |node, sum| sum.max(guaranteed[node].min(caps[node])));
         let mut weights: Vec<f64> = plan.settings.iter().map(|settings| settings.weight).collect();
         weights.extend_from_slice(&weight);
--- a/crates/shares/src/plan.rs
+++ b/crates/shares/src/plan.rs
@@ -108,8 +108,8 @@
             return None;
         }
         let (begin, end) = (begin - first, end - first);
-        let mine = &self.claims[begin as usize..end as usize];
-        let at = mine.binary_search_by_key(&zone, |claim| claim.zone).ok()?;
+        let claims = &self.claims[begin as usize..end as usize];
+        let at = claims.binary_search_by_key(&zone, |claim| claim.zone).ok()?;
         Some(Claim(begin + at as u32))
     }
     /// The claim that a txn belongs to, by the zone whose proxies it arrived at and its request class (`product`).
@@ -347,19 +347,19 @@
     // Each tenant is visited once. State 0: not visited, 1: on the current path, 2: known to lead to a root tenant.
     let mut state = vec![0u8; parents.len()];
     for start in 0..parents.len() {
-        let (mut walk, mut here) = (Vec::new(), Some(start));
-        while let Some(at) = here.filter(|at| state[*at] == 0) {
+        let (mut path, mut current) = (Vec::new(), Some(start));
+        while let Some(at) = current.filter(|at| state[*at] == 0) {
             state[at] = 1;
-            walk.push(at);
-            here = parents[at];
+            path.push(at);
+            current = parents[at];
         }
-        if let Some(begin) = here.filter(|at| state[*at] == 1) {
-            let cycle = walk.iter().skip_while(|at| **at != begin);
+        if let Some(begin) = current.filter(|at| state[*at] == 1) {
+            let cycle = path.iter().skip_while(|at| **at != begin);
             let cycle: Vec<&TenantRule> = cycle.map(|at| &section.tenant[*at]).collect();
             let at = cycle.iter().filter_map(|rule| rule.parent.as_ref()).map(Spanned::span).collect();
             return Err(Unfit::Circle { names: cycle.into_iter().map(name).collect(), at });
         }
-        walk.into_iter().for_each(|at| state[at] = 2);
+        path.into_iter().for_each(|at| state[at] = 2);
     }
     Ok(parents)
 }
@@ -520,22 +520,27 @@
         }
         let tenant = tenants[&(node as u32)];
         let rule = &section.tenant[tenant];
-        let mut mine = BTreeSet::new();
+        let mut own_products = BTreeSet::new();
         match &rule.products {
             Some(named) => {
                 for product in named {
-                    mine.insert(resolve(Kind::Product, product.get_ref(), product.span(), &products)?);
+                    own_products.insert(resolve(
+                        Kind::Product,
+                        product.get_ref(),
+                        product.span(),
+                        &products,
+                    )?);
                 }
             }
-            None => mine.extend(0..facts.products.len()),
+            None => own_products.extend(0..facts.products.len()),
         }
         let begin = plan.parent.len() as u32;
         for (zone, whole) in receiving_zones(rule, facts, &zones)? {
-            let home = ZoneId(zone as u16);
+            let arrival_zone = ZoneId(zone as u16);
             let claim = Claim(plan.claims.len() as u32);
             let (mut reach, mut served) = (everywhere, false);
-            for product in mine.iter().map(|product| ProductId(*product as u16)) {
-                if let Some((other, other_whole)) = owned.insert((home, product), (tenant, whole)) {
+            for product in own_products.iter().map(|product| ProductId(*product as u16)) {
+                if let Some((other, other_whole)) = owned.insert((arrival_zone, product), (tenant, whole)) {
                     let product = facts.products[usize::from(product.0)].clone();
                     return Err(shared_pair_error(
                         section,
@@ -545,11 +550,13 @@
                         &facts.zones[zone].name,
                     ));
                 }
-                let permitted =
-                    facts.permits.get(&(product, home)).map_or(everywhere, |permit| permit.and(everywhere));
+                let permitted = facts
+                    .permits
+                    .get(&(product, arrival_zone))
+                    .map_or(everywhere, |permit| permit.and(everywhere));
                 // Txns that residency rejects need no capacity.
                 if !permitted.is_empty() {
-                    plan.owner.insert((home, product), claim);
+                    plan.owner.insert((arrival_zone, product), claim);
                     reach = reach.and(permitted);
                     served = true;
                 }
@@ -658,11 +665,11 @@
             }
             return Err(Unfit::Contradict { rules, promised, available, lost: vec![] });
         }
-        let up = plan.parent[node] as usize;
+        let parent_node = plan.parent[node] as usize;
         let own = own.map(|own| (own.get_ref().max(sum), tenant)).filter(|own| own.0 > 0.0);
         match own {
-            Some(own) => guaranteed[up].push(own),
-            None => guaranteed[up].extend(below),
+            Some(own) => guaranteed[parent_node].push(own),
+            None => guaranteed[parent_node].extend(below),
         }
     }
     Ok(())
@@ -725,9 +732,9 @@
         }
         of.truncate(enough);
         for at in (0..of.len()).rev() {
-            let left: Vec<usize> = [&of[..at], &of[at + 1..]].concat();
-            if cut(&left, &capacity).is_some() {
-                of = left;
+            let remaining: Vec<usize> = [&of[..at], &of[at + 1..]].concat();
+            if cut(&remaining, &capacity).is_some() {
+                of = remaining;
             }
         }
         if smallest.as_ref().is_none_or(|(known, _)| of.len() < known.len()) {
@@ -795,9 +802,9 @@
                 rates: vec![(zone_set, own - below[node])],
             });
         }
-        let up = plan.parent[node] as usize;
-        below[up] += own.max(below[node]);
-        reach[up] = reach[up].or(reach[node]);
+        let parent_node = plan.parent[node] as usize;
+        below[parent_node] += own.max(below[node]);
+        reach[parent_node] = reach[parent_node].or(reach[node]);
     }
     guarantees.reverse();
     (zone_sets, guarantees)
--- a/crates/shares/src/pool.rs
+++ b/crates/shares/src/pool.rs
@@ -28,8 +28,8 @@
     pub capacity: f64,
 }
 
-fn zone_indices(zones: Zones, most: usize) -> impl Iterator<Item = usize> {
-    let mut rest = if most >= 128 { zones.0 } else { zones.0 & ((1u128 << most) - 1) };
+fn zone_indices(zones: Zones, count: usize) -> impl Iterator<Item = usize> {
+    let mut rest = if count >= 128 { zones.0 } else { zones.0 & ((1u128 << count) - 1) };
     std::iter::from_fn(move || {
         let at = rest.trailing_zeros() as usize;
         (rest != 0).then(|| {
@@ -85,24 +85,24 @@
                 let capacity = capacity.map(|zone| self.capacity[zone]).sum();
                 return Err(Cut { missing: amount, zone_sets: queue, capacity });
             };
-            let mut most = amount.min(self.free[end]);
+            let mut step = amount.min(self.free[end]);
             let mut zone = end;
             while from_zone_set[zone] != zone_set {
                 let here = from_zone_set[zone];
                 zone = from_zone[here];
-                most = most.min(self.flow[here * zones + zone]);
+                step = step.min(self.flow[here * zones + zone]);
             }
-            self.free[end] -= most;
-            amount -= most;
+            self.free[end] -= step;
+            amount -= step;
             let mut zone = end;
             loop {
                 let here = from_zone_set[zone];
-                self.flow[here * zones + zone] += most;
+                self.flow[here * zones + zone] += step;
                 if here == zone_set {
                     break;
                 }
                 zone = from_zone[here];
-                self.flow[here * zones + zone] -= most;
+                self.flow[here * zones + zone] -= step;
             }
         }
     }
@@ -124,7 +124,7 @@
     let mut reached = vec![f64::NAN; rise.len()];
     loop {
         let mut fraction: f64 = 1.0;
-        let mut tight: Option<Cut> = None;
+        let mut last_cut: Option<Cut> = None;
         for _ in 0..=4 * rise.len() {
             let fraction_of =
                 |zone_set: usize| if reached[zone_set].is_nan() { fraction } else { reached[zone_set] };
@@ -132,20 +132,21 @@
                 .map(|zone_set| from[zone_set] + fraction_of(zone_set) * rise[zone_set])
                 .collect();
             let Err(cut) = CapacityFlow::new(reach, capacity).route_all(&amounts) else { break };
-            let open = |zone_set: &&usize| reached[**zone_set].is_nan();
-            let fixed = |zone_set: &usize| if open(&zone_set) { from[*zone_set] } else { amounts[*zone_set] };
+            let is_rising = |zone_set: &&usize| reached[**zone_set].is_nan();
+            let fixed =
+                |zone_set: &usize| if is_rising(&zone_set) { from[*zone_set] } else { amounts[*zone_set] };
             let fixed: f64 = cut.zone_sets.iter().map(fixed).sum();
-            let rest: f64 = cut.zone_sets.iter().filter(open).map(|zone_set| rise[*zone_set]).sum();
+            let rest: f64 = cut.zone_sets.iter().filter(is_rising).map(|zone_set| rise[*zone_set]).sum();
             if rest <= 0.0 {
                 break;
             }
             fraction = fraction.min((1.0 - RELATIVE_TOLERANCE) * (cut.capacity - fixed).max(0.0) / rest);
-            tight = Some(cut);
+            last_cut = Some(cut);
         }
-        let Some(cut) = tight else { break };
-        let stops: Vec<usize> =
+        let Some(cut) = last_cut else { break };
+        let stopped: Vec<usize> =
             cut.zone_sets.into_iter().filter(|zone_set| reached[*zone_set].is_nan()).collect();
-        stops.into_iter().for_each(|zone_set| reached[zone_set] = fraction);
+        stopped.into_iter().for_each(|zone_set| reached[zone_set] = fraction);
     }
     reached.into_iter().map(|reached| if reached.is_nan() { (1.0, false) } else { (reached, true) }).collect()
 }
--- a/crates/shares/src/section.rs
+++ b/crates/shares/src/section.rs
@@ -44,6 +44,7 @@
 #[serde(deny_unknown_fields)]
 pub struct TenantRule {
     pub name: Spanned<String>,
+    /// The tenant whose guarantee, weight and ceiling it shares with its siblings.
     pub parent: Option<Spanned<String>>,
     /// The products whose txns belong to the tenant; all of them if not set. Only for tenants without children.
     pub products: Option<Vec<Spanned<String>>>,
@@ -52,8 +53,11 @@
     /// Ranges of a zone's proxies that receive these txns, instead of whole zones.
     #[serde(default)]
     pub proxies: Vec<Spanned<Range>>,
+    /// Rate that the tenant gets whenever it asks for it, in txns per second.
     pub guarantee_per_s: Option<Spanned<f64>>,
+    /// Weight by which its siblings and it divide capacity beyond their guarantees.
     pub weight: Option<Spanned<f64>>,
+    /// Rate that it never exceeds, in txns per second.
     pub ceiling_per_s: Option<Spanned<f64>>,
     /// Whether other tenants may use the part of its guarantee that it does not ask for.
     pub lends: Option<Spanned<bool>>,
--- a/crates/shares/tests/cases/hard.rs
+++ b/crates/shares/tests/cases/hard.rs
@@ -15,12 +15,12 @@
 fn spread(
     head: &str,
     capacities: &[f64],
-    ones: &[(u8, f64)],
+    tenants: &[(u8, f64)],
     place: impl Fn(&str) -> String,
 ) -> Option<Plan> {
-    let mut facts = facts(capacities, ones.len());
+    let mut facts = facts(capacities, tenants.len());
     let mut text = head.to_string();
-    for (at, (reach, guarantee)) in ones.iter().enumerate() {
+    for (at, (reach, guarantee)) in tenants.iter().enumerate() {
         let home = at % capacities.len();
         let zones = (0..capacities.len() as u16).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
         facts.permits.insert((ProductId(at as u16), ZoneId(home as u16)), zones);
@@ -35,7 +35,7 @@
     format!("zones = [\"{zone}\"]")
 }
 
-fn ones() -> impl Strategy<Value = Vec<(u8, u32, u32)>> {
+fn tenants() -> impl Strategy<Value = Vec<(u8, u32, u32)>> {
     prop::collection::vec((1u8..8, 0u32..25, 0u32..90), 1..7)
 }
 
@@ -47,26 +47,26 @@
     #[test]
     fn a_zone_is_lost_and_every_guarantee_is_there_in_the_same_round(
         capacities in prop::collection::vec(30u32..120, 3),
-        ones in ones(),
+        tenants in tenants(),
         before in prop::collection::vec(0u32..150, 7),
         lost in 0usize..3,
     ) {
         let mut capacities: Vec<f64> = capacities.into_iter().map(f64::from).collect();
-        let guarantees: Vec<(u8, f64)> = ones.iter().map(|one| (one.0, f64::from(one.1))).collect();
+        let guarantees: Vec<(u8, f64)> = tenants.iter().map(|one| (one.0, f64::from(one.1))).collect();
         let Some(plan) = spread(ONE_LOST, &capacities, &guarantees, in_zone) else { return Ok(()) };
         let mut round = Round::new(Arc::new(plan));
-        let asks: Vec<f64> = before.iter().take(ones.len()).map(|ask| f64::from(*ask)).collect();
+        let demands: Vec<f64> = before.iter().take(tenants.len()).map(|demand| f64::from(*demand)).collect();
         for second in 0..3 {
-            round.deal(1_000.0 * f64::from(second), &asks, &capacities, None);
+            round.deal(1_000.0 * f64::from(second), &demands, &capacities, None);
         }
         capacities[lost] = 0.0;
-        let asks: Vec<f64> = ones.iter().map(|one| f64::from(one.2)).collect();
-        let dealt = round.deal(3_000.0, &asks, &capacities, None);
-        let reach: Vec<u8> = ones.iter().map(|one| one.0).collect();
+        let demands: Vec<f64> = tenants.iter().map(|one| f64::from(one.2)).collect();
+        let dealt = round.deal(3_000.0, &demands, &capacities, None);
+        let reach: Vec<u8> = tenants.iter().map(|one| one.0).collect();
         prop_assert!(fits_capacity(&capacities, &reach, round.rates()), "{:?} in {capacities:?}", round.rates());
         prop_assert!(!dealt.short);
-        for (at, (rate, ask)) in round.rates().iter().zip(&asks).enumerate() {
-            prop_assert!(*rate >= guarantees[at].1.min(*ask) * (1.0 - 1e-4) - 1e-6, "{at}: {:?}", round.rates());
+        for (at, (rate, demand)) in round.rates().iter().zip(&demands).enumerate() {
+            prop_assert!(*rate >= guarantees[at].1.min(*demand) * (1.0 - 1e-4) - 1e-6, "{at}: {:?}", round.rates());
         }
     }
 
@@ -75,27 +75,27 @@
     #[test]
     fn a_tenant_is_a_range_of_proxies_and_is_allocated_as_one_of_the_whole_zone(
         capacities in prop::collection::vec(1u32..80, 3),
-        ones in ones(),
+        tenants in tenants(),
         (from, to) in (0u32..50, 50u32..100),
     ) {
         let capacities: Vec<f64> = capacities.into_iter().map(f64::from).collect();
-        let guarantees: Vec<(u8, f64)> = ones.iter().map(|one| (one.0, f64::from(one.1))).collect();
+        let guarantees: Vec<(u8, f64)> = tenants.iter().map(|one| (one.0, f64::from(one.1))).collect();
         let range = |zone: &str| format!("proxies = [{{ zone = \"{zone}\", from = {from}, to = {to} }}]");
         let by_range = spread(HEAD, &capacities, &guarantees, range);
         let by_zone = spread(HEAD, &capacities, &guarantees, in_zone);
         prop_assert_eq!(by_range.is_some(), by_zone.is_some());
         let (Some(by_range), Some(by_zone)) = (by_range, by_zone) else { return Ok(()) };
         prop_assert!(by_range.owned().eq(by_zone.owned()));
-        let asks: Vec<f64> = ones.iter().map(|one| f64::from(one.2)).collect();
-        let found = Round::new(Arc::new(by_range)).fair(&asks, &capacities, None).to_vec();
-        let ones: Vec<One> = ones.iter().map(|(reach, guarantee, ask)| One {
+        let demands: Vec<f64> = tenants.iter().map(|one| f64::from(one.2)).collect();
+        let found = Round::new(Arc::new(by_range)).fair(&demands, &capacities, None).to_vec();
+        let tenants: Vec<One> = tenants.iter().map(|(reach, guarantee, demand)| One {
             reach: *reach,
-            demand: f64::from(*ask),
+            demand: f64::from(*demand),
             weight: 1.0,
             guarantee: f64::from(*guarantee),
             ceiling: f64::INFINITY,
         }).collect();
-        let expected = allocate_by_programs(&capacities, &ones);
+        let expected = allocate_by_programs(&capacities, &tenants);
         let close = |(found, expected): (&f64, &f64)| (found - expected).abs() <= 1e-3 * expected.max(1.0);
         prop_assert!(found.iter().zip(&expected).all(close), "{found:?} {expected:?}");
     }
