--- a/crates/books/src/asked.rs
+++ b/crates/books/src/asked.rs
@@ -1,120 +1,126 @@
-//! What proxies are asked for.
+//! The demand of proxies: how many txns per second of each request class arrive at them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::{Product, ProductId, ProxyId, ZoneId};
 
-use crate::ring::BUCKETS;
-use crate::{Node, Reach, Ring, Tally, BUCKET};
+use crate::ring::BUCKET_COUNT;
+use crate::{Node, Reach, SlidingWindow, TryStats, BUCKET_MS};
 
-/// As long as sums are kept at all.
-const KEPT: f64 = (BUCKETS - 1) as f64 * BUCKET;
+/// The longest window that traffic reports are kept for.
+const MAX_WINDOW: f64 = (BUCKET_COUNT - 1) as f64 * BUCKET_MS;
 
-/// What came to one proxy: by late sums, until the first of them as told at joining.
+/// The demand at one proxy: from its traffic reports, and before the first of them from the rate stated when
+/// it joined.
 #[derive(Default)]
-pub struct Asked {
+pub struct ProxyDemand {
     pub zone: ZoneId,
-    /// Txns a second of all products, as told at joining.
-    pub told: f64,
-    came: BTreeMap<ProductId, Ring>,
+    /// Txns per second of all request classes, as stated when the proxy joined.
+    pub stated_rate: f64,
+    reports: BTreeMap<ProductId, SlidingWindow>,
 }
 
-impl Asked {
-    pub fn joined(zone: ZoneId, told: f64) -> Asked {
-        Asked { zone, told, came: BTreeMap::new() }
+impl ProxyDemand {
+    /// `stated_rate` is the rate stated at joining, in txns per second.
+    pub fn new(zone: ZoneId, stated_rate: f64) -> ProxyDemand {
+        ProxyDemand { zone, stated_rate, reports: BTreeMap::new() }
     }
 
-    pub fn came(&mut self, now: f64, product: ProductId, sum: Tally) {
-        self.came.entry(product).or_default().add(now, sum);
+    pub fn add_report(&mut self, now: f64, class: ProductId, report: TryStats) {
+        self.reports.entry(class).or_default().add(now, report);
     }
 
-    /// How many products sums have told of.
-    pub fn products(&self) -> usize {
-        self.came.len()
+    /// The number of request classes that reports have arrived for.
+    pub fn reported_classes(&self) -> usize {
+        self.reports.len()
     }
 
-    /// Txns a second of one of so many products. Sums that are late or lost say nothing: where none came within the
-    /// span, what came last is taken, and where all of that is too old, what was told at joining. Guards against proxies
-    /// that seem to ask nothing while reports are rare: a table of one cold host seemed to have room for three of them.
-    pub fn rate(&self, now: f64, span: f64, product: ProductId, products: usize) -> f64 {
-        let heard_within = |span: f64| self.came.values().any(|ring| ring.last(now, span).over > 0.0);
-        let span = if heard_within(span) { span } else { KEPT };
-        if span == KEPT && !heard_within(span) {
-            return self.told / products as f64;
+    /// Txns per second of one of so many request classes. A late or lost report carries no information: where
+    /// none arrived within the window, the longest window is used, and where all reports are older than that,
+    /// the rate stated at joining. Guards against proxies that seem to have no demand while reports are rare:
+    /// a table of one cold host then seemed to have room for three of them.
+    pub fn rate(&self, now: f64, window: f64, class: ProductId, classes: usize) -> f64 {
+        let reported_within =
+            |window: f64| self.reports.values().any(|recent| recent.sum_last(now, window).covered > 0.0);
+        let window = if reported_within(window) { window } else { MAX_WINDOW };
+        if window == MAX_WINDOW && !reported_within(window) {
+            return self.stated_rate / classes as f64;
         }
-        let sum = self.came.get(&product).map(|ring| ring.last(now, span)).unwrap_or_default();
-        1_000.0 * sum.tries / sum.over.max(1_000.0)
+        let sum = self.reports.get(&class).map(|recent| recent.sum_last(now, window)).unwrap_or_default();
+        1_000.0 * sum.tries / sum.covered.max(1_000.0)
     }
 }
 
-/// A proxy that joined: what it is asked for, and its seat in each tree that it uses.
+/// A joined proxy: its demand, and the table assigned to it in each tree that it uses.
 #[derive(Default)]
 pub struct Proxy {
-    pub asked: Asked,
+    pub demand: ProxyDemand,
     pub nodes: BTreeMap<Reach, Node>,
-    /// It joined without a table that a steward ordered.
+    /// It joined without a table that a controller ordered.
     pub fresh: bool,
-    /// When it joined, ms by the clock of the decisions.
+    /// When it joined, in ms on the clock of the decisions.
     pub joined_at: f64,
 }
 
 impl Proxy {
-    pub fn joined(joined_at: f64, zone: ZoneId, told: f64, fresh: bool) -> Proxy {
-        Proxy { asked: Asked::joined(zone, told), nodes: BTreeMap::new(), fresh, joined_at }
+    pub fn new(joined_at: f64, zone: ZoneId, stated_rate: f64, fresh: bool) -> Proxy {
+        Proxy { demand: ProxyDemand::new(zone, stated_rate), nodes: BTreeMap::new(), fresh, joined_at }
     }
 
-    /// Lets go of its seats in all but these trees.
+    /// Drops its table assignments in all trees but these.
     pub fn keep(&mut self, trees: &BTreeSet<(ZoneId, Reach)>) {
-        let home = self.asked.zone;
+        let home = self.demand.zone;
         self.nodes.retain(|tree, _| trees.contains(&(home, *tree)));
     }
 }
 
 #[derive(Clone)]
-/// What a zone asks of one product, by proxy and in all; the SLA time stands in for a txn's work.
-pub struct Ask {
+/// The demand of a zone for one request class, by proxy and in total; the latency target stands for the work
+/// of a txn.
+pub struct ClassDemand {
     pub id: ProductId,
-    pub product: Product,
-    /// Txns a second, in the order of the proxies.
+    pub class: Product,
+    /// Txns per second, in the order of the proxies.
     pub rates: Vec<f64>,
     pub total: f64,
     pub work: f64,
 }
 
-impl Ask {
-    /// Of each product in each zone, over the last `span` ms.
-    pub fn each(
-        products: &[Product],
+impl ClassDemand {
+    /// The demand for each request class in each zone, over the last `window` ms.
+    pub fn by_zone(
+        classes: &[Product],
         zones: impl Iterator<Item = ZoneId>,
         proxies: &BTreeMap<ProxyId, Proxy>,
         now: f64,
-        span: f64,
-    ) -> BTreeMap<ZoneId, Vec<Ask>> {
-        let asks = |zone| {
-            let there: Vec<&Asked> = proxies.values().map(|p| &p.asked).filter(|p| p.zone == zone).collect();
-            let ask = |(place, product): (usize, &Product)| {
+        window: f64,
+    ) -> BTreeMap<ZoneId, Vec<ClassDemand>> {
+        let class_demands = |zone| {
+            let in_zone: Vec<&ProxyDemand> =
+                proxies.values().map(|p| &p.demand).filter(|p| p.zone == zone).collect();
+            let class_demand = |(place, class): (usize, &Product)| {
                 let id = ProductId(place as u16);
-                let rates = there.iter().map(|asked| asked.rate(now, span, id, products.len()));
+                let rates = in_zone.iter().map(|demand| demand.rate(now, window, id, classes.len()));
                 let rates: Vec<f64> = rates.collect();
                 let total = rates.iter().sum::<f64>();
-                Ask { id, product: product.clone(), rates, total, work: total * product.sla }
+                ClassDemand { id, class: class.clone(), rates, total, work: total * class.sla }
             };
-            (zone, products.iter().enumerate().map(ask).collect())
+            (zone, classes.iter().enumerate().map(class_demand).collect())
         };
-        zones.map(asks).collect()
+        zones.map(class_demands).collect()
     }
 }
 
-/// The cap under which rates add up to that part of what they add up to without; none where it caps nobody.
-pub fn even(mut rates: Vec<f64>, part: f64) -> Option<f64> {
+/// The cap per proxy under which the rates add up to this fraction of their sum; none where it caps no proxy.
+pub fn rate_cap(mut rates: Vec<f64>, fraction: f64) -> Option<f64> {
     rates.sort_by(f64::total_cmp);
-    let mut left = part * rates.iter().sum::<f64>();
+    let mut remaining = fraction * rates.iter().sum::<f64>();
     for (place, rate) in rates.iter().enumerate() {
-        let even = left / (rates.len() - place) as f64;
-        if *rate >= even {
-            return Some(even);
+        let cap = remaining / (rates.len() - place) as f64;
+        if *rate >= cap {
+            return Some(cap);
         }
-        left -= rate;
+        remaining -= rate;
     }
     None
 }
--- a/crates/books/src/lib.rs
+++ b/crates/books/src/lib.rs
@@ -1,8 +1,10 @@
-//! The books that decisions keep. Late sums, and what was written to proxies and what they answered, go in; sums over
-//! a window of time ([`Ring`] of [`Tally`]), what is asked for ([`Ask`]), how full the tables of a tree are ([`Fill`]),
-//! what proxies are to hold and hold ([`Plan`], [`Present`]) and the lines that may still wait in a channel ([`Waiting`]) come out.
+//! Accounting that the decisions rest on. Its input is traffic reports, the orders that were written to
+//! proxies and their acknowledgements. It provides sums over a sliding window ([`SlidingWindow`] of
+//! [`TryStats`]), the demand per request class ([`ClassDemand`]), the load of the tables of a tree
+//! ([`TableLoads`]), what proxies should hold and do hold ([`DesiredState`], [`PublishedState`]) and how many
+//! lines may still be queued in a channel ([`ChannelBacklog`]).
 //!
-//! Plain data structures and arithmetic: nothing here chooses anything.
+//! Plain data structures and arithmetic: this crate makes no decisions.
 
 mod asked;
 mod plan;
@@ -13,11 +15,13 @@
 mod tree;
 mod waiting;
 
-pub use asked::{even, Ask, Asked, Proxy};
-pub use plan::{Bind, Lines, Plan};
-pub use present::Present;
-pub use reach::{Reach, Tbl};
-pub use ring::{median, Ring, Tally, BUCKET};
-pub use told::Told;
-pub use tree::{breadth, groups, names, Fill, Line, Node, Places};
-pub use waiting::Waiting;
+pub use asked::{rate_cap, ClassDemand, Proxy, ProxyDemand};
+pub use plan::{Bind, DesiredState, EntriesByReach};
+pub use present::PublishedState;
+pub use reach::{Reach, TableKey};
+pub use ring::{median, SlidingWindow, TryStats, BUCKET_MS};
+pub use told::ReachRules;
+pub use tree::{
+    includes_place, open_weight_by_group, tables_at_level, Node, PlaceAllocator, TableEntry, TableLoads,
+};
+pub use waiting::ChannelBacklog;
--- a/crates/books/src/present.rs
+++ b/crates/books/src/present.rs
@@ -1,233 +1,242 @@
-//! What proxies hold, as far as orders went out.
+//! The state that proxies hold, as far as orders were sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::{HostId, Products, ProxyId, TblId, Tries, ZoneId};
 
-use crate::{Bind, Plan, Proxy, Reach, Tbl, Told};
+use crate::{Bind, DesiredState, Proxy, Reach, ReachRules, TableKey};
 
-/// Numbers from here on are dealt out as tables come into use; below it a table's number follows from its place.
-const DEALT: u16 = 0x8000;
+/// Table ids from here on are allocated as tables come into use; a lower id follows from the position of the
+/// table in its tree.
+const FIRST_ALLOCATED_ID: u16 = 0x8000;
 
-/// Hosts shut out, lines of tables, who uses which table for what, and how much is let in. Who uses a table, which
-/// tables name a host and how many proxies are bound are kept beside: to look for them goes over the whole fleet.
+/// The withdrawn hosts, the entries of tables, which proxy uses which table for which request classes, and
+/// the admission levels. The users of a table, the tables that name a host and the number of bound proxies
+/// are indexed, because searching for them would scan the whole fleet.
 #[derive(Clone, Default)]
-pub struct Present {
-    pub held: BTreeSet<HostId>,
-    pub levels: BTreeMap<(Tbl, Products), (f64, Tries)>,
-    lines: BTreeMap<Tbl, BTreeMap<HostId, f64>>,
-    binds: BTreeMap<(ProxyId, Tbl), Products>,
-    /// By table that somebody uses.
-    users: BTreeMap<Tbl, BTreeSet<ProxyId>>,
-    /// By host that a table names.
-    naming: BTreeMap<HostId, BTreeSet<Tbl>>,
-    /// Tables that a proxy may still use: it joined again in the moment in which it left, so it may have been there all
-    /// the time. By proxy, and by table.
-    lingering: BTreeMap<ProxyId, BTreeMap<Tbl, Products>>,
-    may_use: BTreeMap<Tbl, BTreeSet<ProxyId>>,
-    /// What proxies that left a moment ago used, or may have used.
-    left_now: BTreeMap<ProxyId, BTreeMap<Tbl, Products>>,
-    /// So many proxies use some table.
-    bound: usize,
+pub struct PublishedState {
+    pub withdrawn: BTreeSet<HostId>,
+    pub levels: BTreeMap<(TableKey, Products), (f64, Tries)>,
+    tables: BTreeMap<TableKey, BTreeMap<HostId, f64>>,
+    binds: BTreeMap<(ProxyId, TableKey), Products>,
+    /// By table that some proxy uses.
+    users: BTreeMap<TableKey, BTreeSet<ProxyId>>,
+    /// By host that some table names.
+    tables_naming: BTreeMap<HostId, BTreeSet<TableKey>>,
+    /// Tables that a proxy may still use: it left and joined again within one batch of events, so it may
+    /// never have left. By proxy, and by table.
+    lingering: BTreeMap<ProxyId, BTreeMap<TableKey, Products>>,
+    possible_users: BTreeMap<TableKey, BTreeSet<ProxyId>>,
+    /// The tables that proxies which left in this batch of events used or may have used.
+    just_left: BTreeMap<ProxyId, BTreeMap<TableKey, Products>>,
+    /// The number of proxies that use some table.
+    bound_proxies: usize,
     zones: u16,
-    numbers: BTreeMap<Tbl, u16>,
-    /// The next number to be looked at; none: none was dealt yet.
-    next: Option<u16>,
+    allocated_ids: BTreeMap<TableKey, u16>,
+    /// The next table id to try, counted from the first allocated one; none: no id was allocated yet.
+    next_id: Option<u16>,
 }
 
-impl Present {
-    /// Nothing is held yet, in so many zones.
-    pub fn new(zones: u16) -> Present {
-        Present { zones, ..Present::default() }
+impl PublishedState {
+    /// Nothing is published yet, in so many zones.
+    pub fn new(zones: u16) -> PublishedState {
+        PublishedState { zones, ..PublishedState::default() }
     }
 
-    /// The lines of each table that is known.
-    pub fn lines(&self) -> &BTreeMap<Tbl, BTreeMap<HostId, f64>> {
-        &self.lines
+    /// The entries of each known table.
+    pub fn tables(&self) -> &BTreeMap<TableKey, BTreeMap<HostId, f64>> {
+        &self.tables
     }
 
-    /// The most groups of places that a tree may have, so that no number which follows from a place is ever dealt.
-    pub fn most_groups(zones: u16) -> u32 {
-        u32::from(DEALT / 4 / zones.clamp(1, DEALT / 4))
+    /// The largest number of groups of places in a tree. It keeps the ids that follow from a position below
+    /// the allocated ones.
+    pub fn max_groups(zones: u16) -> u32 {
+        u32::from(FIRST_ALLOCATED_ID / 4 / zones.clamp(1, FIRST_ALLOCATED_ID / 4))
     }
 
-    /// A table of a reach of its own has none before [`Present::begin`].
-    pub fn number(&self, tbl: Tbl) -> TblId {
-        let ((ZoneId(zone), reach, node), zones) = (tbl, self.zones);
+    /// The id of the table. A table of a reach [`Reach::Only`] has none before
+    /// [`PublishedState::ensure_table`].
+    pub fn table_id(&self, table: TableKey) -> TblId {
+        let ((ZoneId(zone), reach, node), zones) = (table, self.zones);
         let place = |own: u16| zone + zones * (2 * (node.max(1) as u16 - 1) + own);
         match reach {
-            Reach::Free => TblId(place(0)),
-            Reach::Own => TblId(place(1)),
-            Reach::Only(_) => self.numbers.get(&tbl).map_or(TblId::ALL, |number| TblId(*number)),
+            Reach::AnyZone => TblId(place(0)),
+            Reach::HomeZone => TblId(place(1)),
+            Reach::Only(_) => self.allocated_ids.get(&table).map_or(TblId::ALL, |id| TblId(*id)),
         }
     }
 
-    /// Knows the table from now on; true: it got a number that may have been another table's. Numbers are dealt in
-    /// turn, so that one comes again as late as can be, from one that follows from the time: what a plan before this
-    /// one dealt may still be in use. Where none is left the table stays unknown.
-    pub fn begin(&mut self, now: f64, tbl: Tbl) -> bool {
-        let dealt = matches!(tbl.1, Reach::Only(_)) && !self.lines.contains_key(&tbl);
-        if dealt {
-            let all = u16::MAX - DEALT;
-            // Plans that are made 50 ms apart begin a few thousand numbers apart.
-            let first = self.next.unwrap_or((now as u64 * 7_919 % u64::from(all)) as u16);
-            let turn = |step: u16| DEALT + ((u32::from(first) + u32::from(step)) % u32::from(all)) as u16;
-            let free = |number: &u16| !self.numbers.values().any(|taken| taken == number);
-            let Some(number) = (0..all).map(turn).find(free) else { return false };
-            self.next = Some((number - DEALT + 1) % all);
-            self.numbers.insert(tbl, number);
+    /// Makes the table known; returns whether it got an allocated id, which another table may have had
+    /// before. Ids are allocated in turn, so that an id is reused as late as possible, starting at one
+    /// derived from the time: ids allocated by an earlier instance of this state may still be in use. Where
+    /// no id is free the table stays unknown.
+    pub fn ensure_table(&mut self, now: f64, table: TableKey) -> bool {
+        let allocated = matches!(table.1, Reach::Only(_)) && !self.tables.contains_key(&table);
+        if allocated {
+            let all = u16::MAX - FIRST_ALLOCATED_ID;
+            // States that are created 50 ms apart start a few thousand ids apart.
+            let first = self.next_id.unwrap_or((now as u64 * 7_919 % u64::from(all)) as u16);
+            let turn = |step: u16| {
+                FIRST_ALLOCATED_ID + ((u32::from(first) + u32::from(step)) % u32::from(all)) as u16
+            };
+            let free = |id: &u16| !self.allocated_ids.values().any(|taken| taken == id);
+            let Some(id) = (0..all).map(turn).find(free) else { return false };
+            self.next_id = Some((id - FIRST_ALLOCATED_ID + 1) % all);
+            self.allocated_ids.insert(table, id);
         }
-        self.lines.entry(tbl).or_default();
-        dealt
+        self.tables.entry(table).or_default();
+        allocated
     }
 
-    /// Lets go of tables with a reach of their own that nobody uses, nor is to by the wanted plan; gives
-    /// their numbers.
-    pub fn drop_unused(&mut self, wanted: &Plan) -> Vec<TblId> {
-        if self.numbers.is_empty() {
+    /// Drops the tables of a reach [`Reach::Only`] that no proxy uses now or in the desired state; returns
+    /// their ids.
+    pub fn remove_unused_tables(&mut self, desired: &DesiredState) -> Vec<TblId> {
+        if self.allocated_ids.is_empty() {
             return vec![];
         }
-        let used = wanted.used();
-        let idle = |tbl: &&Tbl| !self.users.contains_key(*tbl) && !used.contains(*tbl);
-        let unused: Vec<Tbl> = self.numbers.keys().filter(idle).copied().collect();
-        let numbers = unused.iter().map(|tbl| self.number(*tbl)).collect();
-        for tbl in &unused {
-            for host in self.lines.remove(tbl).unwrap_or_default().into_keys() {
-                self.unname(*tbl, host);
+        let used = desired.used_tables();
+        let unused = |table: &&TableKey| !self.users.contains_key(*table) && !used.contains(*table);
+        let unused: Vec<TableKey> = self.allocated_ids.keys().filter(unused).copied().collect();
+        let ids = unused.iter().map(|table| self.table_id(*table)).collect();
+        for table in &unused {
+            for host in self.tables.remove(table).unwrap_or_default().into_keys() {
+                self.remove_naming(*table, host);
             }
-            self.numbers.remove(tbl);
-            self.levels.retain(|(of, _), _| of != tbl);
+            self.allocated_ids.remove(table);
+            self.levels.retain(|(of, _), _| of != table);
         }
-        numbers
+        ids
     }
 
-    fn unname(&mut self, tbl: Tbl, host: HostId) {
-        if let Some(naming) = self.naming.get_mut(&host) {
-            naming.remove(&tbl);
+    fn remove_naming(&mut self, table: TableKey, host: HostId) {
+        if let Some(naming) = self.tables_naming.get_mut(&host) {
+            naming.remove(&table);
             if naming.is_empty() {
-                self.naming.remove(&host);
+                self.tables_naming.remove(&host);
             }
         }
     }
 
-    /// The tables that a proxy is bound to, and for which products.
-    pub fn bound(&self, proxy: ProxyId) -> impl Iterator<Item = (Tbl, Products)> + '_ {
-        let first = (proxy, (ZoneId(0), Reach::Free, 0));
-        let of_it = self.binds.range(first..).take_while(move |bind| bind.0 .0 == proxy);
-        of_it.map(|((_, tbl), products)| (*tbl, *products))
+    /// The tables that a proxy is bound to, and for which request classes.
+    pub fn binds_of(&self, proxy: ProxyId) -> impl Iterator<Item = (TableKey, Products)> + '_ {
+        let first = (proxy, (ZoneId(0), Reach::AnyZone, 0));
+        let own_binds = self.binds.range(first..).take_while(move |bind| bind.0 .0 == proxy);
+        own_binds.map(|((_, table), classes)| (*table, *classes))
     }
 
-    /// The tables that a proxy uses for these products.
-    pub fn using(&self, proxy: ProxyId, products: Products) -> Vec<Tbl> {
-        self.bound(proxy).filter(|(_, of)| of.0 & products.0 != 0).map(|bound| bound.0).collect()
+    /// The tables that a proxy uses for these request classes.
+    pub fn tables_used_for(&self, proxy: ProxyId, classes: Products) -> Vec<TableKey> {
+        self.binds_of(proxy).filter(|(_, of)| of.0 & classes.0 != 0).map(|bound| bound.0).collect()
     }
 
-    /// The wanted binds that do not stand, each with those of its products for which its proxy uses another table or
-    /// none.
-    pub fn lacking(&self, wanted: &Plan) -> Vec<Bind> {
-        let (mut lacking, mut standing) = (Vec::new(), self.binds.iter().peekable());
-        for (of, products) in &wanted.binds {
-            while standing.peek().is_some_and(|has| has.0 < of) {
-                standing.next();
+    /// The desired binds that are not in force, each with those of its request classes for which the proxy
+    /// uses another table or none.
+    pub fn missing_binds(&self, desired: &DesiredState) -> Vec<Bind> {
+        let (mut missing_binds, mut in_force) = (Vec::new(), self.binds.iter().peekable());
+        for (of, classes) in &desired.binds {
+            while in_force.peek().is_some_and(|has| has.0 < of) {
+                in_force.next();
             }
-            let has = standing.peek().filter(|has| has.0 == of).map_or(0, |has| has.1 .0);
-            if products.0 & !has != 0 {
-                lacking.push((*of, Products(products.0 & !has)));
+            let has = in_force.peek().filter(|has| has.0 == of).map_or(0, |has| has.1 .0);
+            if classes.0 & !has != 0 {
+                missing_binds.push((*of, Products(classes.0 & !has)));
             }
         }
-        lacking
+        missing_binds
     }
 
-    /// Sets lines of a table; a weight of zero removes one.
-    pub fn set(&mut self, tbl: Tbl, lines: Vec<(HostId, f64)>) {
-        for (host, weight) in lines {
+    /// Sets entries of a table; a weight of zero removes one.
+    pub fn set_entries(&mut self, table: TableKey, entries: Vec<(HostId, f64)>) {
+        for (host, weight) in entries {
             if weight > 0.0 {
-                self.lines.entry(tbl).or_default().insert(host, weight);
-                self.naming.entry(host).or_default().insert(tbl);
-            } else if self.lines.entry(tbl).or_default().remove(&host).is_some() {
-                self.unname(tbl, host);
+                self.tables.entry(table).or_default().insert(host, weight);
+                self.tables_naming.entry(host).or_default().insert(table);
+            } else if self.tables.entry(table).or_default().remove(&host).is_some() {
+                self.remove_naming(table, host);
             }
         }
     }
 
-    /// Of hosts that are gone, lets go of those that no table names, where all proxies are bound; gives them.
-    pub fn let_go(
+    /// Forgets those of the hosts which left the list that no table names, once all proxies are bound;
+    /// returns them.
+    pub fn forget_hosts(
         &mut self,
         gone: impl Iterator<Item = HostId>,
         proxies: &BTreeMap<ProxyId, Proxy>,
     ) -> BTreeSet<HostId> {
-        if self.bound < proxies.len() {
+        if self.bound_proxies < proxies.len() {
             return BTreeSet::new();
         }
-        let gone: BTreeSet<HostId> = gone.filter(|id| !self.naming.contains_key(id)).collect();
-        self.held.retain(|id| !gone.contains(id));
+        let gone: BTreeSet<HostId> = gone.filter(|id| !self.tables_naming.contains_key(id)).collect();
+        self.withdrawn.retain(|id| !gone.contains(id));
         gone
     }
 
-    /// The proxy uses that table for these products, no other.
-    pub fn bind(&mut self, proxy: ProxyId, tbl: Tbl, products: Products) {
-        let had: Vec<(Tbl, Products)> = self.bound(proxy).collect();
-        for (other, had) in had.iter().filter(|bound| bound.0 != tbl) {
-            match Products(had.0 & !products.0) {
+    /// Binds the proxy to the table for these request classes, instead of any other table.
+    pub fn bind(&mut self, proxy: ProxyId, table: TableKey, classes: Products) {
+        let had: Vec<(TableKey, Products)> = self.binds_of(proxy).collect();
+        for (other, had) in had.iter().filter(|bound| bound.0 != table) {
+            match Products(had.0 & !classes.0) {
                 Products(0) => self.unbind(proxy, *other),
                 left => drop(self.binds.insert((proxy, *other), left)),
             }
         }
-        self.lingers_less(proxy, products);
-        self.binds.entry((proxy, tbl)).or_insert(Products(0)).0 |= products.0;
-        self.users.entry(tbl).or_default().insert(proxy);
-        self.bound += usize::from(had.is_empty());
+        self.end_lingering(proxy, classes);
+        self.binds.entry((proxy, table)).or_insert(Products(0)).0 |= classes.0;
+        self.users.entry(table).or_default().insert(proxy);
+        self.bound_proxies += usize::from(had.is_empty());
     }
 
-    fn unbind(&mut self, proxy: ProxyId, tbl: Tbl) {
-        self.binds.remove(&(proxy, tbl));
-        if let Some(users) = self.users.get_mut(&tbl) {
+    fn unbind(&mut self, proxy: ProxyId, table: TableKey) {
+        self.binds.remove(&(proxy, table));
+        if let Some(users) = self.users.get_mut(&table) {
             users.remove(&proxy);
             if users.is_empty() {
-                self.users.remove(&tbl);
+                self.users.remove(&table);
             }
         }
     }
 
-    /// The proxy holds nothing of this any more, unless it joins again at once.
-    pub fn left(&mut self, proxy: ProxyId) {
-        let had: Vec<(Tbl, Products)> = self.bound(proxy).collect();
-        had.iter().for_each(|(tbl, _)| self.unbind(proxy, *tbl));
-        self.bound -= usize::from(!had.is_empty());
+    /// The proxy left: it holds nothing any more, unless it joins again within the same batch of events.
+    pub fn proxy_left(&mut self, proxy: ProxyId) {
+        let had: Vec<(TableKey, Products)> = self.binds_of(proxy).collect();
+        had.iter().for_each(|(table, _)| self.unbind(proxy, *table));
+        self.bound_proxies -= usize::from(!had.is_empty());
         let mut used = self.lingering.remove(&proxy).unwrap_or_default();
-        for tbl in used.keys() {
-            self.uses_no_more(proxy, *tbl);
+        for table in used.keys() {
+            self.remove_possible_user(proxy, *table);
         }
-        for (tbl, products) in had {
-            used.entry(tbl).or_insert(Products(0)).0 |= products.0;
+        for (table, classes) in had {
+            used.entry(table).or_insert(Products(0)).0 |= classes.0;
         }
         if !used.is_empty() {
-            self.left_now.insert(proxy, used);
+            self.just_left.insert(proxy, used);
         }
     }
 
-    /// The proxy joins, or goes on after a gap in the news in which it may have left and joined again. Guards the queue's
-    /// limit: lines of tables that it was bound to may reach it still, whatever it is bound to by our orders.
-    pub fn joined(&mut self, proxy: ProxyId, fresh: bool) {
-        let Some(used) = self.left_now.remove(&proxy).filter(|_| !fresh) else { return };
-        for tbl in used.keys() {
-            self.may_use.entry(*tbl).or_default().insert(proxy);
+    /// The proxy joins, or continues after a gap in the relay watch in which it may have left and joined
+    /// again. Guards the channel's limit: entries of tables that it was bound to may still be sent to it,
+    /// whatever it is bound to by new orders.
+    pub fn proxy_joined(&mut self, proxy: ProxyId, fresh: bool) {
+        let Some(used) = self.just_left.remove(&proxy).filter(|_| !fresh) else { return };
+        for table in used.keys() {
+            self.possible_users.entry(*table).or_default().insert(proxy);
         }
         self.lingering.insert(proxy, used);
     }
 
-    /// Who left up to now and has not joined again has left for good.
-    pub fn settle_departures(&mut self) {
-        self.left_now.clear();
+    /// Proxies that left in this batch of events and have not joined again are gone for good.
+    pub fn finish_departures(&mut self) {
+        self.just_left.clear();
     }
 
-    /// It uses another table for these products now.
-    fn lingers_less(&mut self, proxy: ProxyId, products: Products) {
+    /// The proxy uses another table for these request classes now.
+    fn end_lingering(&mut self, proxy: ProxyId, classes: Products) {
         let Some(mut used) = self.lingering.remove(&proxy) else { return };
-        for (tbl, of) in &mut used {
-            of.0 &= !products.0;
+        for (table, of) in &mut used {
+            of.0 &= !classes.0;
             if of.0 == 0 {
-                self.uses_no_more(proxy, *tbl);
+                self.remove_possible_user(proxy, *table);
             }
         }
         used.retain(|_, of| of.0 != 0);
@@ -236,98 +245,105 @@
         }
     }
 
-    fn uses_no_more(&mut self, proxy: ProxyId, tbl: Tbl) {
-        if let Some(users) = self.may_use.get_mut(&tbl) {
+    fn remove_possible_user(&mut self, proxy: ProxyId, table: TableKey) {
+        if let Some(users) = self.possible_users.get_mut(&table) {
             users.remove(&proxy);
             if users.is_empty() {
-                self.may_use.remove(&tbl);
+                self.possible_users.remove(&table);
             }
         }
     }
 
-    /// Who gets the lines of a table: those that use it and those that may.
-    pub fn reached(&self, of: &Tbl) -> Vec<ProxyId> {
+    /// The proxies that get the entries of a table: those that use it and those that may still use it.
+    pub fn recipients(&self, of: &TableKey) -> Vec<ProxyId> {
         let users = self.users.get(of).into_iter().flatten();
-        let mut reached: BTreeSet<ProxyId> = users.copied().collect();
-        reached.extend(self.may_use.get(of).into_iter().flatten());
-        reached.into_iter().collect()
+        let mut recipients: BTreeSet<ProxyId> = users.copied().collect();
+        recipients.extend(self.possible_users.get(of).into_iter().flatten());
+        recipients.into_iter().collect()
     }
 
-    pub fn users(&self, of: &Tbl) -> Vec<ProxyId> {
+    /// The proxies that use the table.
+    pub fn users(&self, of: &TableKey) -> Vec<ProxyId> {
         self.users.get(of).into_iter().flatten().copied().collect()
     }
 
-    /// The tables that somebody uses.
-    pub fn used(&self) -> impl Iterator<Item = &Tbl> {
+    /// The tables that some proxy uses.
+    pub fn used_tables(&self) -> impl Iterator<Item = &TableKey> {
         self.users.keys()
     }
 
-    pub fn names(&self, tbl: &Tbl, host: HostId) -> bool {
-        self.lines.get(tbl).is_some_and(|lines| lines.contains_key(&host))
+    /// Whether the table names the host.
+    pub fn contains_host(&self, table: &TableKey, host: HostId) -> bool {
+        self.tables.get(table).is_some_and(|entries| entries.contains_key(&host))
     }
 
-    /// A host's in a table that names it.
-    pub fn weight(&self, tbl: &Tbl, host: HostId) -> Option<f64> {
-        self.lines.get(tbl)?.get(&host).copied()
+    /// The weight of a host in a table that names it.
+    pub fn weight(&self, table: &TableKey, host: HostId) -> Option<f64> {
+        self.tables.get(table)?.get(&host).copied()
     }
 
-    /// Nothing in the table serves.
-    pub fn bare(&self, tbl: &Tbl) -> bool {
-        self.lines.get(tbl).is_none_or(|lines| lines.keys().all(|host| self.held.contains(host)))
+    /// Every host of the table is withdrawn, or it has none.
+    pub fn lacks_usable_host(&self, table: &TableKey) -> bool {
+        self.tables.get(table).is_none_or(|entries| entries.keys().all(|host| self.withdrawn.contains(host)))
     }
 
-    /// Whether in some table that the proxy uses for these products nothing serves; none: it uses no table for them.
-    pub fn bare_for(&self, proxy: ProxyId, products: Products) -> Option<bool> {
-        let using = self.using(proxy, products);
-        (!using.is_empty()).then(|| using.iter().any(|tbl| self.bare(tbl)))
+    /// Whether some table that the proxy uses for these request classes has no usable host; none: it uses no
+    /// table for them.
+    pub fn lacks_usable_host_for(&self, proxy: ProxyId, classes: Products) -> Option<bool> {
+        let tables = self.tables_used_for(proxy, classes);
+        (!tables.is_empty()).then(|| tables.iter().any(|table| self.lacks_usable_host(table)))
     }
 
     /// Some proxy uses no table yet.
-    pub fn lacks_binds(&self, proxies: &BTreeMap<ProxyId, Proxy>) -> bool {
-        self.bound < proxies.len()
+    pub fn has_unbound_proxies(&self, proxies: &BTreeMap<ProxyId, Proxy>) -> bool {
+        self.bound_proxies < proxies.len()
     }
 
-    /// Those that may hold a host: proxies at a table that names it, and those not bound yet. All that are bound
-    /// have joined.
-    pub fn holders(&self, host: HostId, proxies: &BTreeMap<ProxyId, Proxy>) -> Vec<ProxyId> {
-        let tbls = self.naming.get(&host).into_iter().flatten();
-        let mut holders: BTreeSet<ProxyId> =
-            tbls.filter_map(|tbl| self.users.get(tbl)).flatten().copied().collect();
-        if self.lacks_binds(proxies) {
-            holders.extend(proxies.keys().filter(|id| self.bound(**id).next().is_none()));
+    /// The proxies that may hold a host: those that use a table which names it, and those not bound yet.
+    /// Every bound proxy has joined.
+    pub fn possible_holders(&self, host: HostId, proxies: &BTreeMap<ProxyId, Proxy>) -> Vec<ProxyId> {
+        let tables = self.tables_naming.get(&host).into_iter().flatten();
+        let mut possible_holders: BTreeSet<ProxyId> =
+            tables.filter_map(|table| self.users.get(table)).flatten().copied().collect();
+        if self.has_unbound_proxies(proxies) {
+            possible_holders.extend(proxies.keys().filter(|id| self.binds_of(**id).next().is_none()));
         }
-        holders.into_iter().collect()
+        possible_holders.into_iter().collect()
     }
 
-    /// Of the binds, those of governed products that may use something outside until then, also as proxies that are
-    /// not bound yet may.
-    pub fn narrowing(&self, wanted: &Plan, told: &Told) -> Vec<Bind> {
-        if told.nothing() {
+    /// Of the missing binds, those for request classes with a residency rule that may use a forbidden zone
+    /// until the bind is applied. Proxies that are not bound yet may use one too.
+    pub fn narrowing_binds(&self, desired: &DesiredState, rules: &ReachRules) -> Vec<Bind> {
+        if rules.is_empty() {
             return vec![];
         }
-        // What stands leaves nothing: a table is within its own reach.
-        let narrows = |((proxy, tbl), of): Bind| {
-            let keeps = self.bound(proxy).filter(|(has, _)| has.1.within(tbl.1, tbl.0));
+        // A table in use whose reach is within the desired one names no forbidden host.
+        let narrows = |((proxy, table), of): Bind| {
+            let keeps = self.binds_of(proxy).filter(|(has, _)| has.1.is_within(table.1, table.0));
             let keeps = keeps.fold(0, |all, (_, of)| all | of.0);
-            let leaves = Products(told.governs(tbl.0, of).0 & !keeps);
-            (leaves.0 != 0 && tbl.1 != Reach::Free).then_some(((proxy, tbl), leaves))
+            let leaves = Products(rules.governed(table.0, of).0 & !keeps);
+            (leaves.0 != 0 && table.1 != Reach::AnyZone).then_some(((proxy, table), leaves))
         };
-        self.lacking(wanted).into_iter().filter_map(narrows).collect()
+        self.missing_binds(desired).into_iter().filter_map(narrows).collect()
     }
 
-    /// Tables in use that name a host which is in another zone now, outside their reach.
-    pub fn moved(&self, told: &Told, zone: impl Fn(&HostId) -> Option<ZoneId>) -> BTreeSet<Tbl> {
-        // With nothing told only a table that was dealt a number has an outside.
-        if told.nothing() && self.numbers.is_empty() {
+    /// Tables in use that name a host which is now in a zone outside their reach.
+    pub fn tables_outside_reach(
+        &self,
+        rules: &ReachRules,
+        zone: impl Fn(&HostId) -> Option<ZoneId>,
+    ) -> BTreeSet<TableKey> {
+        // Without residency rules only a table with an allocated id can name a host outside its reach.
+        if rules.is_empty() && self.allocated_ids.is_empty() {
             return BTreeSet::new();
         }
-        let outside = |tbl: &Tbl, id: &HostId| zone(id).is_some_and(|zone| told.outside(tbl, zone));
-        let named = |tbl: &Tbl| self.lines.get(tbl).into_iter().flat_map(BTreeMap::keys);
-        self.used().filter(|tbl| named(tbl).any(|id| outside(tbl, id))).copied().collect()
+        let outside = |table: &TableKey, id: &HostId| zone(id).is_some_and(|zone| rules.forbids(table, zone));
+        let named = |table: &TableKey| self.tables.get(table).into_iter().flat_map(BTreeMap::keys);
+        self.used_tables().filter(|table| named(table).any(|id| outside(table, id))).copied().collect()
     }
 
-    /// Tables that these binds leave.
-    pub fn left_by(&self, binds: &[Bind]) -> BTreeSet<Tbl> {
-        binds.iter().flat_map(|((proxy, _), of)| self.using(*proxy, *of)).collect()
+    /// Tables that proxies leave by these binds.
+    pub fn tables_left_by(&self, binds: &[Bind]) -> BTreeSet<TableKey> {
+        binds.iter().flat_map(|((proxy, _), of)| self.tables_used_for(*proxy, *of)).collect()
     }
 }
--- a/crates/books/src/tree.rs
+++ b/crates/books/src/tree.rs
@@ -1,32 +1,34 @@
-//! A class's tables as a tree.
+//! The tables of a reach as a binary tree: each level splits the hosts among twice as many tables.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::{HostId, ZoneId};
 
-/// A table's place in the tree: 1 names all hosts; b + r, b a power of two, every b-th from r. Zero: none.
+/// The node of a table in its tree: 1 names all hosts; b + r, where b is a power of two, names every b-th
+/// host starting at place r. Zero: no table is assigned.
 pub type Node = u32;
 
-/// How many tables of this size the tree has.
-pub fn breadth(node: Node) -> u32 {
+/// The number of tables on the level of the node.
+pub fn tables_at_level(node: Node) -> u32 {
     1 << node.max(1).ilog2()
 }
 
-/// Whether a table names the host at a place of its zone.
-pub fn names(node: Node, place: u32) -> bool {
-    place % breadth(node) == node.max(1) - breadth(node)
+/// Whether the table of the node names the host at this place of its zone.
+pub fn includes_place(node: Node, place: u32) -> bool {
+    place % tables_at_level(node) == node.max(1) - tables_at_level(node)
 }
 
-/// The places that hosts of each zone have. None is given back, so the lowest free one is looked for onward alone.
+/// Allocates the places of hosts in their zones. No place is given back, so the search for
+/// the lowest free one only moves forward.
 #[derive(Default)]
-pub struct Places {
+pub struct PlaceAllocator {
     taken: BTreeSet<(ZoneId, u32)>,
     lowest: BTreeMap<ZoneId, u32>,
 }
 
-impl Places {
-    pub fn take(&mut self, zone: ZoneId, place: u32) {
+impl PlaceAllocator {
+    pub fn reserve(&mut self, zone: ZoneId, place: u32) {
         self.taken.insert((zone, place));
     }
 
@@ -39,77 +41,82 @@
     }
 }
 
-impl FromIterator<(ZoneId, u32)> for Places {
-    fn from_iter<I: IntoIterator<Item = (ZoneId, u32)>>(taken: I) -> Places {
-        Places { taken: taken.into_iter().collect(), ..Places::default() }
+impl FromIterator<(ZoneId, u32)> for PlaceAllocator {
+    fn from_iter<I: IntoIterator<Item = (ZoneId, u32)>>(taken: I) -> PlaceAllocator {
+        PlaceAllocator { taken: taken.into_iter().collect(), ..PlaceAllocator::default() }
     }
 }
 
-/// How full the tables of a tree are. The smallest ones name a group of places each, with so much open weight.
+/// The load of the tables of a tree. The smallest tables each name one group of places, and `open_weight` is
+/// the open weight per group.
 ///
-/// What a table has open, and what it is loaded with, is summed up once: until somebody sits down anew, each proxy asks
-/// for it of every table that it might sit at.
-pub struct Fill<'a> {
-    open: &'a [f64],
-    load: Vec<f64>,
-    /// By node.
-    opens: Vec<f64>,
-    loads: RefCell<Vec<Option<f64>>>,
+/// The open weight and the load of a table are cached until an assignment changes, because each proxy asks
+/// for them of every table that it could be assigned to.
+pub struct TableLoads<'a> {
+    open_weight: &'a [f64],
+    group_loads: Vec<f64>,
+    /// Open weight by node.
+    node_open_weights: Vec<f64>,
+    cached_loads: RefCell<Vec<Option<f64>>>,
 }
 
-fn groups_of(node: Node, most: usize) -> impl Iterator<Item = usize> {
-    let breadth = breadth(node) as usize;
-    (node.max(1) as usize - breadth..most).step_by(breadth)
+fn groups_of(node: Node, group_count: usize) -> impl Iterator<Item = usize> {
+    let tables_at_level = tables_at_level(node) as usize;
+    (node.max(1) as usize - tables_at_level..group_count).step_by(tables_at_level)
 }
 
-impl<'a> Fill<'a> {
-    /// The tree has a power of two of groups.
-    pub fn new(open: &'a [f64]) -> Fill<'a> {
-        let nodes = 2 * open.len() as Node;
-        let sum = |node| groups_of(node, open.len()).map(|group| open[group]).sum();
-        let (opens, loads) = ((0..nodes).map(sum).collect(), RefCell::new(vec![None; nodes as usize]));
-        Fill { open, load: vec![0.0; open.len()], opens, loads }
+impl<'a> TableLoads<'a> {
+    /// The number of groups is a power of two.
+    pub fn new(open_weight: &'a [f64]) -> TableLoads<'a> {
+        let nodes = 2 * open_weight.len() as Node;
+        let sum = |node| groups_of(node, open_weight.len()).map(|group| open_weight[group]).sum();
+        let (node_open_weights, cached_loads) =
+            ((0..nodes).map(sum).collect(), RefCell::new(vec![None; nodes as usize]));
+        TableLoads { open_weight, group_loads: vec![0.0; open_weight.len()], node_open_weights, cached_loads }
     }
 
-    /// Somebody who asks this part of all sits at the table; with less than zero it leaves.
-    pub fn sit(&mut self, node: Node, part: f64) {
-        let per_weight = part / self.open(node).max(1e-9);
-        self.loads.get_mut().fill(None);
-        for group in groups_of(node, self.open.len()) {
-            self.load[group] += per_weight * self.open[group];
+    /// Assigns a proxy with this fraction of the total demand to the table; a negative fraction removes it.
+    pub fn assign(&mut self, node: Node, fraction: f64) {
+        let per_weight = fraction / self.open_weight_of(node).max(1e-9);
+        self.cached_loads.get_mut().fill(None);
+        for group in groups_of(node, self.open_weight.len()) {
+            self.group_loads[group] += per_weight * self.open_weight[group];
         }
     }
 
-    fn open(&self, node: Node) -> f64 {
-        let sum = || groups_of(node, self.open.len()).map(|group| self.open[group]).sum();
-        // Some still sit at a node of a tree that was deeper.
-        self.opens.get(node as usize).copied().unwrap_or_else(sum)
+    fn open_weight_of(&self, node: Node) -> f64 {
+        let sum = || groups_of(node, self.open_weight.len()).map(|group| self.open_weight[group]).sum();
+        // A proxy may still be assigned to a node of a tree that was deeper.
+        self.node_open_weights.get(node as usize).copied().unwrap_or_else(sum)
     }
 
-    /// The load for each open weight with that part more; 1 is what all tables together have for each.
-    pub fn with(&self, node: Node, part: f64) -> f64 {
-        let sum = || groups_of(node, self.open.len()).map(|group| self.load[group]).sum();
-        let load = match self.loads.borrow_mut().get_mut(node as usize) {
-            Some(known) => *known.get_or_insert_with(sum),
+    /// The load per open weight with this fraction of the demand added; 1 is the average over all tables.
+    pub fn load_with(&self, node: Node, fraction: f64) -> f64 {
+        let sum = || groups_of(node, self.open_weight.len()).map(|group| self.group_loads[group]).sum();
+        let load = match self.cached_loads.borrow_mut().get_mut(node as usize) {
+            Some(cached) => *cached.get_or_insert_with(sum),
             None => sum(),
         };
-        (part.max(1e-6) + load) * self.open(1) / self.open(node).max(1e-9)
+        (fraction.max(1e-6) + load) * self.open_weight_of(1) / self.open_weight_of(node).max(1e-9)
     }
 }
 
-/// A line that a class's tables may have.
+/// An entry that the tables of a reach may have.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub struct TableEntry {
     pub host: HostId,
     pub place: u32,
     pub weight: f64,
-    /// Txns may go there now.
+    /// Txns may be sent there now.
     pub open: bool,
 }
 
 /// Open weight in each of so many groups of places.
-pub fn groups(lines: &[Line], most: usize) -> Vec<f64> {
-    let mut open = vec![0.0; most];
-    lines.iter().filter(|line| line.open).for_each(|line| open[line.place as usize % most] += line.weight);
-    open
+pub fn open_weight_by_group(entries: &[TableEntry], group_count: usize) -> Vec<f64> {
+    let mut open_weight = vec![0.0; group_count];
+    entries
+        .iter()
+        .filter(|entry| entry.open)
+        .for_each(|entry| open_weight[entry.place as usize % group_count] += entry.weight);
+    open_weight
 }
--- a/crates/books/tests/lingering.rs
+++ b/crates/books/tests/lingering.rs
@@ -1,68 +1,69 @@
-//! Who gets the lines of a table after a gap in the news in which proxies may have left, or may have stayed.
+//! Which proxies get the entries of a table after a gap in the relay watch in which proxies may have left or
+//! stayed.
 
-use amberarch_books::{Present, Reach, Tbl};
+use amberarch_books::{PublishedState, Reach, TableKey};
 use amberarch_core::{Products, ProxyId, ZoneId};
 
 const ONE: ProxyId = ProxyId(1);
 const OTHER: ProxyId = ProxyId(2);
-const OLD: Tbl = (ZoneId(0), Reach::Free, 1);
-const NEW: Tbl = (ZoneId(0), Reach::Free, 2);
+const OLD: TableKey = (ZoneId(0), Reach::AnyZone, 1);
+const NEW: TableKey = (ZoneId(0), Reach::AnyZone, 2);
 
-/// Both use the old table for two products; the first left.
-fn left() -> Present {
-    let mut present = Present::new(1);
-    present.bind(ONE, OLD, Products(0b11));
-    present.bind(OTHER, OLD, Products(0b11));
-    present.left(ONE);
-    present
+/// Both proxies use the old table for two request classes; the first one left.
+fn left() -> PublishedState {
+    let mut state = PublishedState::new(1);
+    state.bind(ONE, OLD, Products(0b11));
+    state.bind(OTHER, OLD, Products(0b11));
+    state.proxy_left(ONE);
+    state
 }
 
 #[test]
-fn who_joins_again_at_once_may_still_use_what_it_was_bound_to() {
-    let mut present = left();
-    assert_eq!(present.reached(&OLD), [OTHER]);
-    present.joined(ONE, false);
-    present.settle_departures();
-    assert_eq!(present.reached(&OLD), [ONE, OTHER]);
-    // By our orders it is bound to nothing.
-    assert_eq!(present.users(&OLD), [OTHER]);
-    assert_eq!(present.bound(ONE).count(), 0);
+fn a_proxy_that_rejoins_at_once_may_still_use_its_tables() {
+    let mut state = left();
+    assert_eq!(state.recipients(&OLD), [OTHER]);
+    state.proxy_joined(ONE, false);
+    state.finish_departures();
+    assert_eq!(state.recipients(&OLD), [ONE, OTHER]);
+    // By the published state it is bound to nothing.
+    assert_eq!(state.users(&OLD), [OTHER]);
+    assert_eq!(state.binds_of(ONE).count(), 0);
 }
 
 #[test]
-fn who_began_anew_or_joins_later_uses_nothing() {
-    let mut fresh = left();
-    fresh.joined(ONE, true);
-    assert_eq!(fresh.reached(&OLD), [OTHER]);
+fn a_proxy_that_restarted_or_rejoins_later_uses_nothing() {
+    let mut restarted = left();
+    restarted.proxy_joined(ONE, true);
+    assert_eq!(restarted.recipients(&OLD), [OTHER]);
     let mut later = left();
-    later.settle_departures();
-    later.joined(ONE, false);
-    assert_eq!(later.reached(&OLD), [OTHER]);
+    later.finish_departures();
+    later.proxy_joined(ONE, false);
+    assert_eq!(later.recipients(&OLD), [OTHER]);
 }
 
 #[test]
-fn a_bind_ends_it_for_its_products_alone() {
-    let mut present = left();
-    present.joined(ONE, false);
-    present.bind(ONE, NEW, Products(0b01));
-    assert_eq!(present.reached(&OLD), [ONE, OTHER]);
-    present.bind(ONE, NEW, Products(0b10));
-    assert_eq!((present.reached(&OLD), present.reached(&NEW)), (vec![OTHER], vec![ONE]));
+fn a_bind_ends_lingering_for_its_request_classes_only() {
+    let mut state = left();
+    state.proxy_joined(ONE, false);
+    state.bind(ONE, NEW, Products(0b01));
+    assert_eq!(state.recipients(&OLD), [ONE, OTHER]);
+    state.bind(ONE, NEW, Products(0b10));
+    assert_eq!((state.recipients(&OLD), state.recipients(&NEW)), (vec![OTHER], vec![ONE]));
 }
 
 #[test]
-fn a_second_gap_before_the_bind_forgets_nothing() {
-    let mut present = left();
+fn a_second_gap_before_the_bind_keeps_the_tables() {
+    let mut state = left();
     for _ in 0..2 {
-        present.joined(ONE, false);
-        present.settle_departures();
-        present.left(ONE);
+        state.proxy_joined(ONE, false);
+        state.finish_departures();
+        state.proxy_left(ONE);
     }
-    assert_eq!(present.reached(&OLD), [OTHER]);
-    present.joined(ONE, false);
-    assert_eq!(present.reached(&OLD), [ONE, OTHER]);
-    present.left(ONE);
-    present.settle_departures();
-    present.joined(ONE, false);
-    assert_eq!(present.reached(&OLD), [OTHER]);
+    assert_eq!(state.recipients(&OLD), [OTHER]);
+    state.proxy_joined(ONE, false);
+    assert_eq!(state.recipients(&OLD), [ONE, OTHER]);
+    state.proxy_left(ONE);
+    state.finish_departures();
+    state.proxy_joined(ONE, false);
+    assert_eq!(state.recipients(&OLD), [OTHER]);
 }
--- a/crates/policy/src/binds.rs
+++ b/crates/policy/src/binds.rs
@@ -1,115 +1,133 @@
-//! Which proxies are bound to their tables in a reply, in which order, and the bind that asks whether a channel stands still.
+//! Which proxies a reply binds to their tables, in which order, and the bind that probes a stalled channel.
 
 use super::*;
 
 impl Reply<'_> {
-    /// While hosts leave, a proxy that is not bound may hold them in a table of before, and has its grace from its joining
-    /// alone. Those of whom one would be late if it waited any longer are bound now, as urgently as hosts drain. Guards
-    /// against gates and returns that go first and, as each goes to all who are not bound, take the room for their binds.
-    pub(crate) fn bind_overdue(&mut self, wanted: &Plan) {
-        if !self.leaving || !self.present.lacks_binds(&self.steward.proxies) {
+    /// While hosts leave, an unbound proxy may hold them in an earlier table, and its grace runs from its
+    /// joining. This binds, with the urgency of drains, the proxies up to the last one that would be late if
+    /// it waited any longer. Guards against gates and restores, which are sent first to all unbound proxies
+    /// and take the room needed for their binds.
+    pub(crate) fn bind_overdue(&mut self, desired: &DesiredState) {
+        if !self.hosts_leaving || !self.published.has_unbound_proxies(&self.controller.proxies) {
             return;
         }
-        let unbound = self.unbound_in_turn(wanted);
-        let overdue = self.overdue(&unbound);
-        for ((proxy, tbl), products) in unbound.into_iter().take(overdue) {
-            if self.present.bare(&tbl) {
+        let unbound = self.unbound_by_priority(desired);
+        let overdue = self.count_overdue(&unbound);
+        for ((proxy, table), products) in unbound.into_iter().take(overdue) {
+            if self.published.lacks_usable_host(&table) {
                 continue;
             }
-            if self.bind_one(DRAIN, proxy, tbl, products) == Err(Refusal::ChannelFull) {
-                let cost = self.cost(&[proxy], self.bind_lines(&tbl));
-                self.keep_place(DRAIN, cost);
+            if self.bind_proxy(DRAIN, proxy, table, products) == Err(Refusal::ChannelFull) {
+                let cost = self.cost(&[proxy], self.bind_cost(&table));
+                self.reserve_room(DRAIN, cost);
             }
         }
     }
 
-    /// The binds of proxies without a table of this controller: those that hold no ordered table at all first, then in the
-    /// order of their joining.
-    fn unbound_in_turn(&self, wanted: &Plan) -> Vec<Bind> {
-        let mut unbound = self.present.lacking(wanted);
-        unbound.retain(|((proxy, _), _)| self.present.bound(*proxy).next().is_none());
+    /// The binds of proxies without a table of this controller: first those that hold no ordered table at
+    /// all, then in the order of joining.
+    fn unbound_by_priority(&self, desired: &DesiredState) -> Vec<Bind> {
+        let mut unbound = self.published.missing_binds(desired);
+        unbound.retain(|((proxy, _), _)| self.published.binds_of(*proxy).next().is_none());
         unbound.sort_by(|((a, _), _), ((b, _), _)| {
-            let (a, b) = (&self.steward.proxies[a], &self.steward.proxies[b]);
+            let (a, b) = (&self.controller.proxies[a], &self.controller.proxies[b]);
             b.fresh.cmp(&a.fresh).then(a.joined_at.total_cmp(&b.joined_at))
         });
         unbound
     }
 
-    /// How many of these binds, in their order, have to go now if none is to be applied after the grace of its proxy.
-    fn overdue(&self, binds: &[Bind]) -> usize {
-        let Steward { proxies, channel, roster, .. } = self.steward;
-        let mut ahead = self.waiting;
+    /// How many of these binds, in their order, have to be sent now so that none is applied after the grace
+    /// of its proxy.
+    fn count_overdue(&self, binds: &[Bind]) -> usize {
+        let Steward { proxies, channel, list_settings, .. } = self.controller;
+        let mut lines_ahead = self.backlog_lines;
         let mut overdue = 0;
-        for (place, ((proxy, tbl), _)) in binds.iter().enumerate() {
-            ahead += self.cost(&[*proxy], self.bind_lines(tbl));
-            let sent_at = self.now + TICK + 1e3 * ahead / channel.lines_per_s;
+        for (index, ((proxy, table), _)) in binds.iter().enumerate() {
+            lines_ahead += self.cost(&[*proxy], self.bind_cost(table));
+            let sent_at = self.now + TICK_MS + 1e3 * lines_ahead / channel.lines_per_s;
             let applied_at = sent_at + channel.transit_worst;
-            if applied_at >= proxies[proxy].joined_at + roster.grace {
-                overdue = place + 1;
+            if applied_at >= proxies[proxy].joined_at + list_settings.grace {
+                overdue = index + 1;
             }
         }
         overdue
     }
 
-    /// Those without a host come first; who was taken over with the tables of another steward can follow.
-    pub(crate) fn bind(&mut self, least: Limits, wanted: &Plan) {
-        let (present, proxies) = (&self.present, &self.steward.proxies);
-        let mut lacking = present.lacking(wanted);
-        lacking.sort_by_key(|((id, _), of)| !present.bare_for(*id, *of).unwrap_or(proxies[id].fresh));
-        for ((proxy, tbl), products) in lacking {
-            let bare = self.present.bare_for(proxy, products);
-            let may = if least == DRAIN || bare == Some(false) { least } else { URGENT };
-            // Nobody is moved to a table before something in it serves.
-            let serves = bare == Some(true) || least == DRAIN || !self.present.bare(&tbl);
-            let bound =
-                if serves { self.bind_one(may, proxy, tbl, products) } else { Err(Refusal::NothingServes) };
-            if let (Err(refusal), None) = (bound, bare) {
-                *self.unbound.entry(refusal).or_default() += 1;
+    /// Binds proxies to their tables. Proxies without a usable host come first; those taken over with the
+    /// tables of another controller can follow.
+    pub(crate) fn bind_proxies(&mut self, base_limits: Limits, desired: &DesiredState) {
+        let (published, proxies) = (&self.published, &self.controller.proxies);
+        let mut missing_binds = published.missing_binds(desired);
+        missing_binds.sort_by_key(|((id, _), of)| {
+            !published.lacks_usable_host_for(*id, *of).unwrap_or(proxies[id].fresh)
+        });
+        for ((proxy, table), products) in missing_binds {
+            let lacks_usable_host = self.published.lacks_usable_host_for(proxy, products);
+            let limits =
+                if base_limits == DRAIN || lacks_usable_host == Some(false) { base_limits } else { URGENT };
+            // No proxy is moved to a table before a host in it is usable.
+            let serves = lacks_usable_host == Some(true)
+                || base_limits == DRAIN
+                || !self.published.lacks_usable_host(&table);
+            let bound = if serves {
+                self.bind_proxy(limits, proxy, table, products)
+            } else {
+                Err(Refusal::NoUsableHost)
+            };
+            if let (Err(refusal), None) = (bound, lacks_usable_host) {
+                *self.unbound_proxies.entry(refusal).or_default() += 1;
             }
         }
     }
 
-    fn bind_one(&mut self, may: Limits, proxy: ProxyId, tbl: Tbl, products: Products) -> Result<(), Refusal> {
-        let steward = self.steward;
-        let lines = self.present.lines().get(&tbl);
-        let clean = lines.is_some_and(|lines| !lines.keys().any(|id| steward.outside(&tbl, id)));
-        let each = self.bind_lines(&tbl);
-        let bind = Order::Bind { proxy, tbl: self.present.number(tbl), products };
-        if !clean {
+    fn bind_proxy(
+        &mut self,
+        limits: Limits,
+        proxy: ProxyId,
+        table: TableKey,
+        products: Products,
+    ) -> Result<(), Refusal> {
+        let controller = self.controller;
+        let entries = self.published.tables().get(&table);
+        let conforms =
+            entries.is_some_and(|entries| !entries.keys().any(|id| controller.is_outside_reach(&table, id)));
+        let lines_each = self.bind_cost(&table);
+        let bind = Order::Bind { proxy, tbl: self.published.table_id(table), products };
+        if !conforms {
             return Err(Refusal::OutsideReach);
         }
-        self.admit(may, &[proxy], each, &[bind])?;
-        self.present.bind(proxy, tbl, products);
+        self.enqueue(limits, &[proxy], lines_each, &[bind])?;
+        self.published.bind(proxy, table, products);
         Ok(())
     }
 
-    /// What a bind to the table costs beside the message's head, at the most.
-    fn bind_lines(&self, tbl: &Tbl) -> f64 {
-        let lines = self.present.lines().get(tbl).map_or(0, BTreeMap::len);
-        2.0 * (lines + self.steward.products.len()) as f64 + 1.0
+    /// Upper bound of the lines of a bind to the table, without the message overhead.
+    fn bind_cost(&self, table: &TableKey) -> f64 {
+        let entries = self.published.tables().get(table).map_or(0, BTreeMap::len);
+        2.0 * (entries + self.controller.classes.len()) as f64 + 1.0
     }
 
-    /// Where what is wanted finds no room and no answer comes, one proxy is bound, anew where it is bound already,
-    /// whatever counts as waiting. Gives the probe's place among the wanted binds and its lines.
-    ///
-    /// The first that can be bound is taken. Guards against a probe that is never sent, as the proxy in turn would be bound to
-    /// a table in which nothing serves: its hosts could not be let in before an answer came.
-    pub(crate) fn probe(&mut self, wanted: &Plan) -> Option<(usize, f64)> {
-        let Steward { channel, stall, .. } = self.steward;
-        if !self.refused || !self.lines.is_empty() {
+    /// Where a desired order finds no room and no answer arrives, one proxy is bound regardless of what
+    /// counts as queued, again if it is bound already. Returns the index of the probe among the desired binds
+    /// and its lines. The first bind that is possible is used. Guards against a probe that is never sent
+    /// because the next proxy's table has no usable host: its hosts could not be restored before an answer
+    /// arrived.
+    pub(crate) fn probe_channel(&mut self, desired: &DesiredState) -> Option<(usize, f64)> {
+        let Steward { channel, stall_detector, .. } = self.controller;
+        if !self.channel_refused || !self.lines_by_proxy.is_empty() {
             return None;
         }
-        let room = stall.probe(self.now, channel.transit_worst, channel.backlog)?;
-        let count = wanted.binds.len();
-        let first = stall.next.checked_rem(count)?;
-        (first..first + count).map(|place| place % count).find_map(|place| {
-            let ((proxy, tbl), products) = wanted.binds[place];
-            let lines = self.cost(&[proxy], self.bind_lines(&tbl));
-            let stays = self.present.using(proxy, products) == [tbl];
-            let serves = stays || !self.present.bare(&tbl);
-            let fits = lines <= room && serves && !self.passed.contains(&tbl);
-            let bound = fits && self.bind_one(PROBE, proxy, tbl, products).is_ok();
-            bound.then_some((place, lines))
+        let room = stall_detector.probe_budget(self.now, channel.transit_worst, channel.backlog)?;
+        let count = desired.binds.len();
+        let first = stall_detector.next_bind.checked_rem(count)?;
+        (first..first + count).map(|index| index % count).find_map(|index| {
+            let ((proxy, table), products) = desired.binds[index];
+            let lines = self.cost(&[proxy], self.bind_cost(&table));
+            let stays = self.published.tables_used_for(proxy, products) == [table];
+            let serves = stays || !self.published.lacks_usable_host(&table);
+            let fits = lines <= room && serves && !self.nonconforming.contains(&table);
+            let bound = fits && self.bind_proxy(PROBE, proxy, table, products).is_ok();
+            bound.then_some((index, lines))
         })
     }
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,119 +1,169 @@
-//! Whether hosts are alive: probes and late sums weighed, gates shut and lifted.
+//! Health of hosts: weighs probes and traffic reports, and closes and opens gates.
 
 use super::*;
 
-/// The guide's examples: three failures in a row gate, two passes in a row lift.
-const FAILS_TO_GATE: u32 = 3;
-const PASSES_TO_LIFT: u32 = 2;
-pub const PROBE_PERIOD: f64 = 1_000.0;
+/// Three consecutive failures close a gate and two consecutive passes open it, as in the guide's
+/// examples.
+const FAILURES_TO_GATE: u32 = 3;
+const PASSES_TO_RESTORE: u32 = 2;
+/// The shortest interval between regular probes of a host.
+pub const PROBE_PERIOD_MS: f64 = 1_000.0;
 
-/// A light probe says that a process runs, no more: good real answers, late ones too, outrank one that
-/// timed out (a busy host) or erred beside them, failing txns one that passed. None counts for neither run.
-fn passes(outcome: Outcome, real: &Tally) -> Option<bool> {
+/// A probe only shows that a process runs. Succeeded real txns, even slow ones, outrank a probe that timed
+/// out (the host is busy) or that erred while real tries succeed; failing real txns outrank a probe that
+/// passed. An outranked probe counts neither as a pass nor as a failure.
+fn probe_verdict(outcome: Outcome, traffic: &TryStats) -> Option<bool> {
     match outcome {
-        Outcome::Answered if real.tries >= 4.0 && real.voided_part() > 0.5 => None,
+        Outcome::Answered if traffic.tries >= 4.0 && traffic.failed_fraction() > 0.5 => None,
         Outcome::Answered => Some(true),
-        Outcome::TimedOut if real.good() >= 1.0 => None,
-        Outcome::Errored if real.tries >= 4.0 && real.voided_part() < 0.3 => None,
+        Outcome::TimedOut if traffic.succeeded() >= 1.0 => None,
+        Outcome::Errored if traffic.tries >= 4.0 && traffic.failed_fraction() < 0.3 => None,
         Outcome::Errored | Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset => Some(false),
         Outcome::Full | Outcome::Unknown => None,
     }
 }
 
-/// A window of late sums as one more probe. Only what stands out from the other hosts counts: what all
-/// share is load, the path or the like. One slow beside what it voids is overrun: gating overruns the next.
-pub fn fails_txns(real: &Tally, usual_part: f64, sla: f64) -> bool {
-    let part = real.voided_part();
-    let overrun = real.good() >= 1.0 && real.mean() > 0.7 * sla;
-    real.tries >= 5.0 && part > 0.3 && part > usual_part + 0.25 && !overrun
+/// Whether the traffic reports of a window count as failed probes. Only a failure fraction clearly above that
+/// of the other hosts counts: what all hosts share has a common cause, such as load or the network path. A
+/// host that is slow and fails tries is overloaded; gating it would overload the next one.
+pub fn reports_failure(traffic: &TryStats, median_fraction: f64, latency_target: f64) -> bool {
+    let failed_fraction = traffic.failed_fraction();
+    let overrun = traffic.succeeded() >= 1.0 && traffic.mean_latency() > 0.7 * latency_target;
+    traffic.tries >= 5.0 && failed_fraction > 0.3 && failed_fraction > median_fraction + 0.25 && !overrun
 }
 
+/// Counts consecutive probe results of a host; a closed gate withdraws the host.
 #[derive(Default)]
 pub struct Gate {
-    pub fails: u32,
-    pub passes: u32,
-    pub shut: bool,
-    pub until: f64,
+    pub consecutive_failures: u32,
+    pub consecutive_passes: u32,
+    pub closed: bool,
+    /// The gate does not open before this time.
+    pub closed_until: f64,
 }
 
 impl Gate {
-    fn count(&mut self, now: f64, pass: Option<bool>, weighing: u32, least: f64) {
+    fn record(&mut self, now: f64, pass: Option<bool>, failure_weight: u32, min_closed_ms: f64) {
         if let Some(pass) = pass {
-            (self.fails, self.passes) = if pass { (0, self.passes + 1) } else { (self.fails + weighing, 0) };
+            (self.consecutive_failures, self.consecutive_passes) = if pass {
+                (0, self.consecutive_passes + 1)
+            } else {
+                (self.consecutive_failures + failure_weight, 0)
+            };
         }
-        if self.fails >= FAILS_TO_GATE && !self.shut {
-            (self.shut, self.until) = (true, now + least);
+        if self.consecutive_failures >= FAILURES_TO_GATE && !self.closed {
+            (self.closed, self.closed_until) = (true, now + min_closed_ms);
         }
     }
 }
 
 impl Steward {
-    pub(crate) fn probed(&mut self, now: f64, host: HostId, outcome: Outcome, report: &LoadReport) {
-        // Where sums are late altogether, the last that came still tell a busy host.
-        let span = self.cover + BUCKET + now - self.summed_at;
+    pub(crate) fn handle_probe(&mut self, now: f64, host: HostId, outcome: Outcome, report: &LoadReport) {
+        // When traffic reports are late, the last ones received still show that a host is busy.
+        let window = self.report_cover + BUCKET_MS + now - self.last_report_at;
         let Some(host) = self.hosts.get_mut(&host) else { return };
-        // A host that errs is home and the rest must carry it: it may be the probes that err.
-        let shut = host.gate.shut;
-        let spared = outcome == Outcome::Errored && !shut && host.weight > self.room;
-        let pass = passes(outcome, &host.met(now, span)).filter(|_| !spared);
-        (host.busy, host.told) = (report.busy.or(host.busy), None);
-        host.gate.count(now, pass, 1, 0.0);
-        if host.gate.shut && matches!(outcome, Outcome::Unreachable | Outcome::Reset) {
-            host.back_at = f64::INFINITY;
-        } else if pass == Some(true) && host.back_at > now {
-            (host.back_at, host.met) = (now, BTreeMap::new());
+        // A host whose probes err is not gated if the remaining hosts could not carry its load: the probes
+        // themselves may be at fault.
+        let was_closed = host.gate.closed;
+        let exempt = outcome == Outcome::Errored && !was_closed && host.weight > self.gateable_weight;
+        let pass = probe_verdict(outcome, &host.traffic(now, window)).filter(|_| !exempt);
+        (host.utilization, host.observed_load) = (report.busy.or(host.utilization), None);
+        host.gate.record(now, pass, 1, 0.0);
+        if host.gate.closed && matches!(outcome, Outcome::Unreachable | Outcome::Reset) {
+            host.recovered_at = f64::INFINITY;
+        } else if pass == Some(true) && host.recovered_at > now {
+            (host.recovered_at, host.reports) = (now, BTreeMap::new());
         }
-        self.room -= if host.gate.shut && !shut { host.weight } else { 0.0 };
-        self.urgent |= host.gate.shut && pass == Some(shut);
-        let soon = pass == Some(false) && !host.gate.shut; // A run shows in little over 1 s.
-        host.probed_at = if soon { now + TICK - PROBE_PERIOD } else { host.probed_at };
+        self.gateable_weight -= if host.gate.closed && !was_closed { host.weight } else { 0.0 };
+        self.plan_soon |= host.gate.closed && pass == Some(was_closed);
+        // Failed probes are repeated soon, so that three failures are detected in little over 1 s.
+        let probe_soon = pass == Some(false) && !host.gate.closed;
+        host.probed_at = if probe_soon { now + TICK_MS - PROBE_PERIOD_MS } else { host.probed_at };
     }
 
-    pub(crate) fn judge(&mut self, now: f64, out: &mut Vec<Order>) {
-        // Where the lines of a period are more than are taken in, each waits its turn and covers longer.
-        let pairs = self.hosts.values().map(|host| host.met.len()).sum::<usize>()
-            + self.proxies.values().map(|proxy| proxy.asked.products()).sum::<usize>();
-        self.cover = (1_000.0 * pairs as f64 / self.sums.lines_per_s).min(10_000.0).max(self.sums.every);
-        let (window, long, sla) = (self.cover + BUCKET, self.cover + 2_000.0, self.sla);
+    /// Evaluates the reports of all hosts: closes and opens gates, adjusts latency factors and orders probes.
+    pub(crate) fn assess_hosts(&mut self, now: f64, orders: &mut Vec<Order>) {
+        // Where a period has more report lines than are accepted per second, each report waits its turn and
+        // covers a longer time.
+        let report_lines = self.hosts.values().map(|host| host.reports.len()).sum::<usize>()
+            + self.proxies.values().map(|proxy| proxy.demand.reported_classes()).sum::<usize>();
+        self.report_cover = (1_000.0 * report_lines as f64 / self.report_settings.lines_per_s)
+            .min(10_000.0)
+            .max(self.report_settings.every);
+        let (window, long_window, latency_target) =
+            (self.report_cover + BUCKET_MS, self.report_cover + 2_000.0, self.mean_latency_target);
         let on = || self.hosts.values().filter(|host| host.standing == Standing::On);
-        let tried = on().map(|host| host.met(now, window)).filter(|real| real.tries >= 3.0);
-        self.usual_voided = 1.0 - median(tried.map(|real| 1.0 - real.voided_part()).collect());
-        let means = on().map(|host| host.met(now, long)).filter(|real| real.good() >= 6.0);
-        let usual_mean = median(means.map(|real| real.mean()).collect());
-        // Voids everywhere beside quick answers: few connections are taken, those that stand are worth most.
-        let scarce = self.usual_voided > 0.2 && usual_mean > 0.0 && usual_mean < 0.5 * sla;
-        self.strained = (0.25..1.0).contains(&self.usual_voided) || usual_mean > 0.6 * sla;
-        self.still_until = if scarce { now + 10_000.0 } else { self.still_until };
-        // The rest must carry what is gated: a third of the fleet at the most, but for hosts that are gone.
-        self.room = on().map(|host| host.weight * if host.gate.shut { -0.66 } else { 0.34 }).sum();
-        // One probe to four txns at the most, each a second at least where something is amiss.
-        let asked = self.proxies.values().map(|proxy| proxy.asked.told).sum::<f64>().max(1.0);
-        let calm = (4_000.0 * on().count() as f64 / asked).clamp(PROBE_PERIOD, 8.0 * PROBE_PERIOD);
-        let told = |host: &Host| host.told.filter(|at| now < at.1 + TOLD_FOR).map(|at| at.0);
-        let usual_load = median(on().filter_map(told).collect());
-        self.pace_kinds(now);
+        let tried = on().map(|host| host.traffic(now, window)).filter(|traffic| traffic.tries >= 3.0);
+        self.median_failed_fraction =
+            1.0 - median(tried.map(|traffic| 1.0 - traffic.failed_fraction()).collect());
+        let means =
+            on().map(|host| host.traffic(now, long_window)).filter(|traffic| traffic.succeeded() >= 6.0);
+        let median_latency = median(means.map(|traffic| traffic.mean_latency()).collect());
+        // Failures at all hosts while answers are quick: few connections are accepted, so existing ones are
+        // worth most.
+        let few_connections = self.median_failed_fraction > 0.2
+            && median_latency > 0.0
+            && median_latency < 0.5 * latency_target;
+        self.overloaded =
+            (0.25..1.0).contains(&self.median_failed_fraction) || median_latency > 0.6 * latency_target;
+        self.hold_tables_until = if few_connections { now + 10_000.0 } else { self.hold_tables_until };
+        // The remaining hosts must carry the load of the gated ones: at most a third of the fleet may be
+        // gated, not counting hosts that left the list.
+        self.gateable_weight =
+            on().map(|host| host.weight * if host.gate.closed { -0.66 } else { 0.34 }).sum();
+        // At most one probe per four txns, but one per second for each host with a sign of trouble.
+        let stated_rate = self.proxies.values().map(|proxy| proxy.demand.stated_rate).sum::<f64>().max(1.0);
+        let regular_period =
+            (4_000.0 * on().count() as f64 / stated_rate).clamp(PROBE_PERIOD_MS, 8.0 * PROBE_PERIOD_MS);
+        let valid_load =
+            |host: &Host| host.observed_load.filter(|at| now < at.1 + LOAD_VALID_MS).map(|at| at.0);
+        let median_load = median(on().filter_map(valid_load).collect());
+        self.update_kind_factors(now);
         for (id, host) in self.hosts.iter_mut().filter(|(_, host)| host.standing == Standing::On) {
-            let kind = self.kinds.get(&host.kind).filter(|(pace, at)| *at == now && host.pace > *pace);
-            (host.pace, host.paced_at) = *kind.unwrap_or(&(host.pace, host.paced_at));
-            host.lighten(now, usual_load, self.cover, &self.warmup);
-            let period = if host.gate.shut || host.gate.fails > 0 { PROBE_PERIOD } else { calm };
-            if self.post.may_probe && now >= host.probed_at + period - 1.0 {
+            let kind_factor = self
+                .kind_factors
+                .get(&host.kind)
+                .filter(|(latency_factor, at)| *at == now && host.latency_factor > *latency_factor);
+            (host.latency_factor, host.latency_factor_at) =
+                *kind_factor.unwrap_or(&(host.latency_factor, host.latency_factor_at));
+            host.adjust_for_load(now, median_load, self.report_cover, &self.warmup);
+            let period = if host.gate.closed || host.gate.consecutive_failures > 0 {
+                PROBE_PERIOD_MS
+            } else {
+                regular_period
+            };
+            if self.instance.may_probe && now >= host.probed_at + period - 1.0 {
                 host.probed_at = now;
-                out.push(Order::Probe { host: *id });
+                orders.push(Order::Probe { host: *id });
             }
-            if std::mem::take(&mut host.summed) {
-                let real = host.met(now, window);
-                let amiss = real.voided_part() > self.usual_voided + 0.2;
-                host.probed_at -= if amiss { calm - PROBE_PERIOD } else { 0.0 };
-                host.ease(now, &host.met(now, long), usual_mean, sla, self.cover);
-                if fails_txns(&real, self.usual_voided, sla) && (host.gate.shut || host.weight <= self.room) {
-                    self.room -= if host.gate.shut { 0.0 } else { host.weight };
-                    host.gate.count(now, Some(false), 1 + (self.cover / PROBE_PERIOD) as u32, 8_000.0);
+            if std::mem::take(&mut host.has_new_report) {
+                let traffic = host.traffic(now, window);
+                let suspicious = traffic.failed_fraction() > self.median_failed_fraction + 0.2;
+                host.probed_at -= if suspicious { regular_period - PROBE_PERIOD_MS } else { 0.0 };
+                host.adjust_for_latency(
+                    now,
+                    &host.traffic(now, long_window),
+                    median_latency,
+                    latency_target,
+                    self.report_cover,
+                );
+                if reports_failure(&traffic, self.median_failed_fraction, latency_target)
+                    && (host.gate.closed || host.weight <= self.gateable_weight)
+                {
+                    self.gateable_weight -= if host.gate.closed { 0.0 } else { host.weight };
+                    host.gate.record(
+                        now,
+                        Some(false),
+                        1 + (self.report_cover / PROBE_PERIOD_MS) as u32,
+                        8_000.0,
+                    );
                 }
             }
-            let learnt = host.pace != std::mem::replace(&mut host.kept, host.pace);
-            out.extend(learnt.then_some(Order::Learnt { host: *id, part: host.pace }));
-            host.gate.shut &= host.gate.passes < PASSES_TO_LIFT || now < host.gate.until;
+            let factor_changed =
+                host.latency_factor != std::mem::replace(&mut host.reported_factor, host.latency_factor);
+            orders.extend(factor_changed.then_some(Order::Learnt { host: *id, part: host.latency_factor }));
+            host.gate.closed &=
+                host.gate.consecutive_passes < PASSES_TO_RESTORE || now < host.gate.closed_until;
         }
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,6 @@
-//! amberarch's decisions. Make one [`Steward`] from its start facts, hand all events of one moment to `decide`,
-//! and carry out the orders that come back, in their order. docs/design.md tells the design and its departures.
+//! amberarch's decisions. Create one [`Steward`] from the bootstrap settings, pass all events of one moment
+//! to `decide`, and carry out the returned orders in their order. docs/design.md describes the design and
+//! where it departs from the source paper.
 
 use amberarch_books::*;
 use amberarch_core::*;
@@ -21,87 +22,114 @@
 pub use parts::{BESIDE, FULL_LOAD};
 use {bind_wait::*, health::*, levels::*, limits::*, parts::*, plan::*, reply::*, seats::*, stall::*};
 
+/// The controller: it receives all events and decides on the orders to the proxies.
 pub struct Steward {
-    post: Post,
-    products: Vec<Product>,
-    sla: f64,
-    sidecars: Sidecars,
+    instance: Post,
+    /// The request classes, in the order of their ids.
+    classes: Vec<Product>,
+    /// The mean latency target of all request classes, in ms.
+    mean_latency_target: f64,
+    proxy_settings: Sidecars,
     warmup: Warmup,
-    sums: Sums,
-    roster: Roster,
-    failures: i32,
-    ask_at: f64,
+    report_settings: Sums,
+    list_settings: Roster,
+    /// Failed requests for the host list since the last success, and when to request it again.
+    list_failures: i32,
+    list_request_at: f64,
     channel: Channel,
-    waiting: Waiting,
-    stall: Stall,
-    /// A withdrawal waits for room in the channel.
-    held_up: bool,
-    bind_wait: BindWait,
+    /// What may still be queued in the channel to the proxies.
+    backlog: ChannelBacklog,
+    stall_detector: StallDetector,
+    /// Withdrawals are delayed until the channel has room.
+    withdrawals_delayed: bool,
+    unbound_monitor: UnboundProxyMonitor,
     hosts: BTreeMap<HostId, Host>,
     proxies: BTreeMap<ProxyId, Proxy>,
-    told: Told,
-    spill: Spill,
+    /// Which zones may serve each request class.
+    reach_rules: ReachRules,
+    /// The fractions of weight that hosts have in other zones' tables.
+    spillover: Spillover,
     levels: BTreeMap<ZoneId, Level>,
-    /// What a level of reduced service lets in; until it is known what is in force, none is ordered.
-    bounds: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
-    awaits: bool,
-    usual_voided: f64,
-    best: f64,
-    present: Present,
-    room: f64,
-    strained: bool,
-    /// The part of their listed weight that hosts of a kind carry, and when that was last changed.
-    kinds: BTreeMap<KindId, (f64, f64)>,
-    summed_at: f64,
-    cover: f64,
+    /// Upper bounds on admission from reduced service levels.
+    service_bounds: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
+    /// The levels in force at proxies are not known yet: none is ordered.
+    levels_unknown: bool,
+    /// The median over all hosts of the fraction of tries that fail.
+    median_failed_fraction: f64,
+    /// The best recent goodput per weight.
+    best_goodput: f64,
+    /// The state that proxies hold, as far as orders were sent.
+    published: PublishedState,
+    /// How much weight may still be gated: the remaining hosts must carry it.
+    gateable_weight: f64,
+    /// Tries fail or are slow across the fleet.
+    overloaded: bool,
+    /// The latency factor of each instance type, and when it was last changed.
+    kind_factors: BTreeMap<KindId, (f64, f64)>,
+    /// When the last host report arrived.
+    last_report_at: f64,
+    /// The time that one traffic report covers, in ms.
+    report_cover: f64,
     planned_at: f64,
-    still_until: f64,
-    urgent: bool,
-    fresh: bool,
+    /// Until then proxies keep their tables, because few new connections are accepted.
+    hold_tables_until: f64,
+    /// Something urgent changed: the next plan does not wait for the timer.
+    plan_soon: bool,
+    first_decision: bool,
 }
 
-const TICK: f64 = PROBE_PERIOD / 5.0;
+/// The interval between plans.
+const TICK_MS: f64 = PROBE_PERIOD_MS / 5.0;
 
 impl Decide for Steward {
     fn decide(&mut self, now: f64, events: &[Event]) -> Vec<Order> {
-        let mut out = Vec::new();
-        events.iter().for_each(|event| self.hear(now, event));
-        self.waiting.settle_departures();
-        self.present.settle_departures();
-        let due = std::mem::take(&mut self.fresh) || events.iter().any(|e| matches!(e, Event::Due { .. }));
-        out.extend(due.then_some(Order::Timer { after: TICK, timer: TimerId(0) }));
-        // Where the list must be asked it is watched; after a failure asked again, ever more rarely.
-        if self.roster.asked && now >= self.ask_at {
-            self.ask_at = f64::MAX;
-            out.push(Order::Watch { on: true });
+        let mut orders = Vec::new();
+        events.iter().for_each(|event| self.handle_event(now, event));
+        self.backlog.finish_departures();
+        self.published.finish_departures();
+        let due =
+            std::mem::take(&mut self.first_decision) || events.iter().any(|e| matches!(e, Event::Due { .. }));
+        orders.extend(due.then_some(Order::Timer { after: TICK_MS, timer: TimerId(0) }));
+        // Where the host list has to be requested, it is watched; after a failure it is requested again at
+        // growing intervals.
+        if self.list_settings.asked && now >= self.list_request_at {
+            self.list_request_at = f64::MAX;
+            orders.push(Order::Watch { on: true });
         }
-        // Guards CPU: plans go by the clock, at once only on news of list or gates. No slices decided yet.
-        if self.post.slices == 0 && (due || self.urgent && now >= self.planned_at + TICK / 4.0) {
-            self.judge(now, &mut out);
-            let wanted = self.want(now);
-            self.waiting.fade((now - self.planned_at) * self.channel.lines_per_s / 2e3);
-            (self.urgent, self.planned_at) = (false, now);
-            self.publish(now, wanted, &mut out);
+        // Limits the use of CPU: the state is planned on the timer, and earlier only after a change of the
+        // list or of gates. Instances with slices make no decisions yet.
+        if self.instance.slices == 0 && (due || self.plan_soon && now >= self.planned_at + TICK_MS / 4.0) {
+            self.assess_hosts(now, &mut orders);
+            let desired = self.desired_state(now);
+            self.backlog.expire_departed((now - self.planned_at) * self.channel.lines_per_s / 2e3);
+            (self.plan_soon, self.planned_at) = (false, now);
+            self.publish(now, desired, &mut orders);
         }
-        out
+        orders
     }
 }
 
 impl Steward {
+    /// Creates a controller without hosts and proxies.
     #[rustfmt::skip]
     pub fn new(
-        post: Post, products: Vec<Product>, channel: Channel, sidecars: Sidecars, warmup: Warmup,
-        roster: Roster, sums: Sums,
+        instance: Post, classes: Vec<Product>, channel: Channel, proxy_settings: Sidecars, warmup: Warmup,
+        list_settings: Roster, report_settings: Sums,
     ) -> Self {
-        let sla = products.iter().map(|product| product.sla).sum::<f64>() / products.len().max(1) as f64;
-        let (told, present) = (Told::new(&products, post.zones), Present::new(post.zones));
+        let mean_latency_target =
+            classes.iter().map(|class| class.sla).sum::<f64>() / classes.len().max(1) as f64;
+        let (reach_rules, published) =
+            (ReachRules::new(&classes, instance.zones), PublishedState::new(instance.zones));
         Steward {
-            post, products, sla, sidecars, warmup, sums, channel, roster, waiting: Waiting::default(),
-            stall: Stall::default(), held_up: false, bind_wait: BindWait::default(),
-            cover: 0.0, best: 0.0, room: 0.0, failures: 0, ask_at: f64::MIN, spill: BTreeMap::new(), told,
-            present, fresh: true, urgent: false, levels: BTreeMap::new(), kinds: BTreeMap::new(),
-            hosts: BTreeMap::new(), proxies: BTreeMap::new(), usual_voided: 0.0, bounds: BTreeMap::new(),
-            awaits: false, summed_at: f64::MIN, strained: false, planned_at: f64::MIN, still_until: f64::MIN,
+            instance, classes, mean_latency_target, proxy_settings, warmup, report_settings, channel,
+            list_settings, backlog: ChannelBacklog::default(), stall_detector: StallDetector::default(),
+            withdrawals_delayed: false, unbound_monitor: UnboundProxyMonitor::default(), report_cover: 0.0,
+            best_goodput: 0.0, gateable_weight: 0.0, list_failures: 0, list_request_at: f64::MIN,
+            spillover: BTreeMap::new(), reach_rules, published, first_decision: true, plan_soon: false,
+            levels: BTreeMap::new(), kind_factors: BTreeMap::new(), hosts: BTreeMap::new(),
+            proxies: BTreeMap::new(), median_failed_fraction: 0.0, service_bounds: BTreeMap::new(),
+            levels_unknown: false, last_report_at: f64::MIN, overloaded: false, planned_at: f64::MIN,
+            hold_tables_until: f64::MIN,
         }
     }
 }
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -1,158 +1,192 @@
-//! What is wanted, step by step: who can carry what, whom to hold back, which neighbours join, which lines
-//! each table in use has and who sits there, and how much is let in.
+//! Plans the desired state step by step: the capacity of hosts, which hosts to withdraw, which hosts of other
+//! zones join, the entries of each table in use and the proxies assigned to it, and the admission levels.
 
 use super::*;
 
-/// What a plan goes by.
+/// The view of the fleet on which a plan is based.
 #[derive(Default)]
-pub struct Sight {
-    /// Hosts that may carry something, and what part of their listed weight.
-    able: Vec<(HostId, f64)>,
-    none_open: bool,
-    /// Reaches, by home zone, with most of their warm hosts' weight gated; not that of all hosts.
-    short: BTreeSet<(ZoneId, Reach)>,
-    held: BTreeSet<HostId>,
-    pub asks: BTreeMap<ZoneId, Vec<Ask>>,
-    pub lines: Lines,
-    /// Zones with hosts that are not warm yet.
-    cold: BTreeSet<ZoneId>,
+pub struct FleetView {
+    /// Hosts that may carry something, and which fraction of their listed weight.
+    available: Vec<(HostId, f64)>,
+    /// Every available host is gated.
+    all_gated: bool,
+    /// Reaches, by home zone, in which most of the weight of warm hosts is gated; never the reach of all
+    /// hosts.
+    short_reaches: BTreeSet<(ZoneId, Reach)>,
+    /// Hosts that the plan withdraws.
+    withdrawn: BTreeSet<HostId>,
+    pub class_demands: BTreeMap<ZoneId, Vec<ClassDemand>>,
+    pub entries: EntriesByReach,
+    /// Zones with hosts that are still warming up.
+    cold_zones: BTreeSet<ZoneId>,
 }
 
 impl Steward {
-    pub(crate) fn want(&mut self, now: f64) -> Plan {
-        let mut sight = self.see(now);
-        sight.held = self.hold(now, &sight);
-        self.even_out(now, &sight);
-        sight.lines = self.lines(&sight);
-        let trees = self.told.trees();
+    pub(crate) fn desired_state(&mut self, now: f64) -> DesiredState {
+        let mut view = self.fleet_view(now);
+        view.withdrawn = self.hosts_to_withdraw(now, &view);
+        self.balance_zones(now, &view);
+        view.entries = self.table_entries(&view);
+        let trees = self.reach_rules.trees();
         self.proxies.values_mut().for_each(|proxy| proxy.keep(&trees));
-        trees.into_iter().for_each(|tree| self.seat_tree(now, tree, &sight));
-        let mut plan = Plan::holding(sight.held.clone());
-        plan.seat(&self.proxies, &self.told, &sight.lines, &self.present);
-        self.told.zones().for_each(|zone| self.admit(now, zone, &sight, &mut plan));
-        plan
+        trees.into_iter().for_each(|tree| self.assign_tree(now, tree, &view));
+        let mut desired = DesiredState::with_withdrawn(view.withdrawn.clone());
+        desired.assign(&self.proxies, &self.reach_rules, &view.entries, &self.published);
+        self.reach_rules.zones().for_each(|zone| self.plan_levels(now, zone, &view, &mut desired));
+        desired
     }
 
-    fn see(&self, now: f64) -> Sight {
+    fn fleet_view(&self, now: f64) -> FleetView {
         let on = self.hosts.iter().filter(|(_, host)| host.standing == Standing::On);
-        let able = on.filter_map(|(id, host)| Some((*id, host.part(now, &self.warmup)?))).collect();
-        let span = f64::max(5_000.0, self.cover + BUCKET);
-        let asks = Ask::each(&self.products, self.told.zones(), &self.proxies, now, span);
-        let mut sight = Sight { able, asks, none_open: true, ..Sight::default() };
+        let available =
+            on.filter_map(|(id, host)| Some((*id, host.weight_fraction(now, &self.warmup)?))).collect();
+        let window = f64::max(5_000.0, self.report_cover + BUCKET_MS);
+        let class_demands =
+            ClassDemand::by_zone(&self.classes, self.reach_rules.zones(), &self.proxies, now, window);
+        let mut view = FleetView { available, class_demands, all_gated: true, ..FleetView::default() };
         let mut open = BTreeMap::new();
-        for host in sight.able.iter().map(|(id, _)| &self.hosts[id]) {
-            let weight = if host.gate.shut { -host.weight } else { host.weight };
-            sight.none_open &= host.gate.shut;
-            match host.warm(now, &self.warmup) {
+        for host in view.available.iter().map(|(id, _)| &self.hosts[id]) {
+            let weight = if host.gate.closed { -host.weight } else { host.weight };
+            view.all_gated &= host.gate.closed;
+            match host.is_warm(now, &self.warmup) {
                 true => *open.entry(host.zone).or_insert(0.0) += weight,
-                false => drop(sight.cold.insert(host.zone)),
+                false => drop(view.cold_zones.insert(host.zone)),
             }
         }
-        let few = |(home, reach): &(ZoneId, Reach)| {
-            let there = open.iter().filter(|(zone, _)| reach.holds(*home, **zone)).map(|(_, open)| *open);
-            *reach != Reach::Free && there.sum::<f64>() < 0.0
+        let is_short = |(home, reach): &(ZoneId, Reach)| {
+            let open_in_reach =
+                open.iter().filter(|(zone, _)| reach.contains(*home, **zone)).map(|(_, open)| *open);
+            *reach != Reach::AnyZone && open_in_reach.sum::<f64>() < 0.0
         };
-        sight.short = self.told.reaches().into_iter().filter(few).collect();
-        sight
+        view.short_reaches = self.reach_rules.reaches().into_iter().filter(is_short).collect();
+        view
     }
 
-    fn able<'a>(&'a self, sight: &'a Sight) -> impl Iterator<Item = (HostId, &'a Host, f64)> {
-        sight.able.iter().map(|(id, part)| (*id, &self.hosts[id], *part))
+    fn available<'a>(&'a self, view: &'a FleetView) -> impl Iterator<Item = (HostId, &'a Host, f64)> {
+        view.available.iter().map(|(id, fraction)| (*id, &self.hosts[id], *fraction))
     }
 
-    /// With every host gated, gates are ignored; so too within a reach that is short, where a product may not
-    /// leave it. Nor are cold ones let in there, or where tries fail at all: they would get all.
-    fn hold(&self, now: f64, sight: &Sight) -> BTreeSet<HostId> {
-        let used = |(home, reach): &&(ZoneId, Reach)| self.told.classes(*home).contains_key(reach);
-        let bound: Vec<&(ZoneId, Reach)> = sight.short.iter().filter(used).collect();
-        let goes = |(_, host, _): &(HostId, &Host, f64)| {
-            let few = sight.short.contains(&(host.zone, Reach::Own));
-            let bound = || bound.iter().any(|(home, reach)| reach.holds(*home, host.zone));
-            let gated = host.gate.shut && !sight.none_open && !bound();
-            let stands = !self.strained || host.able(now, &self.warmup) >= HALF;
-            !gated && (!few && stands || host.warm(now, &self.warmup))
+    /// If every host is gated, gates are ignored. The same holds within a reach that is short of hosts, where
+    /// a request class must not leave it. Cold hosts are not restored there, nor while tries fail in the
+    /// whole fleet: they would get all traffic.
+    fn hosts_to_withdraw(&self, now: f64, view: &FleetView) -> BTreeSet<HostId> {
+        let is_used =
+            |(home, reach): &&(ZoneId, Reach)| self.reach_rules.classes_by_reach(*home).contains_key(reach);
+        let binding: Vec<&(ZoneId, Reach)> = view.short_reaches.iter().filter(is_used).collect();
+        let in_service = |(_, host, _): &(HostId, &Host, f64)| {
+            let short = view.short_reaches.contains(&(host.zone, Reach::HomeZone));
+            let must_stay = || binding.iter().any(|(home, reach)| reach.contains(*home, host.zone));
+            let gated = host.gate.closed && !view.all_gated && !must_stay();
+            let may_serve = !self.overloaded || host.capacity(now, &self.warmup) >= HALF_WEIGHT_CAPACITY;
+            !gated && (!short && may_serve || host.is_warm(now, &self.warmup))
         };
-        let goes: BTreeSet<HostId> = self.able(sight).filter(goes).map(|able| able.0).collect();
-        self.hosts.keys().filter(|id| !goes.contains(id)).copied().collect()
+        let in_service: BTreeSet<HostId> =
+            self.available(view).filter(in_service).map(|available| available.0).collect();
+        self.hosts.keys().filter(|id| !in_service.contains(id)).copied().collect()
     }
 
-    /// Moves the parts that neighbours' hosts have in a zone's tables.
-    fn even_out(&mut self, now: f64, sight: &Sight) {
-        let zones = usize::from(self.post.zones);
-        let (mut weights, mut busy) = (vec![0.0; zones], vec![Vec::new(); zones]);
-        let open = |(id, host, _): &(HostId, &Host, f64)| !host.gate.shut && !sight.held.contains(id);
-        for (_, host, part) in self.able(sight).filter(open).filter(|able| able.1.zone.0 < self.post.zones) {
-            weights[host.zone.0 as usize] += host.weight * part;
-            busy[host.zone.0 as usize].extend(host.busy);
+    /// Updates the fractions of weight that hosts of other zones have in a zone's tables.
+    fn balance_zones(&mut self, now: f64, view: &FleetView) {
+        let zones = usize::from(self.instance.zones);
+        let (mut weights, mut utilization) = (vec![0.0; zones], vec![Vec::new(); zones]);
+        let open = |(id, host, _): &(HostId, &Host, f64)| !host.gate.closed && !view.withdrawn.contains(id);
+        for (_, host, fraction) in
+            self.available(view).filter(open).filter(|available| available.1.zone.0 < self.instance.zones)
+        {
+            weights[host.zone.0 as usize] += host.weight * fraction;
+            utilization[host.zone.0 as usize].extend(host.utilization);
         }
-        let (mut demands, movable) = self.told.demands(&sight.asks, &weights);
-        if self.post.by_zone && self.post.stewards > 1 {
-            // Other stewards' zones are as full as ours, or as their hosts say, at the median: some may lie.
-            let busy: Vec<f64> = busy.into_iter().map(median).collect();
-            let home = self.post.zone.0 as usize;
-            let fair = demands[home] / weights[home].max(1e-9);
+        let (mut demands, movable) = self.reach_rules.zone_demands(&view.class_demands, &weights);
+        if self.instance.by_zone && self.instance.stewards > 1 {
+            // The zones of other controllers are assumed to be as loaded as ours, scaled by the utilization
+            // that hosts report. The median is used because some reports may be wrong.
+            let utilization: Vec<f64> = utilization.into_iter().map(median).collect();
+            let home = self.instance.zone.0 as usize;
+            let average_load = demands[home] / weights[home].max(1e-9);
             for (place, demand) in demands.iter_mut().enumerate() {
-                let beside = if busy[home] > 0.0 { busy[place] / busy[home] } else { 1.0 };
-                *demand = demand.max(fair * beside * weights[place]);
+                let relative_load =
+                    if utilization[home] > 0.0 { utilization[place] / utilization[home] } else { 1.0 };
+                *demand = demand.max(average_load * relative_load * weights[place]);
             }
         }
-        // Looked at every other tick: parts that followed each would chase their own effect.
-        if self.urgent || (now / 400.0) as i64 != (self.planned_at / 400.0) as i64 {
-            spill(&mut self.spill, &self.told, (&weights, &demands), movable);
+        // Evaluated every other tick: fractions that followed every tick would react to their own effect.
+        if self.plan_soon || (now / 400.0) as i64 != (self.planned_at / 400.0) as i64 {
+            update_spillover(&mut self.spillover, &self.reach_rules, (&weights, &demands), movable);
         }
-        let rings = self.hosts.values().flat_map(|host| host.met.values());
-        let good: f64 = rings.map(|ring| ring.last(now, self.cover + BUCKET).rate()).sum();
-        self.best = f64::max(self.best * 0.999, good / weights.iter().sum::<f64>().max(1e-9));
+        let windows = self.hosts.values().flat_map(|host| host.reports.values());
+        let goodput: f64 =
+            windows.map(|window| window.sum_last(now, self.report_cover + BUCKET_MS).goodput()).sum();
+        self.best_goodput =
+            f64::max(self.best_goodput * 0.999, goodput / weights.iter().sum::<f64>().max(1e-9));
     }
 
-    /// Gated hosts keep the lines that they have, shut out, so that their return costs one order.
-    fn lines(&self, sight: &Sight) -> Lines {
-        let mut lines: Lines = self.told.reaches().into_iter().map(|of| (of, vec![])).collect();
-        for (id, host, part) in self.able(sight) {
-            let (place, open) = (host.place, !sight.held.contains(&id));
-            for (of, lines) in &mut lines {
-                let own = f64::from(host.zone == of.0);
-                let joins = self.spill.get(&(of.0, of.1, host.zone)).copied().unwrap_or(own);
-                let weight = host.weight * part * if of.1.holds(of.0, host.zone) { joins } else { 0.0 };
-                let may = !open || !host.gate.shut || sight.none_open || sight.short.contains(of);
-                lines.extend((weight > 0.0 && may).then_some(Line { host: id, place, weight, open }));
+    /// Gated hosts keep their entries while withdrawn, so that restoring one costs a single order.
+    fn table_entries(&self, view: &FleetView) -> EntriesByReach {
+        let mut entries: EntriesByReach =
+            self.reach_rules.reaches().into_iter().map(|of| (of, vec![])).collect();
+        for (id, host, fraction) in self.available(view) {
+            let (place, open) = (host.place, !view.withdrawn.contains(&id));
+            for (of, reach_entries) in &mut entries {
+                let own_zone_fraction = f64::from(host.zone == of.0);
+                let zone_fraction =
+                    self.spillover.get(&(of.0, of.1, host.zone)).copied().unwrap_or(own_zone_fraction);
+                let weight =
+                    host.weight * fraction * if of.1.contains(of.0, host.zone) { zone_fraction } else { 0.0 };
+                let listed = !open || !host.gate.closed || view.all_gated || view.short_reaches.contains(of);
+                reach_entries.extend((weight > 0.0 && listed).then_some(TableEntry {
+                    host: id,
+                    place,
+                    weight,
+                    open,
+                }));
             }
         }
-        lines
+        entries
     }
 
-    /// A class with a reach of its own has seats of its own.
-    fn seat_tree(&mut self, now: f64, (zone, tree): (ZoneId, Reach), sight: &Sight) {
+    /// Assigns a zone's proxies to the tables of one tree. Request classes whose reach has a tree of its own
+    /// get assignments of their own.
+    fn assign_tree(&mut self, now: f64, (zone, tree): (ZoneId, Reach), view: &FleetView) {
         // The smallest tables have the size of those that proxies start with, or up to twice that.
-        let goes = !tree.holds(zone, zone);
-        let there = |host: &Host| host.zone == zone || goes && tree.holds(zone, host.zone);
-        let listed = |host: &&Host| there(host) && host.standing != Standing::Gone;
-        let count = self.hosts.values().filter(listed).count() as u32 / self.sidecars.standing.max(1);
-        let most = 1 << count.clamp(1, Present::most_groups(self.post.zones)).ilog2();
-        let mut open = groups(&sight.lines[&(zone, tree)], most);
-        // Where a product may not leave, neighbours' hosts alone make no seat.
-        if tree == Reach::Free && self.told.classes(zone).contains_key(&Reach::Own) {
-            let homes = groups(&sight.lines[&(zone, Reach::Own)], most);
-            open.iter_mut().zip(homes).filter(|(_, home)| *home <= 0.0).for_each(|(open, _)| *open = 0.0);
+        let leaves_zone = !tree.contains(zone, zone);
+        let reachable = |host: &Host| host.zone == zone || leaves_zone && tree.contains(zone, host.zone);
+        let listed = |host: &&Host| reachable(host) && host.standing != Standing::Gone;
+        let count = self.hosts.values().filter(listed).count() as u32 / self.proxy_settings.standing.max(1);
+        let group_count = 1 << count.clamp(1, PublishedState::max_groups(self.instance.zones)).ilog2();
+        let mut open = open_weight_by_group(&view.entries[&(zone, tree)], group_count);
+        // Where a request class must not leave the zone, a table with hosts of other zones alone is not
+        // assigned.
+        if tree == Reach::AnyZone && self.reach_rules.classes_by_reach(zone).contains_key(&Reach::HomeZone) {
+            let home_weight = open_weight_by_group(&view.entries[&(zone, Reach::HomeZone)], group_count);
+            open.iter_mut()
+                .zip(home_weight)
+                .filter(|(_, home)| *home <= 0.0)
+                .for_each(|(open, _)| *open = 0.0);
         }
-        let gain = if now < self.still_until { self.warmup.multiple } else { 0.25 }; // Cold hosts bear no more.
-        let sits = |ask: &&Ask| self.told.reach(zone, ask.id).tree() == tree;
-        let asks: Vec<&Ask> = sight.asks[&zone].iter().filter(sits).collect();
-        seat(&mut self.proxies, (zone, tree), &asks, &open, gain);
+        // While assignments are held, a proxy still moves away from a load at which cold hosts fail.
+        let gain = if now < self.hold_tables_until { self.warmup.multiple } else { 0.25 };
+        let uses_tree = |demand: &&ClassDemand| self.reach_rules.reach(zone, demand.id).tree() == tree;
+        let class_demands: Vec<&ClassDemand> = view.class_demands[&zone].iter().filter(uses_tree).collect();
+        assign_proxies(&mut self.proxies, (zone, tree), &class_demands, &open, gain);
     }
 
-    /// Guards zones that come back all cold: their budget, of the best rate of late, bounds levels.
-    pub(crate) fn budget(&self, zone: ZoneId, sight: &Sight) -> Option<f64> {
-        let classes = self.told.classes(zone);
-        // Products that must leave the zone meet what is cold there.
-        let goes = |reach: &Reach, to: &ZoneId| !reach.holds(zone, zone) && reach.holds(zone, *to);
-        let cold = |to: &ZoneId| *to == zone || classes.keys().any(|reach| goes(reach, to));
+    /// Guards zones whose hosts all come back cold: a budget derived from the best recent goodput limits the
+    /// admission levels.
+    pub(crate) fn cold_budget(&self, zone: ZoneId, view: &FleetView) -> Option<f64> {
+        let classes = self.reach_rules.classes_by_reach(zone);
+        // Request classes that must leave the zone are served by cold hosts elsewhere.
+        let leaves_to = |reach: &Reach, to: &ZoneId| !reach.contains(zone, zone) && reach.contains(zone, *to);
+        let meets_cold = |to: &ZoneId| *to == zone || classes.keys().any(|reach| leaves_to(reach, to));
         let load = |reach: &Reach| {
-            let asks = sight.asks[&zone].iter().filter(|ask| self.told.reach(zone, ask.id) == *reach);
-            asks.map(|ask| ask.total).sum::<f64>() / groups(&sight.lines[&(zone, *reach)], 1)[0].max(1e-9)
+            let demands = view.class_demands[&zone]
+                .iter()
+                .filter(|demand| self.reach_rules.reach(zone, demand.id) == *reach);
+            demands.map(|demand| demand.total).sum::<f64>()
+                / open_weight_by_group(&view.entries[&(zone, *reach)], 1)[0].max(1e-9)
         };
-        let best = if self.best > 0.0 { self.best } else { f64::INFINITY };
-        let budget = 0.4 * self.warmup.multiple * best / classes.keys().map(load).sum::<f64>().max(1e-9);
-        sight.cold.iter().any(cold).then_some(budget.min(1.0))
+        let best_goodput = if self.best_goodput > 0.0 { self.best_goodput } else { f64::INFINITY };
+        let cold_budget =
+            0.4 * self.warmup.multiple * best_goodput / classes.keys().map(load).sum::<f64>().max(1e-9);
+        view.cold_zones.iter().any(meets_cold).then_some(cold_budget.min(1.0))
     }
 }
--- a/crates/policy/src/publish.rs
+++ b/crates/policy/src/publish.rs
@@ -1,192 +1,235 @@
-//! What differs from the present goes out, the urgent first; what the channel does not take now waits.
+//! Sends orders for the differences between desired and published state, the urgent ones first; orders that
+//! the channel cannot accept now wait for a later reply.
 
 use super::*;
 
 impl Steward {
-    pub(crate) fn publish(&mut self, now: f64, wanted: Plan, out: &mut Vec<Order>) {
-        let present = std::mem::take(&mut self.present);
-        let waiting = self.waiting.lines();
-        let mut reply = Reply::new(now, self, present);
-        reply.drain(&wanted);
-        reply.narrow(&wanted);
-        reply.bind_overdue(&wanted);
-        reply.gate(&wanted);
-        reply.fill_tables(ROUTINE, &wanted);
-        let back = reply.let_in(&wanted);
-        reply.set_levels(ROUTINE, &wanted);
-        reply.bind(ROUTINE, &wanted);
-        let probed = reply.probe(&wanted);
-        let gone = reply.forget(&wanted);
-        let to_all = reply.orders.iter().filter(|order| matches!(order, Order::Withdraw { .. })).count();
-        out.append(&mut reply.orders);
-        let Reply { present, lines, held_up, unbound, .. } = reply;
-        self.present = present;
-        if let Some((place, lines)) = probed {
-            self.stall.probed(place, lines);
+    /// Sends what the channel accepts of the differences between desired and published state.
+    pub(crate) fn publish(&mut self, now: f64, desired: DesiredState, orders: &mut Vec<Order>) {
+        let published = std::mem::take(&mut self.published);
+        let backlog_lines = self.backlog.lines();
+        let mut reply = Reply::new(now, self, published);
+        reply.drain(&desired);
+        reply.apply_narrowed_reach(&desired);
+        reply.bind_overdue(&desired);
+        reply.gate(&desired);
+        reply.update_tables(ROUTINE, &desired);
+        let restored = reply.restore_hosts(&desired);
+        reply.set_levels(ROUTINE, &desired);
+        reply.bind_proxies(ROUTINE, &desired);
+        let probed = reply.probe_channel(&desired);
+        let gone = reply.forget_unlisted_hosts(&desired);
+        let broadcasts = reply.orders.iter().filter(|order| matches!(order, Order::Withdraw { .. })).count();
+        orders.append(&mut reply.orders);
+        let Reply { published, lines_by_proxy, delayed_withdrawals, unbound_proxies, .. } = reply;
+        self.published = published;
+        if let Some((index, lines)) = probed {
+            self.stall_detector.on_probe(index, lines);
         }
-        self.tell_held_up(held_up, waiting, out);
-        let waits = self.bind_wait.look(now, &unbound, waiting);
-        out.extend(waits.map(|text| Order::Log { text }));
-        let back = self.hosts.iter_mut().filter(|(id, _)| back.contains(id));
-        back.for_each(|(_, host)| host.let_in_at = now);
+        self.log_delayed_withdrawals(delayed_withdrawals, backlog_lines, orders);
+        let log = self.unbound_monitor.check(now, &unbound_proxies, backlog_lines);
+        orders.extend(log.map(|text| Order::Log { text }));
+        let restored = self.hosts.iter_mut().filter(|(id, _)| restored.contains(id));
+        restored.for_each(|(_, host)| host.restored_at = now);
         self.hosts.retain(|id, _| !gone.contains(id));
-        if !lines.is_empty() {
-            self.stall.wrote(now);
-            out.push(Order::Mark { mark: self.waiting.wrote(now, lines), everyone: false });
-            self.waiting.reaches_all(to_all);
+        if !lines_by_proxy.is_empty() {
+            self.stall_detector.on_sent(now);
+            orders.push(Order::Mark { mark: self.backlog.record_sent(now, lines_by_proxy), everyone: false });
+            self.backlog.record_broadcasts(broadcasts);
         }
     }
 
-    /// Says when withdrawals begin to wait for room in the channel, and when they do not any more.
-    fn tell_held_up(&mut self, held_up: usize, waiting: f64, out: &mut Vec<Order>) {
-        let before = std::mem::replace(&mut self.held_up, held_up > 0);
-        let text = match (before, self.held_up) {
+    /// Logs when withdrawals begin to wait for room in the channel, and when none waits any more.
+    fn log_delayed_withdrawals(&mut self, delayed: usize, backlog_lines: f64, orders: &mut Vec<Order>) {
+        let before = std::mem::replace(&mut self.withdrawals_delayed, delayed > 0);
+        let text = match (before, self.withdrawals_delayed) {
             (false, true) => {
-                format!("{held_up} withdrawals wait for the channel, in which {waiting:.0} lines may wait")
+                format!(
+                    "{delayed} withdrawals wait for the channel, \
+                     where up to {backlog_lines:.0} lines are queued"
+                )
             }
             (true, false) => "no withdrawal waits for the channel any more".to_string(),
             _ => return,
         };
-        out.push(Order::Log { text });
+        orders.push(Order::Log { text });
     }
 
-    /// No governed product may use the table while it names the host.
-    pub(crate) fn outside(&self, tbl: &Tbl, host: &HostId) -> bool {
-        self.hosts.get(host).is_some_and(|host| self.told.outside(tbl, host.zone))
+    /// Whether the table must not name the host, because a request class with a residency rule may use it.
+    pub(crate) fn is_outside_reach(&self, table: &TableKey, host: &HostId) -> bool {
+        self.hosts.get(host).is_some_and(|host| self.reach_rules.forbids(table, host.zone))
     }
 }
 
 impl Reply<'_> {
     fn is_listed_on(&self, host: HostId) -> bool {
-        self.steward.hosts.get(&host).is_some_and(|host| host.standing == Standing::On)
+        self.controller.hosts.get(&host).is_some_and(|host| host.standing == Standing::On)
     }
 
-    /// Drains, in the order of their hosts. One that has no room yet keeps its place: guards against a withdrawal from many
-    /// proxies that waits for good while smaller orders take each piece of room that comes up.
-    fn drain(&mut self, wanted: &Plan) {
-        let leaving = wanted.held.difference(&self.present.held).filter(|host| !self.is_listed_on(**host));
+    /// Drains, in the order of their hosts. A drain that finds no room yet keeps its position: guards against
+    /// a withdrawal from many proxies that never gets room because smaller orders take each piece that
+    /// becomes free.
+    fn drain(&mut self, desired: &DesiredState) {
+        let leaving =
+            desired.withdrawn.difference(&self.published.withdrawn).filter(|host| !self.is_listed_on(**host));
         for host in leaving.copied().collect::<Vec<_>>() {
-            let whom = self.present.holders(host, &self.steward.proxies);
-            if self.withdraw(DRAIN, host, &whom) {
+            let recipients = self.published.possible_holders(host, &self.controller.proxies);
+            if self.withdraw(DRAIN, host, &recipients) {
                 continue;
             }
-            self.held_up += 1;
-            let cost = self.cost(&whom, 1.0);
-            self.keep_place(DRAIN, cost);
+            self.delayed_withdrawals += 1;
+            let cost = self.cost(&recipients, 1.0);
+            self.reserve_room(DRAIN, cost);
         }
     }
 
     /// Gates, in the order of their hosts.
-    fn gate(&mut self, wanted: &Plan) {
-        if self.steward.waiting.is_behind() {
+    fn gate(&mut self, desired: &DesiredState) {
+        if self.controller.backlog.is_delayed() {
             return;
         }
-        let gated = wanted.held.difference(&self.present.held).filter(|host| self.is_listed_on(**host));
+        let gated =
+            desired.withdrawn.difference(&self.published.withdrawn).filter(|host| self.is_listed_on(**host));
         for host in gated.copied().collect::<Vec<_>>() {
-            let whom = self.present.holders(host, &self.steward.proxies);
-            self.held_up += usize::from(!self.withdraw(URGENT, host, &whom));
+            let recipients = self.published.possible_holders(host, &self.controller.proxies);
+            self.delayed_withdrawals += usize::from(!self.withdraw(URGENT, host, &recipients));
         }
     }
 
-    fn withdraw(&mut self, may: Limits, host: HostId, whom: &[ProxyId]) -> bool {
-        let taken = self.take(may, whom, 1.0, &[Order::Withdraw { host, out: true }]);
-        self.present.held.extend(taken.then_some(host));
+    /// Withdraws the host from the recipients; returns whether the channel accepted the order.
+    fn withdraw(&mut self, limits: Limits, host: HostId, recipients: &[ProxyId]) -> bool {
+        let taken = self.try_enqueue(limits, recipients, 1.0, &[Order::Withdraw { host, out: true }]);
+        self.published.withdrawn.extend(taken.then_some(host));
         taken
     }
 
-    /// Residency stands before service: what leaves a reach goes ahead of the rest, whatever then serves.
-    fn narrow(&mut self, wanted: &Plan) {
-        let (told, hosts) = (&self.steward.told, &self.steward.hosts);
+    /// Residency takes precedence over service: changes that restrict the zones of a request class are sent
+    /// ahead of all others, even if no usable host remains.
+    fn apply_narrowed_reach(&mut self, desired: &DesiredState) {
+        let (rules, hosts) = (&self.controller.reach_rules, &self.controller.hosts);
         let zone = |id: &HostId| hosts.get(id).map(|host| host.zone);
-        let (binds, moved) = (self.present.narrowing(wanted, told), self.present.moved(told, zone));
-        self.passed = &self.present.left_by(&binds) | &moved;
-        let narrow = wanted.only(binds, &moved);
-        self.fill_tables(DRAIN, &narrow);
-        self.set_levels(DRAIN, &narrow);
-        self.bind(DRAIN, &narrow);
-        let (binds, moved) = (self.present.narrowing(wanted, told), self.present.moved(told, zone));
-        self.passed = &self.present.left_by(&binds) | &moved;
+        let (binds, outside_reach) = (
+            self.published.narrowing_binds(desired, rules),
+            self.published.tables_outside_reach(rules, zone),
+        );
+        self.nonconforming = &self.published.tables_left_by(&binds) | &outside_reach;
+        let restricted = desired.restricted_to(binds, &outside_reach);
+        self.update_tables(DRAIN, &restricted);
+        self.set_levels(DRAIN, &restricted);
+        self.bind_proxies(DRAIN, &restricted);
+        let (binds, outside_reach) = (
+            self.published.narrowing_binds(desired, rules),
+            self.published.tables_outside_reach(rules, zone),
+        );
+        self.nonconforming = &self.published.tables_left_by(&binds) | &outside_reach;
     }
 
-    fn fill_tables(&mut self, least: Limits, wanted: &Plan) {
-        for (tbl, lines) in &wanted.lines {
-            // Its number may have been another's, with lines that are still there.
-            let anew = self.present.begin(self.now, *tbl);
-            let number = self.present.number(*tbl);
-            self.orders.extend(anew.then_some(Order::Clear { tbl: number }));
-            let Some(standing) = self.present.lines().get(tbl) else { continue };
-            let held = &self.present.held;
-            // What goes is removed once all that comes back serves, or the rest would get it all, or none.
-            let back = |id: &HostId| held.contains(id) && !wanted.held.contains(id);
-            let serves = !lines.keys().any(back) && !lines.keys().all(|id| held.contains(id));
-            // Where nothing serves nothing is lost: zones that all restarted waited for each other for good.
-            let bare = self.present.bare(tbl);
-            let serves = serves || bare && !standing.is_empty() && !lines.is_empty();
-            let goes = |id: &&HostId| !lines.contains_key(id) && (serves || self.steward.outside(tbl, id));
-            let gone = standing.keys().filter(goes).map(|id| (*id, 0.0));
-            let news = lines.iter().map(|(host, weight)| (*host, *weight)).filter(|(host, weight)| {
-                // The weight of a host that is shut out can wait until it comes back.
-                let waits = wanted.held.contains(host) && standing.contains_key(host);
-                standing.get(host) != Some(weight) && !waits && !self.passed.contains(tbl)
+    /// Sends the differences between desired and published table entries.
+    fn update_tables(&mut self, base_limits: Limits, desired: &DesiredState) {
+        for (table, entries) in &desired.tables {
+            // Another table may have had its id before, and proxies may still hold its entries.
+            let new_id = self.published.ensure_table(self.now, *table);
+            let id = self.published.table_id(*table);
+            self.orders.extend(new_id.then_some(Order::Clear { tbl: id }));
+            let Some(in_force) = self.published.tables().get(table) else { continue };
+            let withdrawn = &self.published.withdrawn;
+            // Entries are removed once all restored hosts are in service. Otherwise the remaining hosts would
+            // get all traffic, or no host would be left.
+            let restored = |id: &HostId| withdrawn.contains(id) && !desired.withdrawn.contains(id);
+            let can_remove =
+                !entries.keys().any(restored) && !entries.keys().all(|id| withdrawn.contains(id));
+            // In a table without a usable host nothing can get worse. Without this rule, zones that had all
+            // restarted waited for each other forever.
+            let lacks_usable_host = self.published.lacks_usable_host(table);
+            let can_remove = can_remove || lacks_usable_host && !in_force.is_empty() && !entries.is_empty();
+            let is_removed = |id: &&HostId| {
+                !entries.contains_key(id) && (can_remove || self.controller.is_outside_reach(table, id))
+            };
+            let removed = in_force.keys().filter(is_removed).map(|id| (*id, 0.0));
+            let updates = entries.iter().map(|(host, weight)| (*host, *weight)).filter(|(host, weight)| {
+                // The new weight of a withdrawn host can wait until it is restored.
+                let can_wait = desired.withdrawn.contains(host) && in_force.contains_key(host);
+                in_force.get(host) != Some(weight) && !can_wait && !self.nonconforming.contains(table)
             });
-            let changes: Vec<(HostId, f64)> = gone.chain(news).collect();
-            let usual = if changes.iter().any(|(host, _)| back(host)) { BACK } else { least };
-            let may = if bare || least == DRAIN { DRAIN } else { usual };
-            let share = |&(host, weight): &_| Order::Share { tbl: number, host, weight };
-            let orders: Vec<Order> = changes.iter().map(share).collect();
-            if !orders.is_empty() && self.take(may, &self.present.reached(tbl), orders.len() as f64, &orders)
+            let changes: Vec<(HostId, f64)> = removed.chain(updates).collect();
+            let default_limits =
+                if changes.iter().any(|(host, _)| restored(host)) { RESTORE } else { base_limits };
+            let limits = if lacks_usable_host || base_limits == DRAIN { DRAIN } else { default_limits };
+            let set_entry = |&(host, weight): &_| Order::Share { tbl: id, host, weight };
+            let orders: Vec<Order> = changes.iter().map(set_entry).collect();
+            if !orders.is_empty()
+                && self.try_enqueue(limits, &self.published.recipients(table), orders.len() as f64, &orders)
             {
-                self.present.set(*tbl, changes);
+                self.published.set_entries(*table, changes);
             }
         }
     }
 
-    /// A host comes back once tables give it its weight, a cold one after the warm, lest it be alone.
-    fn let_in(&mut self, wanted: &Plan) -> Vec<HostId> {
-        let cold = |id: &HostId| self.steward.hosts.get(id).is_some_and(|host| host.cold_since.is_some());
-        let back = self.present.held.difference(&wanted.held).map(|id| (*id, cold(id))).collect::<Vec<_>>();
-        let (all_cold, mut came) = (back.iter().all(|(_, cold)| *cold), Vec::new());
-        for (host, cold) in back.into_iter().filter(|(_, cold)| all_cold || !cold) {
-            let ready = self.present.used().all(|tbl| {
-                let weight = wanted.weight(tbl, host);
-                self.present.weight(tbl, host) == weight || weight.is_none() && !cold
+    /// Restores hosts once tables give them their weights. Cold hosts follow the warm ones, because a cold
+    /// host alone would get all traffic.
+    fn restore_hosts(&mut self, desired: &DesiredState) -> Vec<HostId> {
+        let cold = |id: &HostId| self.controller.hosts.get(id).is_some_and(|host| host.cold_since.is_some());
+        let returning = self
+            .published
+            .withdrawn
+            .difference(&desired.withdrawn)
+            .map(|id| (*id, cold(id)))
+            .collect::<Vec<_>>();
+        let (all_cold, mut restored) = (returning.iter().all(|(_, cold)| *cold), Vec::new());
+        for (host, cold) in returning.into_iter().filter(|(_, cold)| all_cold || !cold) {
+            let ready = self.published.used_tables().all(|table| {
+                let weight = desired.weight(table, host);
+                self.published.weight(table, host) == weight || weight.is_none() && !cold
             });
-            let passed = self.passed.iter().any(|tbl| self.present.names(tbl, host));
-            let whom = self.present.holders(host, &self.steward.proxies);
-            let may = if self.ends_bareness(wanted, host) { DRAIN } else { BACK };
-            if ready && !passed && self.take(may, &whom, 1.0, &[Order::Withdraw { host, out: false }]) {
-                self.present.held.remove(&host);
-                came.push(host);
+            let in_nonconforming =
+                self.nonconforming.iter().any(|table| self.published.contains_host(table, host));
+            let recipients = self.published.possible_holders(host, &self.controller.proxies);
+            let limits = if self.gives_first_usable_host(desired, host) { DRAIN } else { RESTORE };
+            if ready
+                && !in_nonconforming
+                && self.try_enqueue(limits, &recipients, 1.0, &[Order::Withdraw { host, out: false }])
+            {
+                self.published.withdrawn.remove(&host);
+                restored.push(host);
             }
         }
-        came
+        restored
     }
 
-    /// Nothing serves in some table that proxies use or are to use, and the host would. Guards against proxies without a host,
-    /// or without a bind to such a table, while its first host waits like all that comes back.
-    fn ends_bareness(&self, wanted: &Plan, host: HostId) -> bool {
-        let wanted_tables = wanted.used();
-        let mut tables = self.present.used().chain(&wanted_tables);
-        tables.any(|tbl| self.present.names(tbl, host) && self.present.bare(tbl))
+    /// Whether some table that proxies use or should use has no usable host and would get one by this host.
+    /// Guards against proxies that stay without a host, or unbound, while the first host of their table waits
+    /// like every other restore.
+    fn gives_first_usable_host(&self, desired: &DesiredState, host: HostId) -> bool {
+        let desired_tables = desired.used_tables();
+        let mut tables = self.published.used_tables().chain(&desired_tables);
+        tables
+            .any(|table| self.published.contains_host(table, host) && self.published.lacks_usable_host(table))
     }
 
-    fn set_levels(&mut self, least: Limits, wanted: &Plan) {
-        for (&(tbl, products), &(level, tries)) in wanted.levels.iter().filter(|_| !self.steward.awaits) {
-            let differs = self.present.levels.get(&(tbl, products)) != Some(&(level, tries));
-            let declined = level == 0.0 && self.steward.told.governs(tbl.0, products).0 != 0;
-            let may = if declined && least == ROUTINE { URGENT } else { least };
-            let order = Order::Admit { tbl: self.present.number(tbl), products, level, tries };
-            let known = self.present.lines().contains_key(&tbl);
-            let taken = differs && known && self.take(may, &self.present.reached(&tbl), 1.0, &[order]);
-            self.present.levels.extend(taken.then_some(((tbl, products), (level, tries))));
+    /// Sends admission levels that differ from the published ones.
+    fn set_levels(&mut self, base_limits: Limits, desired: &DesiredState) {
+        for (&(table, products), &(level, tries)) in
+            desired.levels.iter().filter(|_| !self.controller.levels_unknown)
+        {
+            let differs = self.published.levels.get(&(table, products)) != Some(&(level, tries));
+            let rejected = level == 0.0 && self.controller.reach_rules.governed(table.0, products).0 != 0;
+            let limits = if rejected && base_limits == ROUTINE { URGENT } else { base_limits };
+            let order = Order::Admit { tbl: self.published.table_id(table), products, level, tries };
+            let known = self.published.tables().contains_key(&table);
+            let taken = differs
+                && known
+                && self.try_enqueue(limits, &self.published.recipients(&table), 1.0, &[order]);
+            self.published.levels.extend(taken.then_some(((table, products), (level, tries))));
         }
     }
 
-    /// Of one that is gone, in no table, and unknown to proxies not bound yet nothing stays; so of idle tables.
-    fn forget(&mut self, wanted: &Plan) -> BTreeSet<HostId> {
-        self.orders.extend(self.present.drop_unused(wanted).into_iter().map(|tbl| Order::Clear { tbl }));
-        let gone = self.steward.hosts.iter().filter(|(_, host)| host.standing == Standing::Gone);
-        let gone = self.present.let_go(gone.map(|(id, _)| *id), &self.steward.proxies);
+    /// Forgets hosts that left the list, are in no table and are unknown to proxies that are not bound yet;
+    /// clears unused tables.
+    fn forget_unlisted_hosts(&mut self, desired: &DesiredState) -> BTreeSet<HostId> {
+        self.orders
+            .extend(self.published.remove_unused_tables(desired).into_iter().map(|tbl| Order::Clear { tbl }));
+        let gone = self.controller.hosts.iter().filter(|(_, host)| host.standing == Standing::Gone);
+        let gone = self.published.forget_hosts(gone.map(|(id, _)| *id), &self.controller.proxies);
         self.orders.extend(gone.iter().map(|host| Order::Forget { host: *host }));
         gone
     }
--- a/crates/policy/src/reply.rs
+++ b/crates/policy/src/reply.rs
@@ -1,93 +1,120 @@
-//! A reply while it is made: its orders, and what they add to what waits in the channel.
+//! A reply under construction: its orders, and the lines that they add to the channel backlog.
 
 use super::*;
 
-/// Orders are taken in one after the other, as far as the channel's limits allow.
+/// Collects orders one after the other, as far as the limits of the channel allow.
 pub struct Reply<'a> {
+    /// The time of the decision, in ms.
     pub(crate) now: f64,
-    pub(crate) steward: &'a Steward,
-    pub(crate) present: Present,
-    /// Tables that a product still uses whose reach they pass: nothing joins them.
-    pub(crate) passed: BTreeSet<Tbl>,
-    pub(crate) lines: BTreeMap<ProxyId, f64>,
-    pub(crate) waiting: f64,
-    pub(crate) leaving: bool,
-    /// Withdrawals that have to wait.
-    pub(crate) held_up: usize,
-    /// Something found no room in the channel.
-    pub(crate) refused: bool,
-    /// How many proxies without a table of this controller are not bound now, and what holds them back.
-    pub(crate) unbound: BTreeMap<Refusal, usize>,
+    pub(crate) controller: &'a Steward,
+    /// The published state with the orders of this reply applied.
+    pub(crate) published: PublishedState,
+    /// Tables that a request class still uses although they do not conform to its reach: no entries are added
+    /// to them.
+    pub(crate) nonconforming: BTreeSet<TableKey>,
+    /// Lines of this reply for each proxy that gets a message.
+    pub(crate) lines_by_proxy: BTreeMap<ProxyId, f64>,
+    /// Lines that count as queued in the channel, including those of this reply.
+    pub(crate) backlog_lines: f64,
+    /// Some host is draining or has left the list.
+    pub(crate) hosts_leaving: bool,
+    /// Withdrawals that are delayed.
+    pub(crate) delayed_withdrawals: usize,
+    /// Some order found no room in the channel.
+    pub(crate) channel_refused: bool,
+    /// How many proxies without a table of this controller remain unbound, by what holds them back.
+    pub(crate) unbound_proxies: BTreeMap<Refusal, usize>,
     pub(crate) orders: Vec<Order>,
 }
 
 impl<'a> Reply<'a> {
-    /// Nothing is ordered yet.
-    pub(crate) fn new(now: f64, steward: &'a Steward, present: Present) -> Reply<'a> {
+    /// Starts a reply without orders.
+    pub(crate) fn new(now: f64, controller: &'a Steward, published: PublishedState) -> Reply<'a> {
         Reply {
             now,
-            steward,
-            present,
-            passed: BTreeSet::new(),
-            lines: BTreeMap::new(),
-            waiting: steward.waiting.lines(),
-            leaving: steward.hosts.values().any(|host| host.standing != Standing::On),
-            held_up: 0,
-            refused: false,
-            unbound: BTreeMap::new(),
+            controller,
+            published,
+            nonconforming: BTreeSet::new(),
+            lines_by_proxy: BTreeMap::new(),
+            backlog_lines: controller.backlog.lines(),
+            hosts_leaving: controller.hosts.values().any(|host| host.standing != Standing::On),
+            delayed_withdrawals: 0,
+            channel_refused: false,
+            unbound_proxies: BTreeMap::new(),
             orders: Vec::new(),
         }
     }
 }
 
 impl Reply<'_> {
-    /// What `each` lines to each of `whom` add to the channel.
-    pub(crate) fn cost(&self, whom: &[ProxyId], each: f64) -> f64 {
-        let fresh = whom.iter().filter(|id| !self.lines.contains_key(id)).count();
-        each * whom.len() as f64 + (self.steward.channel.head + 1.0) * fresh as f64
+    /// How many lines the channel gets if each recipient gets `lines_each` lines, with the overhead of new
+    /// messages.
+    pub(crate) fn cost(&self, recipients: &[ProxyId], lines_each: f64) -> f64 {
+        let new_recipients = recipients.iter().filter(|id| !self.lines_by_proxy.contains_key(id)).count();
+        lines_each * recipients.len() as f64 + (self.controller.channel.head + 1.0) * new_recipients as f64
     }
 
-    /// Takes the orders in if backlog and message limit allow; `each` lines go to each of `whom`.
-    pub(crate) fn take(&mut self, may: Limits, whom: &[ProxyId], each: f64, orders: &[Order]) -> bool {
-        self.admit(may, whom, each, orders).is_ok()
+    /// Adds the orders if backlog and message limit allow; each recipient gets `lines_each` lines. Returns
+    /// whether they were added.
+    pub(crate) fn try_enqueue(
+        &mut self,
+        limits: Limits,
+        recipients: &[ProxyId],
+        lines_each: f64,
+        orders: &[Order],
+    ) -> bool {
+        self.enqueue(limits, recipients, lines_each, orders).is_ok()
     }
 
-    /// The same, with what holds them back.
+    /// Does the same as `try_enqueue`, and returns what holds the orders back.
     #[rustfmt::skip]
-    pub(crate) fn admit(
-        &mut self, may: Limits, whom: &[ProxyId], each: f64, orders: &[Order],
+    pub(crate) fn enqueue(
+        &mut self, limits: Limits, recipients: &[ProxyId], lines_each: f64, orders: &[Order],
     ) -> Result<(), Refusal> {
-        let Steward { channel, waiting, .. } = self.steward;
-        let (span, most) = (channel.messages_over + 2.0 * BUCKET, may.messages * f64::from(channel.messages));
-        let full = |id: &ProxyId| channel.messages > 0 && waiting.messages(self.now, span, *id) + 1.0 > most;
-        let fresh: Vec<&ProxyId> = whom.iter().filter(|id| !self.lines.contains_key(id)).collect();
-        let cost = self.cost(whom, each);
-        // What comes back rides on messages that go anyway, a drain's: it costs no head then.
-        let rides = may == BACK && (fresh.is_empty() || self.waiting <= 0.0);
-        let pace = channel.lines_per_s * if self.leaving && !rides { may.seconds_while_leaving } else { may.seconds };
-        // What can wait is not decided ahead of a relay that calls do not get through to: who joins meanwhile gets it too.
-        if waiting.is_behind() && (may == ROUTINE || may == BACK) {
-            return Err(Refusal::CallsFail);
+        let Steward { channel, backlog, .. } = self.controller;
+        let (window, max_messages) =
+            (channel.messages_over + 2.0 * BUCKET_MS, limits.message_fraction * f64::from(channel.messages));
+        let at_message_limit = |id: &ProxyId| {
+            channel.messages > 0 && backlog.messages(self.now, window, *id) + 1.0 > max_messages
+        };
+        let new_recipients: Vec<&ProxyId> =
+            recipients.iter().filter(|id| !self.lines_by_proxy.contains_key(id)).collect();
+        let cost = self.cost(recipients, lines_each);
+        // A restore that joins messages which are sent anyway, such as those of a drain, has no message
+        // overhead; the lower limit while hosts leave does not apply to it.
+        let joins_messages = limits == RESTORE && (new_recipients.is_empty() || self.backlog_lines <= 0.0);
+        let max_lines = channel.lines_per_s
+            * if self.hosts_leaving && !joins_messages {
+                limits.queue_seconds_while_leaving
+            } else {
+                limits.queue_seconds
+            };
+        // Orders that can wait are not sent while calls do not reach the relay: proxies that join meanwhile
+        // would get them too.
+        if backlog.is_delayed() && (limits == ROUTINE || limits == RESTORE) {
+            return Err(Refusal::RelayUnreachable);
         }
-        let fits = self.waiting + cost <= pace.min(may.backlog * channel.backlog);
-        self.refused |= !fits;
+        let fits = self.backlog_lines + cost <= max_lines.min(limits.backlog_fraction * channel.backlog);
+        self.channel_refused |= !fits;
         if !fits {
             return Err(Refusal::ChannelFull);
         }
-        if fresh.into_iter().any(full) {
+        if new_recipients.into_iter().any(at_message_limit) {
             return Err(Refusal::MessageLimit);
         }
-        self.waiting += cost;
-        whom.iter().for_each(|proxy| *self.lines.entry(*proxy).or_insert(channel.head + 1.0) += each);
+        self.backlog_lines += cost;
+        recipients
+            .iter()
+            .for_each(|proxy| *self.lines_by_proxy.entry(*proxy).or_insert(channel.head + 1.0) += lines_each);
         self.orders.extend_from_slice(orders);
         Ok(())
     }
 
-    /// What found no room counts as if it waited, so that nothing after it takes the room that comes up; not where it will
-    /// never fit.
-    pub(crate) fn keep_place(&mut self, may: Limits, cost: f64) {
-        if cost <= may.backlog * self.steward.channel.backlog {
-            self.waiting += cost;
+    /// Counts an order that found no room as queued, so that later orders do not use the room that becomes
+    /// free; not where it can never fit.
+    pub(crate) fn reserve_room(&mut self, limits: Limits, cost: f64) {
+        if cost <= limits.backlog_fraction * self.controller.channel.backlog {
+            self.backlog_lines += cost;
         }
     }
 }
--- a/crates/policy/src/seats.rs
+++ b/crates/policy/src/seats.rs
@@ -1,65 +1,85 @@
-//! Where proxies sit in the trees of tables, and which neighbours' hosts join a zone's own.
+//! Assigns proxies to tables of their trees, and decides which hosts of other zones join a zone's tables.
 
 use super::*;
 
-/// Those that joined.
+/// The joined proxies.
 type Proxies = BTreeMap<ProxyId, Proxy>;
-/// The part of its weight that a zone's host has in another zone's tables, by (tables, hosts).
-pub type Spill = BTreeMap<(ZoneId, Reach, ZoneId), f64>;
+/// The fraction of its weight that a host of the second zone has in the first zone's tables of this reach.
+pub type Spillover = BTreeMap<(ZoneId, Reach, ZoneId), f64>;
 
-/// Neighbours' hosts join where a zone's own carry more than the fleet's share; all, where none is left or the
-/// zone is outside the reach. Costs crossings. Sticky quarters, lest small shifts write orders; finer where
-/// little of a zone's own is open, lest the first cold hosts back get all of its demand by rounding.
-pub fn spill(parts: &mut Spill, told: &Told, (weights, demands): (&[f64], &[f64]), movable: f64) {
-    let trees = told.trees();
-    let fair = demands.iter().sum::<f64>() / weights.iter().sum::<f64>().max(1e-9);
-    let room: Vec<f64> = weights.iter().zip(demands).map(|(w, d)| (w * fair - d).max(0.0)).collect();
-    parts.retain(|(home, tree, _), _| trees.contains(&(*home, *tree)));
+/// Hosts of other zones join where a zone's own hosts carry more than the average load of the fleet. All
+/// demand goes to them where the zone has no open weight or is outside the reach. Crossing zones has a cost.
+/// Fractions move in steps of a quarter that stay until the difference is large, so that small shifts cause
+/// no orders. The steps are finer where little of a zone's own weight is open; otherwise rounding could give
+/// the first restored cold hosts all of its demand.
+pub fn update_spillover(
+    fractions: &mut Spillover,
+    rules: &ReachRules,
+    (weights, demands): (&[f64], &[f64]),
+    movable: f64,
+) {
+    let trees = rules.trees();
+    let average_load = demands.iter().sum::<f64>() / weights.iter().sum::<f64>().max(1e-9);
+    let spare: Vec<f64> = weights.iter().zip(demands).map(|(w, d)| (w * average_load - d).max(0.0)).collect();
+    fractions.retain(|(home, tree, _), _| trees.contains(&(*home, *tree)));
     for (home, tree) in trees {
         let place = home.0 as usize;
-        let weight = if tree.holds(home, home) { weights[place] } else { 0.0 };
-        let out =
-            f64::min(0.99, (demands[place] - weight * fair).max(0.0) / (movable * demands[place]).max(1e-9));
-        let little = weight * weights.len() as f64 / weights.iter().sum::<f64>().max(1e-9);
-        let fine = 2f64.powf(little.clamp(0.01, 1.0).log2().ceil()) / 4.0;
-        let there = |other: &usize| *other != place && tree.holds(home, ZoneId(*other as u16));
-        let others: Vec<usize> = (0..weights.len()).filter(there).collect();
-        let all_room = others.iter().map(|other| room[*other]).sum::<f64>().max(1e-9);
+        let weight = if tree.contains(home, home) { weights[place] } else { 0.0 };
+        let spilled = f64::min(
+            0.99,
+            (demands[place] - weight * average_load).max(0.0) / (movable * demands[place]).max(1e-9),
+        );
+        let own_share = weight * weights.len() as f64 / weights.iter().sum::<f64>().max(1e-9);
+        let step = 2f64.powf(own_share.clamp(0.01, 1.0).log2().ceil()) / 4.0;
+        let reachable = |other: &usize| *other != place && tree.contains(home, ZoneId(*other as u16));
+        let others: Vec<usize> = (0..weights.len()).filter(reachable).collect();
+        let total_spare = others.iter().map(|other| spare[*other]).sum::<f64>().max(1e-9);
         for other in others {
-            let flow = out * room[other] / all_room;
-            let each = flow * weight / (1.0 - out) / weights[other].max(1e-9);
+            let flow = spilled * spare[other] / total_spare;
+            let each = flow * weight / (1.0 - spilled) / weights[other].max(1e-9);
             let exact = if weight > 0.0 { each } else { 1.0 };
-            let part = parts.entry((home, tree, ZoneId(other as u16))).or_insert(0.0);
-            let moves = (exact - *part).abs() > 0.8 * fine;
-            *part = if moves { f64::min(1.0, (exact / fine).round() * fine) } else { *part };
+            let fraction = fractions.entry((home, tree, ZoneId(other as u16))).or_insert(0.0);
+            let moves = (exact - *fraction).abs() > 0.8 * step;
+            *fraction = if moves { f64::min(1.0, (exact / step).round() * step) } else { *fraction };
         }
     }
 }
 
-/// Seats a zone's proxies: each at the smallest table of which it asks half the fair share at most, the least
-/// loaded. It stays, as moves cost handshakes, until its rate fits no more or it evens out `gain` of load.
-pub fn seat(proxies: &mut Proxies, (zone, tree): (ZoneId, Reach), asks: &[&Ask], open: &[f64], gain: f64) {
-    let (most, mut fill) = (open.len() as u32, Fill::new(open));
-    let all = asks.iter().map(|ask| ask.total).sum::<f64>().max(1e-9);
-    let here = proxies.iter_mut().filter(|(_, proxy)| proxy.asked.zone == zone).enumerate();
-    let part = |at: usize| asks.iter().map(|ask| ask.rates[at]).sum::<f64>().max(1e-3 * all) / all;
-    let mut seats: Vec<(f64, &mut Node)> =
-        here.map(|(at, (_, proxy))| (part(at), proxy.nodes.entry(tree).or_insert(0))).collect();
-    seats.sort_by(|a, b| b.0.total_cmp(&a.0));
-    seats.iter().filter(|(_, node)| **node > 0).for_each(|(part, node)| fill.sit(**node, *part));
-    for (part, node) in seats {
-        let asks = part * f64::from(breadth(*node));
-        let narrow = breadth(*node) < most && asks <= 0.125;
-        let fits = (1..2 * most).contains(&*node) && (gain > 1.0 || asks <= 1.0 && !narrow);
-        let mut wides = (0..=most.ilog2()).map(|bits| most >> bits);
-        let free = wides.find(|wide| part * f64::from(*wide) <= 0.5).unwrap_or(1);
-        let wide = if fits { breadth(*node) } else { free };
-        let full = |node: &Node| fill.with(*node, part);
-        let to = (wide..2 * wide).min_by(|a, b| full(a).total_cmp(&full(b))).unwrap_or(1);
-        if !fits || fill.with(*node, 0.0) > full(&to) + gain {
-            fill.sit(*node, if *node > 0 { -part } else { 0.0 });
+/// Assigns a zone's proxies to tables: each to the least loaded of the smallest tables for which its demand
+/// is at most half an average table's share. A proxy keeps its table, since moves cost handshakes, until its
+/// rate no longer fits or a move evens out more than `gain` of load.
+pub fn assign_proxies(
+    proxies: &mut Proxies,
+    (zone, tree): (ZoneId, Reach),
+    class_demands: &[&ClassDemand],
+    open_weight: &[f64],
+    gain: f64,
+) {
+    let (group_count, mut loads) = (open_weight.len() as u32, TableLoads::new(open_weight));
+    let all = class_demands.iter().map(|demand| demand.total).sum::<f64>().max(1e-9);
+    let here = proxies.iter_mut().filter(|(_, proxy)| proxy.demand.zone == zone).enumerate();
+    let demand_fraction =
+        |at: usize| class_demands.iter().map(|demand| demand.rates[at]).sum::<f64>().max(1e-3 * all) / all;
+    let mut assignments: Vec<(f64, &mut Node)> =
+        here.map(|(at, (_, proxy))| (demand_fraction(at), proxy.nodes.entry(tree).or_insert(0))).collect();
+    assignments.sort_by(|a, b| b.0.total_cmp(&a.0));
+    assignments
+        .iter()
+        .filter(|(_, node)| **node > 0)
+        .for_each(|(fraction, node)| loads.assign(**node, *fraction));
+    for (fraction, node) in assignments {
+        let table_demand = fraction * f64::from(tables_at_level(*node));
+        let too_small = tables_at_level(*node) < group_count && table_demand <= 0.125;
+        let fits = (1..2 * group_count).contains(&*node) && (gain > 1.0 || table_demand <= 1.0 && !too_small);
+        let mut sizes = (0..=group_count.ilog2()).map(|bits| group_count >> bits);
+        let fitting = sizes.find(|size| fraction * f64::from(*size) <= 0.5).unwrap_or(1);
+        let size = if fits { tables_at_level(*node) } else { fitting };
+        let load = |node: &Node| loads.load_with(*node, fraction);
+        let to = (size..2 * size).min_by(|a, b| load(a).total_cmp(&load(b))).unwrap_or(1);
+        if !fits || loads.load_with(*node, 0.0) > load(&to) + gain {
+            loads.assign(*node, if *node > 0 { -fraction } else { 0.0 });
             *node = to;
-            fill.sit(to, part);
+            loads.assign(to, fraction);
         }
     }
 }
