--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Processor time of one decision, by what it is about and how large the fleet is. Only the decision is timed; what
-//! brings the fleet back to where it was is not.
+//! CPU time of one decision, by its cause and the size of the fleet. Only the decision is timed, not the steps that
+//! bring the fleet back to its previous state.
 
 use std::time::{Duration, Instant};
 
@@ -9,24 +9,25 @@
 
 const ZONES: u16 = 5;
 const PRODUCTS: usize = 3;
-/// Processor time of this thread: others on the machine don't count.
-fn used() -> Duration {
+/// CPU time of this thread: other processes on the machine do not affect it.
+fn thread_cpu_time() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// A sample ends after so long, however many plays it was to have: the way back is longer than the decision.
-const A_SAMPLE: Duration = Duration::from_millis(100);
+/// A sample ends after this time, however many iterations were requested: bringing the fleet back takes longer than
+/// the decision.
+const SAMPLE_TIME: Duration = Duration::from_millis(100);
 
-/// A fleet as it is between two decisions, and one steward with its part of it.
-struct Day {
+/// The state of a fleet between two decisions, and one controller with its share of the proxies.
+struct Fixture {
     steward: Steward,
     now: f64,
     proxies: Vec<(ProxyId, ZoneId)>,
     hosts: Vec<u32>,
-    /// The next host that is new, and the next to fail.
-    next: u32,
-    fails: usize,
+    /// The next new host, and a count of the hosts that failed.
+    next_host: u32,
+    failed_hosts: usize,
     marks: Vec<MarkId>,
 }
 
@@ -35,14 +36,14 @@
     Listed { host: HostId(host), weight: 1.0, zone, pod: PodId(0), kind, born: None, standing: Standing::On }
 }
 
-/// Nothing is met at each tenth host, so that its probes alone speak of it.
-fn unmet(host: u32) -> bool {
+/// Every tenth host has no traffic reports, so only its probes are evidence of its health.
+fn without_reports(host: u32) -> bool {
     host.is_multiple_of(10)
 }
 
-impl Day {
-    /// `proxies` and `hosts` are the fleet's; by zone each of several stewards has its part of the proxies.
-    fn new(proxies: u16, hosts: u32, stewards: u32, levels: LevelKind) -> Day {
+impl Fixture {
+    /// `proxies` and `hosts` are those of the fleet; the proxies are divided among the controllers by zone.
+    fn new(proxies: u16, hosts: u32, stewards: u32, levels: LevelKind) -> Fixture {
         let zone = ZoneId(0);
         let post = Post { seed: 1, zone, zones: ZONES, stewards, by_zone: true, slices: 0, may_probe: true };
         let lines_per_s = 20.0 * f64::from(proxies);
@@ -63,26 +64,34 @@
         let products = (0..PRODUCTS).map(product).collect();
         let steward = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
         let all = (0..proxies).map(|proxy| (ProxyId(proxy), ZoneId(proxy % ZONES)));
-        let ours = all.filter(|(_, zone)| u32::from(zone.0) % stewards == 0).collect();
-        let (hosts, next) = ((0..hosts).collect(), hosts);
-        let mut day = Day { steward, now: 1e3, proxies: ours, hosts, next, fails: 0, marks: Vec::new() };
-        day.say(&[day.list(ListNews::Restored)]);
-        let joined = day.joined(0);
-        day.say(&joined);
+        let own_proxies = all.filter(|(_, zone)| u32::from(zone.0) % stewards == 0).collect();
+        let (hosts, next_host) = ((0..hosts).collect(), hosts);
+        let mut fixture = Fixture {
+            steward,
+            now: 1e3,
+            proxies: own_proxies,
+            hosts,
+            next_host,
+            failed_hosts: 0,
+            marks: Vec::new(),
+        };
+        fixture.decide(&[fixture.list(ListNews::Restored)]);
+        let joined = fixture.joined(0);
+        fixture.decide(&joined);
         for _ in 0..4 {
-            day.settle(5);
-            let sums = day.sums();
-            day.say(&sums);
+            fixture.run_ticks(5);
+            let reports = fixture.reports();
+            fixture.decide(&reports);
         }
-        day.settle(10);
-        day
+        fixture.run_ticks(10);
+        fixture
     }
 
     fn list(&self, news: ListNews) -> Event {
         Event::List { news, entries: self.hosts.iter().map(|host| listed(*host)).collect() }
     }
 
-    /// All proxies from that one on, with what they ask for.
+    /// Joins of all proxies from this index on, with their rates of txns.
     fn joined(&self, from: usize) -> Vec<Event> {
         let rate = |proxy: ProxyId| 5.0 + f64::from(proxy.0 % 7);
         let joined = |&(proxy, zone): &(ProxyId, ZoneId)| Event::Joined {
@@ -94,9 +103,9 @@
         self.proxies[from..].iter().map(joined).collect()
     }
 
-    /// One sum of each proxy and product, and of each host in each zone that has proxies here.
-    fn sums(&self) -> Vec<Event> {
-        let came = |(proxy, _): &(ProxyId, ZoneId)| {
+    /// One report of each proxy and request class, and of each host in each zone that has proxies here.
+    fn reports(&self) -> Vec<Event> {
+        let proxy_report = |(proxy, _): &(ProxyId, ZoneId)| {
             let (proxy, txns) = (*proxy, 2 + u32::from(proxy.0 % 3));
             (0..PRODUCTS as u16).map(ProductId).map(move |product| Event::Came {
                 proxy,
@@ -110,7 +119,7 @@
         zones.sort();
         zones.dedup();
         let report = LoadReport::default();
-        let met = |host: &u32| {
+        let host_report = |host: &u32| {
             let host = *host;
             let (mean, tries, over) = (100.0 + f64::from(host % 17), 20 + host % 5, 1e3);
             let of = move |zone: ZoneId| (zone.0 == host as u16 % ZONES).then_some(zone);
@@ -124,93 +133,99 @@
                 report,
             })
         };
-        let mets = self.hosts.iter().filter(|host| !unmet(**host)).flat_map(met);
-        self.proxies.iter().flat_map(came).chain(mets).collect()
+        let host_reports = self.hosts.iter().filter(|host| !without_reports(**host)).flat_map(host_report);
+        self.proxies.iter().flat_map(proxy_report).chain(host_reports).collect()
     }
 
-    /// How long the decision on that takes.
-    fn say(&mut self, events: &[Event]) -> Duration {
-        let start = used();
+    /// Passes the events to the controller; returns how long its decision takes.
+    fn decide(&mut self, events: &[Event]) -> Duration {
+        let start = thread_cpu_time();
         let orders = self.steward.decide(self.now, events);
-        let took = used() - start;
+        let took = thread_cpu_time() - start;
         let mark = |order: &Order| if let Order::Mark { mark, .. } = order { Some(*mark) } else { None };
         self.marks.extend(orders.iter().filter_map(mark));
         took
     }
 
-    /// So many ticks go by; all proxies answer all marks, and each probe passes.
-    fn settle(&mut self, ticks: u32) {
+    /// Lets so many ticks pass, in which all proxies answer all marks.
+    fn run_ticks(&mut self, ticks: u32) {
         for _ in 0..ticks {
             let marks = std::mem::take(&mut self.marks);
             let answer =
                 |mark| self.proxies.iter().map(move |row| Event::Applied { proxy: row.0, mark, took: 9.0 });
             let answers: Vec<Event> = marks.into_iter().flat_map(answer).collect();
-            self.say(&answers);
+            self.decide(&answers);
             self.tick();
         }
     }
 
     fn tick(&mut self) -> Duration {
         self.now += 200.0;
-        self.say(&[Event::Due { timer: TimerId(0) }])
+        self.decide(&[Event::Due { timer: TimerId(0) }])
     }
 
     fn probe(&mut self, host: u32, outcome: Outcome) -> Duration {
-        self.say(&[Event::Probed { host: HostId(host), outcome, took: 2.0, report: LoadReport::default() }])
+        self.decide(&[Event::Probed {
+            host: HostId(host),
+            outcome,
+            took: 2.0,
+            report: LoadReport::default(),
+        }])
     }
 
     fn probe_due(&mut self, host: u32, outcome: Outcome) -> Duration {
         let (host, report) = (HostId(host), LoadReport::default());
-        self.say(&[Event::Probed { host, outcome, took: 2.0, report }, Event::Due { timer: TimerId(0) }])
+        self.decide(&[Event::Probed { host, outcome, took: 2.0, report }, Event::Due { timer: TimerId(0) }])
     }
 
     fn gate(&mut self) -> Duration {
-        let unmet: Vec<u32> = self.hosts.iter().copied().filter(|host| unmet(*host)).collect();
-        let host = unmet[self.fails % unmet.len()];
-        self.fails += 1;
+        let without_reports: Vec<u32> =
+            self.hosts.iter().copied().filter(|host| without_reports(*host)).collect();
+        let host = without_reports[self.failed_hosts % without_reports.len()];
+        self.failed_hosts += 1;
         self.probe(host, Outcome::TimedOut);
         self.probe(host, Outcome::TimedOut);
         self.now += 200.0;
         let took = self.probe_due(host, Outcome::TimedOut);
         self.probe(host, Outcome::Answered);
         self.probe(host, Outcome::Answered);
-        self.settle(3);
+        self.run_ticks(3);
         took
     }
 
-    /// Six in ten hosts are others.
+    /// Replaces six in ten hosts.
     fn replace(&mut self) -> Duration {
-        let goes = self.hosts.len() * 6 / 10;
-        self.hosts.drain(..goes);
-        let first = self.next;
-        self.next += goes as u32;
-        self.hosts.extend(first..self.next);
+        let replaced = self.hosts.len() * 6 / 10;
+        self.hosts.drain(..replaced);
+        let first = self.next_host;
+        self.next_host += replaced as u32;
+        self.hosts.extend(first..self.next_host);
         self.now += 200.0;
-        let took = self.say(&[self.list(ListNews::Whole), Event::Due { timer: TimerId(0) }]);
-        self.settle(8);
+        let took = self.decide(&[self.list(ListNews::Whole), Event::Due { timer: TimerId(0) }]);
+        self.run_ticks(8);
         took
     }
 
-    /// Proxies of another steward come all at once.
+    /// All proxies of another controller join at once.
     fn takeover(&mut self, count: u16) -> Duration {
-        let stand = self.proxies.len();
+        let first_new = self.proxies.len();
         let new = (20_000..20_000 + count).map(|proxy| (ProxyId(proxy), ZoneId(1 + proxy % (ZONES - 1))));
         self.proxies.extend(new);
-        let joined = self.joined(stand);
+        let joined = self.joined(first_new);
         self.now += 200.0;
-        let took = self.say(&[&joined[..], &[Event::Due { timer: TimerId(0) }]].concat());
+        let took = self.decide(&[&joined[..], &[Event::Due { timer: TimerId(0) }]].concat());
         let left = |row: (ProxyId, ZoneId)| Event::Left { proxy: row.0 };
-        let left: Vec<Event> = self.proxies.drain(stand..).map(left).collect();
-        self.say(&left);
-        self.settle(2);
+        let left: Vec<Event> = self.proxies.drain(first_new..).map(left).collect();
+        self.decide(&left);
+        self.run_ticks(2);
         took
     }
 
-    fn round(&mut self) -> Duration {
-        self.settle(4);
-        let sums = self.sums();
+    fn report_round(&mut self) -> Duration {
+        self.run_ticks(4);
+        let reports = self.reports();
         self.now += 200.0;
-        self.say(&[&sums[..], &[Event::Due { timer: TimerId(0) }]].concat())
+        self.decide(&[&reports[..], &[Event::Due { timer: TimerId(0) }]].concat())
     }
 }
 
@@ -218,29 +233,30 @@
     let mut group = c.benchmark_group("decision");
     group.warm_up_time(Duration::from_millis(50)).measurement_time(Duration::from_millis(200));
     group.sample_size(10).sampling_mode(SamplingMode::Flat);
-    type Play = fn(&mut Day, u16) -> Duration;
-    let plays: [(&str, Play); 5] = [
-        ("quiet-tick", |day, _| day.tick()),
-        ("gate", |day, _| day.gate()),
-        ("sums", |day, _| day.round()),
-        ("takeover", |day, size| day.takeover(800.min(size * 8 / 10))),
-        ("replaced", |day, _| day.replace()),
+    type Scenario = fn(&mut Fixture, u16) -> Duration;
+    let scenarios: [(&str, Scenario); 5] = [
+        ("quiet-tick", |fixture, _| fixture.tick()),
+        ("gate", |fixture, _| fixture.gate()),
+        ("sums", |fixture, _| fixture.report_round()),
+        ("takeover", |fixture, size| fixture.takeover(800.min(size * 8 / 10))),
+        ("replaced", |fixture, _| fixture.replace()),
     ];
     let kinds = [(1, LevelKind::Off), (1, LevelKind::Rate), (5, LevelKind::Off)];
     for (proxies, hosts) in [(100, 30), (1_000, 300), (10_000, 3_000)] {
         for (stewards, levels) in kinds {
-            let mut day = None;
-            for (name, play) in plays {
+            let mut fixture = None;
+            for (name, scenario) in scenarios {
                 let size = format!("{proxies}-of-{stewards}-{levels:?}");
                 group.bench_function(BenchmarkId::new(name, &size), |b| {
-                    let day = day.get_or_insert_with(|| Day::new(proxies, hosts, stewards, levels));
-                    b.iter_custom(|wanted| {
-                        let (start, mut took, mut played) = (Instant::now(), Duration::ZERO, 0);
-                        while played < wanted && (played == 0 || start.elapsed() < A_SAMPLE) {
-                            took += play(day, proxies);
-                            played += 1;
+                    let fixture =
+                        fixture.get_or_insert_with(|| Fixture::new(proxies, hosts, stewards, levels));
+                    b.iter_custom(|requested| {
+                        let (start, mut took, mut iterations) = (Instant::now(), Duration::ZERO, 0);
+                        while iterations < requested && (iterations == 0 || start.elapsed() < SAMPLE_TIME) {
+                            took += scenario(fixture, proxies);
+                            iterations += 1;
                         }
-                        took.mul_f64(wanted as f64 / played as f64)
+                        took.mul_f64(requested as f64 / iterations as f64)
                     });
                 });
             }
