--- a/crates/books/src/asked.rs
+++ b/crates/books/src/asked.rs
@@ -57,14 +57,19 @@
     pub demand: ProxyDemand,
     pub nodes: BTreeMap<Reach, Node>,
     /// It joined without a table that a controller ordered.
-    pub fresh: bool,
+    pub without_table: bool,
     /// When it joined, in ms on the clock of the decisions.
     pub joined_at: f64,
 }
 
 impl Proxy {
-    pub fn new(joined_at: f64, zone: ZoneId, stated_rate: f64, fresh: bool) -> Proxy {
-        Proxy { demand: ProxyDemand::new(zone, stated_rate), nodes: BTreeMap::new(), fresh, joined_at }
+    pub fn new(joined_at: f64, zone: ZoneId, stated_rate: f64, without_table: bool) -> Proxy {
+        Proxy {
+            demand: ProxyDemand::new(zone, stated_rate),
+            nodes: BTreeMap::new(),
+            without_table,
+            joined_at,
+        }
     }
 
     /// Drops its table assignments in all trees but these.
--- a/crates/books/src/plan.rs
+++ b/crates/books/src/plan.rs
@@ -89,7 +89,7 @@
         let tables = self.tables.iter().filter(|(table, _)| used.contains(table) || extra.contains(table));
         restricted.tables = tables.map(|(table, entries)| (*table, entries.clone())).collect();
         let levels = self.levels.iter().filter(|level| restricted.tables.contains_key(&level.0 .0));
-        restricted.levels = levels.map(|(of, level)| (*of, *level)).collect();
+        restricted.levels = levels.map(|(key, level)| (*key, *level)).collect();
         restricted
     }
 }
--- a/crates/books/src/present.rs
+++ b/crates/books/src/present.rs
@@ -126,20 +126,23 @@
 
     /// The tables that a proxy uses for these request classes.
     pub fn tables_used_for(&self, proxy: ProxyId, classes: Products) -> Vec<TableKey> {
-        self.binds_of(proxy).filter(|(_, of)| of.0 & classes.0 != 0).map(|bound| bound.0).collect()
+        self.binds_of(proxy)
+            .filter(|(_, bound_classes)| bound_classes.0 & classes.0 != 0)
+            .map(|bound| bound.0)
+            .collect()
     }
 
     /// The desired binds that are not in force, each with those of its request classes for which the proxy
     /// uses another table or none.
     pub fn missing_binds(&self, desired: &DesiredState) -> Vec<Bind> {
         let (mut missing_binds, mut in_force) = (Vec::new(), self.binds.iter().peekable());
-        for (of, classes) in &desired.binds {
-            while in_force.peek().is_some_and(|has| has.0 < of) {
+        for (key, classes) in &desired.binds {
+            while in_force.peek().is_some_and(|has| has.0 < key) {
                 in_force.next();
             }
-            let has = in_force.peek().filter(|has| has.0 == of).map_or(0, |has| has.1 .0);
+            let has = in_force.peek().filter(|has| has.0 == key).map_or(0, |has| has.1 .0);
             if classes.0 & !has != 0 {
-                missing_binds.push((*of, Products(classes.0 & !has)));
+                missing_binds.push((*key, Products(classes.0 & !has)));
             }
         }
         missing_binds
@@ -217,8 +220,8 @@
     /// The proxy joins, or continues after a gap in the relay watch in which it may have left and joined
     /// again. Guards the channel's limit: entries of tables that it was bound to may still be sent to it,
     /// whatever it is bound to by new orders.
-    pub fn proxy_joined(&mut self, proxy: ProxyId, fresh: bool) {
-        let Some(used) = self.just_left.remove(&proxy).filter(|_| !fresh) else { return };
+    pub fn proxy_joined(&mut self, proxy: ProxyId, without_table: bool) {
+        let Some(used) = self.just_left.remove(&proxy).filter(|_| !without_table) else { return };
         for table in used.keys() {
             self.possible_users.entry(*table).or_default().insert(proxy);
         }
@@ -233,13 +236,13 @@
     /// The proxy uses another table for these request classes now.
     fn end_lingering(&mut self, proxy: ProxyId, classes: Products) {
         let Some(mut used) = self.lingering.remove(&proxy) else { return };
-        for (table, of) in &mut used {
-            of.0 &= !classes.0;
-            if of.0 == 0 {
+        for (table, still_used) in &mut used {
+            still_used.0 &= !classes.0;
+            if still_used.0 == 0 {
                 self.remove_possible_user(proxy, *table);
             }
         }
-        used.retain(|_, of| of.0 != 0);
+        used.retain(|_, still_used| still_used.0 != 0);
         if !used.is_empty() {
             self.lingering.insert(proxy, used);
         }
@@ -255,16 +258,16 @@
     }
 
     /// The proxies that get the entries of a table: those that use it and those that may still use it.
-    pub fn recipients(&self, of: &TableKey) -> Vec<ProxyId> {
-        let users = self.users.get(of).into_iter().flatten();
+    pub fn recipients(&self, table: &TableKey) -> Vec<ProxyId> {
+        let users = self.users.get(table).into_iter().flatten();
         let mut recipients: BTreeSet<ProxyId> = users.copied().collect();
-        recipients.extend(self.possible_users.get(of).into_iter().flatten());
+        recipients.extend(self.possible_users.get(table).into_iter().flatten());
         recipients.into_iter().collect()
     }
 
     /// The proxies that use the table.
-    pub fn users(&self, of: &TableKey) -> Vec<ProxyId> {
-        self.users.get(of).into_iter().flatten().copied().collect()
+    pub fn users(&self, table: &TableKey) -> Vec<ProxyId> {
+        self.users.get(table).into_iter().flatten().copied().collect()
     }
 
     /// The tables that some proxy uses.
@@ -318,10 +321,10 @@
             return vec![];
         }
         // A table in use whose reach is within the desired one names no forbidden host.
-        let narrows = |((proxy, table), of): Bind| {
+        let narrows = |((proxy, table), wanted_classes): Bind| {
             let keeps = self.binds_of(proxy).filter(|(has, _)| has.1.is_within(table.1, table.0));
-            let keeps = keeps.fold(0, |all, (_, of)| all | of.0);
-            let leaves = Products(rules.governed(table.0, of).0 & !keeps);
+            let keeps = keeps.fold(0, |all, (_, kept)| all | kept.0);
+            let leaves = Products(rules.governed(table.0, wanted_classes).0 & !keeps);
             (leaves.0 != 0 && table.1 != Reach::AnyZone).then_some(((proxy, table), leaves))
         };
         self.missing_binds(desired).into_iter().filter_map(narrows).collect()
@@ -344,6 +347,6 @@
 
     /// Tables that proxies leave by these binds.
     pub fn tables_left_by(&self, binds: &[Bind]) -> BTreeSet<TableKey> {
-        binds.iter().flat_map(|((proxy, _), of)| self.tables_used_for(*proxy, *of)).collect()
+        binds.iter().flat_map(|((proxy, _), classes)| self.tables_used_for(*proxy, *classes)).collect()
     }
 }
--- a/crates/books/src/waiting.rs
+++ b/crates/books/src/waiting.rs
@@ -152,10 +152,10 @@
     }
 
     /// The proxy joins, or continues after a gap in the relay watch in which it may have left and joined
-    /// again. Messages that were written to it up to then still count, unless it is `fresh` and started
-    /// again. Guards the limit of messages to a proxy that never left.
-    pub fn proxy_joined(&mut self, proxy: ProxyId, fresh: bool) {
-        let before = self.just_left.remove(&proxy).filter(|_| !fresh);
+    /// again. Messages that were written to it up to then still count, unless it joins `without_table` because
+    /// it has restarted. Guards the limit of messages to a proxy that never left.
+    pub fn proxy_joined(&mut self, proxy: ProxyId, without_table: bool) {
+        let before = self.just_left.remove(&proxy).filter(|_| !without_table);
         self.messages.extend(before.map(|recent| (proxy, recent)));
     }
 
--- a/crates/policy/src/binds.rs
+++ b/crates/policy/src/binds.rs
@@ -13,11 +13,11 @@
         }
         let unbound = self.unbound_by_priority(desired);
         let overdue = self.count_overdue(&unbound);
-        for ((proxy, table), products) in unbound.into_iter().take(overdue) {
+        for ((proxy, table), classes) in unbound.into_iter().take(overdue) {
             if self.published.lacks_usable_host(&table) {
                 continue;
             }
-            if self.bind_proxy(DRAIN, proxy, table, products) == Err(Refusal::ChannelFull) {
+            if self.bind_proxy(DRAIN, proxy, table, classes) == Err(Refusal::ChannelFull) {
                 let cost = self.cost(&[proxy], self.bind_cost(&table));
                 self.reserve_room(DRAIN, cost);
             }
@@ -31,7 +31,7 @@
         unbound.retain(|((proxy, _), _)| self.published.binds_of(*proxy).next().is_none());
         unbound.sort_by(|((a, _), _), ((b, _), _)| {
             let (a, b) = (&self.controller.proxies[a], &self.controller.proxies[b]);
-            b.fresh.cmp(&a.fresh).then(a.joined_at.total_cmp(&b.joined_at))
+            b.without_table.cmp(&a.without_table).then(a.joined_at.total_cmp(&b.joined_at))
         });
         unbound
     }
@@ -59,10 +59,10 @@
         let (published, proxies) = (&self.published, &self.controller.proxies);
         let mut missing_binds = published.missing_binds(desired);
         missing_binds.sort_by_key(|((id, _), of)| {
-            !published.lacks_usable_host_for(*id, *of).unwrap_or(proxies[id].fresh)
+            !published.lacks_usable_host_for(*id, *of).unwrap_or(proxies[id].without_table)
         });
-        for ((proxy, table), products) in missing_binds {
-            let lacks_usable_host = self.published.lacks_usable_host_for(proxy, products);
+        for ((proxy, table), classes) in missing_binds {
+            let lacks_usable_host = self.published.lacks_usable_host_for(proxy, classes);
             let limits =
                 if base_limits == DRAIN || lacks_usable_host == Some(false) { base_limits } else { URGENT };
             // No proxy is moved to a table before a host in it is usable.
@@ -70,7 +70,7 @@
                 || base_limits == DRAIN
                 || !self.published.lacks_usable_host(&table);
             let bound = if serves {
-                self.bind_proxy(limits, proxy, table, products)
+                self.bind_proxy(limits, proxy, table, classes)
             } else {
                 Err(Refusal::NoUsableHost)
             };
@@ -121,12 +121,12 @@
         let count = desired.binds.len();
         let first = stall_detector.next_bind.checked_rem(count)?;
         (first..first + count).map(|index| index % count).find_map(|index| {
-            let ((proxy, table), products) = desired.binds[index];
+            let ((proxy, table), classes) = desired.binds[index];
             let lines = self.cost(&[proxy], self.bind_cost(&table));
-            let stays = self.published.tables_used_for(proxy, products) == [table];
+            let stays = self.published.tables_used_for(proxy, classes) == [table];
             let serves = stays || !self.published.lacks_usable_host(&table);
             let fits = lines <= room && serves && !self.nonconforming.contains(&table);
-            let bound = fits && self.bind_proxy(PROBE, proxy, table, products).is_ok();
+            let bound = fits && self.bind_proxy(PROBE, proxy, table, classes).is_ok();
             bound.then_some((index, lines))
         })
     }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Three consecutive failures close a gate and two consecutive passes open it, as in the guide's
-/// examples.
+/// Three consecutive failures close a gate and two consecutive passes open it, as in the examples of
+/// the routing guide that the design follows (docs/design.md).
 const FAILURES_TO_GATE: u32 = 3;
 const PASSES_TO_RESTORE: u32 = 2;
 /// The shortest interval between regular probes of a host.
@@ -92,13 +92,15 @@
             .max(self.report_settings.every);
         let (window, long_window, latency_target) =
             (self.report_cover + BUCKET_MS, self.report_cover + 2_000.0, self.mean_latency_target);
-        let on = || self.hosts.values().filter(|host| host.standing == Standing::On);
-        let tried = on().map(|host| host.traffic(now, window)).filter(|traffic| traffic.tries >= 3.0);
+        let listed_hosts = || self.hosts.values().filter(|host| host.standing == Standing::On);
+        let with_traffic =
+            listed_hosts().map(|host| host.traffic(now, window)).filter(|traffic| traffic.tries >= 3.0);
         self.median_failed_fraction =
-            1.0 - median(tried.map(|traffic| 1.0 - traffic.failed_fraction()).collect());
-        let means =
-            on().map(|host| host.traffic(now, long_window)).filter(|traffic| traffic.succeeded() >= 6.0);
-        let median_latency = median(means.map(|traffic| traffic.mean_latency()).collect());
+            1.0 - median(with_traffic.map(|traffic| 1.0 - traffic.failed_fraction()).collect());
+        let with_successes = listed_hosts()
+            .map(|host| host.traffic(now, long_window))
+            .filter(|traffic| traffic.succeeded() >= 6.0);
+        let median_latency = median(with_successes.map(|traffic| traffic.mean_latency()).collect());
         // Failures at all hosts while answers are quick: few connections are accepted, so existing ones are
         // worth most.
         let few_connections = self.median_failed_fraction > 0.2
@@ -110,14 +112,14 @@
         // The remaining hosts must carry the load of the gated ones: at most a third of the fleet may be
         // gated, not counting hosts that left the list.
         self.gateable_weight =
-            on().map(|host| host.weight * if host.gate.closed { -0.66 } else { 0.34 }).sum();
+            listed_hosts().map(|host| host.weight * if host.gate.closed { -0.66 } else { 0.34 }).sum();
         // At most one probe per four txns, but one per second for each host with a sign of trouble.
         let stated_rate = self.proxies.values().map(|proxy| proxy.demand.stated_rate).sum::<f64>().max(1.0);
-        let regular_period =
-            (4_000.0 * on().count() as f64 / stated_rate).clamp(PROBE_PERIOD_MS, 8.0 * PROBE_PERIOD_MS);
+        let regular_period = (4_000.0 * listed_hosts().count() as f64 / stated_rate)
+            .clamp(PROBE_PERIOD_MS, 8.0 * PROBE_PERIOD_MS);
         let valid_load =
-            |host: &Host| host.observed_load.filter(|at| now < at.1 + LOAD_VALID_MS).map(|at| at.0);
-        let median_load = median(on().filter_map(valid_load).collect());
+            |host: &Host| host.observed_load.filter(|load| now < load.1 + LOAD_VALID_MS).map(|load| load.0);
+        let median_load = median(listed_hosts().filter_map(valid_load).collect());
         self.update_kind_factors(now);
         for (id, host) in self.hosts.iter_mut().filter(|(_, host)| host.standing == Standing::On) {
             let kind_factor = self
--- a/crates/policy/src/hear.rs
+++ b/crates/policy/src/hear.rs
@@ -25,8 +25,8 @@
             Event::Met { host, zone, tries, voided, mean, over, .. } => {
                 let covered_from = if *over > 1.5 * self.report_settings.every { now - over } else { now };
                 let (withdrawn, warmup) = (self.published.withdrawn.contains(host), &self.warmup);
-                let counts = |h: &&mut Host| {
-                    h.capacity(now, warmup) >= 1.0 || !withdrawn && covered_from > h.restored_at
+                let counts = |host: &&mut Host| {
+                    host.capacity(now, warmup) >= 1.0 || !withdrawn && covered_from > host.restored_at
                 };
                 if let Some(host) = self.hosts.get_mut(host).filter(counts) {
                     host.reports
@@ -91,7 +91,7 @@
     fn update_hosts(&mut self, now: f64, update: ListNews, entries: &[Listed]) {
         (self.list_failures, self.plan_soon) = (0, true);
         // Before the first host no order was sent that could still hold one back.
-        let first = self.hosts.is_empty();
+        let first_list = self.hosts.is_empty();
         // Places are allocated in the order of weight, the lowest free one first, so that tables of one size
         // get similar total weights.
         let listed = self.hosts.values().filter(|host| host.standing != Standing::Gone);
@@ -105,12 +105,12 @@
             let weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
             // A host that is new here may have been forgotten while it was withdrawn: it is restored like a
             // withdrawn one.
-            let new = update != ListNews::Restored && !first && !self.hosts.contains_key(&entry.host);
-            self.published.withdrawn.extend(new.then_some(entry.host));
-            let free = taken.lowest_free(zone);
+            let is_new = update != ListNews::Restored && !first_list && !self.hosts.contains_key(&entry.host);
+            self.published.withdrawn.extend(is_new.then_some(entry.host));
+            let free_place = taken.lowest_free(zone);
             #[rustfmt::skip]
             let host = self.hosts.entry(entry.host).or_insert_with(|| Host {
-                zone, place: free, weight, standing, kind, cold_since: None, gate: Gate::default(),
+                zone, place: free_place, weight, standing, kind, cold_since: None, gate: Gate::default(),
                 latency_factor: self.kind_factors.get(&kind).map_or(1.0, |factor| factor.0),
                 latency_factor_at: f64::MIN, reported_factor: 1.0, reports: BTreeMap::new(),
                 has_new_report: false, utilization: None, observed_load: None, probed_at: f64::MIN,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,6 +1,6 @@
 //! amberarch's decisions. Create one [`Steward`] from the bootstrap settings, pass all events of one moment
 //! to `decide`, and carry out the returned orders in their order. docs/design.md describes the design and
-//! where it departs from the source paper.
+//! where it departs from its source.
 
 use amberarch_books::*;
 use amberarch_core::*;
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -126,14 +126,16 @@
     /// equal and reports are rare: the hosts of one type together show in one report period what a single
     /// host shows in three. Each host raises its factor again on its own.
     pub(crate) fn update_kind_factors(&mut self, now: f64) {
-        let on = || self.hosts.values().filter(|host| host.standing == Standing::On && !host.gate.closed);
-        let weights_differ = on().zip(on().skip(1)).any(|(host, other)| host.weight != other.weight);
+        let open_hosts =
+            || self.hosts.values().filter(|host| host.standing == Standing::On && !host.gate.closed);
+        let weights_differ =
+            open_hosts().zip(open_hosts().skip(1)).any(|(host, other)| host.weight != other.weight);
         let (mut traffic_by_kind, reports_rare) =
             (BTreeMap::<KindId, TryStats>::new(), self.report_cover > 1.5 * self.report_settings.every);
         let included = |host: &&Host| {
             reports_rare && !weights_differ && !self.overloaded && host.capacity(now, &self.warmup) >= 1.0
         };
-        for host in on().filter(included) {
+        for host in open_hosts().filter(included) {
             *traffic_by_kind.entry(host.kind).or_default() +=
                 host.traffic(now, self.report_cover + BUCKET_MS);
         }
@@ -143,11 +145,11 @@
             traffic.mean_latency() > f64::max(1.6 * quickest, 0.2 * self.mean_latency_target)
         });
         for (kind, traffic) in traffic_by_kind {
-            let (latency_factor, at) = self.kind_factors.entry(kind).or_insert((1.0, f64::MIN));
-            let to =
+            let (latency_factor, changed_at) = self.kind_factors.entry(kind).or_insert((1.0, f64::MIN));
+            let target =
                 f64::max(0.5, *latency_factor * (1.2 * quickest / traffic.mean_latency()).clamp(0.5, 0.75));
-            let due = to < *latency_factor && now >= *at + self.report_cover + 2_000.0;
-            (*latency_factor, *at) = if due { (to, now) } else { (*latency_factor, *at) };
+            let due = target < *latency_factor && now >= *changed_at + self.report_cover + 2_000.0;
+            (*latency_factor, *changed_at) = if due { (target, now) } else { (*latency_factor, *changed_at) };
         }
     }
 }
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -37,9 +37,9 @@
     }
 
     fn fleet_view(&self, now: f64) -> FleetView {
-        let on = self.hosts.iter().filter(|(_, host)| host.standing == Standing::On);
+        let listed = self.hosts.iter().filter(|(_, host)| host.standing == Standing::On);
         let available =
-            on.filter_map(|(id, host)| Some((*id, host.weight_fraction(now, &self.warmup)?))).collect();
+            listed.filter_map(|(id, host)| Some((*id, host.weight_fraction(now, &self.warmup)?))).collect();
         let window = f64::max(5_000.0, self.report_cover + BUCKET_MS);
         let class_demands =
             ClassDemand::by_zone(&self.classes, self.reach_rules.zones(), &self.proxies, now, window);
@@ -123,16 +123,17 @@
     /// Gated hosts keep their entries while withdrawn, so that restoring one costs a single order.
     fn table_entries(&self, view: &FleetView) -> EntriesByReach {
         let mut entries: EntriesByReach =
-            self.reach_rules.reaches().into_iter().map(|of| (of, vec![])).collect();
+            self.reach_rules.reaches().into_iter().map(|key| (key, vec![])).collect();
         for (id, host, fraction) in self.available(view) {
             let (place, open) = (host.place, !view.withdrawn.contains(&id));
-            for (of, reach_entries) in &mut entries {
-                let own_zone_fraction = f64::from(host.zone == of.0);
+            for (key, reach_entries) in &mut entries {
+                let own_zone_fraction = f64::from(host.zone == key.0);
                 let zone_fraction =
-                    self.spillover.get(&(of.0, of.1, host.zone)).copied().unwrap_or(own_zone_fraction);
-                let weight =
-                    host.weight * fraction * if of.1.contains(of.0, host.zone) { zone_fraction } else { 0.0 };
-                let listed = !open || !host.gate.closed || view.all_gated || view.short_reaches.contains(of);
+                    self.spillover.get(&(key.0, key.1, host.zone)).copied().unwrap_or(own_zone_fraction);
+                let weight = host.weight
+                    * fraction
+                    * if key.1.contains(key.0, host.zone) { zone_fraction } else { 0.0 };
+                let listed = !open || !host.gate.closed || view.all_gated || view.short_reaches.contains(key);
                 reach_entries.extend((weight > 0.0 && listed).then_some(TableEntry {
                     host: id,
                     place,
--- a/crates/policy/src/seats.rs
+++ b/crates/policy/src/seats.rs
@@ -36,11 +36,12 @@
         let total_spare = others.iter().map(|other| spare[*other]).sum::<f64>().max(1e-9);
         for other in others {
             let flow = spilled * spare[other] / total_spare;
-            let each = flow * weight / (1.0 - spilled) / weights[other].max(1e-9);
-            let exact = if weight > 0.0 { each } else { 1.0 };
+            let fraction_each = flow * weight / (1.0 - spilled) / weights[other].max(1e-9);
+            let exact_fraction = if weight > 0.0 { fraction_each } else { 1.0 };
             let fraction = fractions.entry((home, tree, ZoneId(other as u16))).or_insert(0.0);
-            let moves = (exact - *fraction).abs() > 0.8 * step;
-            *fraction = if moves { f64::min(1.0, (exact / step).round() * step) } else { *fraction };
+            let changes = (exact_fraction - *fraction).abs() > 0.8 * step;
+            *fraction =
+                if changes { f64::min(1.0, (exact_fraction / step).round() * step) } else { *fraction };
         }
     }
 }
@@ -56,12 +57,14 @@
     gain: f64,
 ) {
     let (group_count, mut loads) = (open_weight.len() as u32, TableLoads::new(open_weight));
-    let all = class_demands.iter().map(|demand| demand.total).sum::<f64>().max(1e-9);
-    let here = proxies.iter_mut().filter(|(_, proxy)| proxy.demand.zone == zone).enumerate();
-    let demand_fraction =
-        |at: usize| class_demands.iter().map(|demand| demand.rates[at]).sum::<f64>().max(1e-3 * all) / all;
-    let mut assignments: Vec<(f64, &mut Node)> =
-        here.map(|(at, (_, proxy))| (demand_fraction(at), proxy.nodes.entry(tree).or_insert(0))).collect();
+    let total = class_demands.iter().map(|demand| demand.total).sum::<f64>().max(1e-9);
+    let in_zone = proxies.iter_mut().filter(|(_, proxy)| proxy.demand.zone == zone).enumerate();
+    let demand_fraction = |index: usize| {
+        class_demands.iter().map(|demand| demand.rates[index]).sum::<f64>().max(1e-3 * total) / total
+    };
+    let mut assignments: Vec<(f64, &mut Node)> = in_zone
+        .map(|(index, (_, proxy))| (demand_fraction(index), proxy.nodes.entry(tree).or_insert(0)))
+        .collect();
     assignments.sort_by(|a, b| b.0.total_cmp(&a.0));
     assignments
         .iter()
@@ -75,11 +78,11 @@
         let fitting = sizes.find(|size| fraction * f64::from(*size) <= 0.5).unwrap_or(1);
         let size = if fits { tables_at_level(*node) } else { fitting };
         let load = |node: &Node| loads.load_with(*node, fraction);
-        let to = (size..2 * size).min_by(|a, b| load(a).total_cmp(&load(b))).unwrap_or(1);
-        if !fits || loads.load_with(*node, 0.0) > load(&to) + gain {
+        let target = (size..2 * size).min_by(|a, b| load(a).total_cmp(&load(b))).unwrap_or(1);
+        if !fits || loads.load_with(*node, 0.0) > load(&target) + gain {
             loads.assign(*node, if *node > 0 { -fraction } else { 0.0 });
-            *node = to;
-            loads.assign(to, fraction);
+            *node = target;
+            loads.assign(target, fraction);
         }
     }
 }
