--- a/crates/service-levels/benches/plans.rs
+++ b/crates/service-levels/benches/plans.rs
@@ -1,4 +1,5 @@
-//! The plan by linear program beside the greedy rule, and one look at levels with many proxies.
+//! Benchmarks: the linear program beside the greedy rule, and one evaluation of the levels with many
+//! proxies.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -7,18 +8,19 @@
 use amberarch_service_levels::*;
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 
-/// Three zones of which one is overrun and one has room; a product in four may not leave its zone.
+/// Three zones, of which one is overloaded and one has spare capacity. One class in four may not leave its
+/// zone.
 fn demands(products: u16) -> (Demands, Capacities) {
     let (mut demands, mut capacities) = (Demands::new(), Capacities::new());
     for zone in (0..3).map(ZoneId) {
         let mut work = 0.0;
         for product in 0..products {
-            // Spread without chance, so that each run plans the same.
+            // Deterministic spread, so that each run computes the same plan.
             let spread = f64::from((u32::from(product) * 37 + u32::from(zone.0) * 11) % 97) / 97.0;
             let demand = Demand {
                 rate: 5.0 + 40.0 * spread,
                 work: 100.0 + 500.0 * (1.0 - spread),
-                revenue: 0.2 + 3.0 * f64::from(product % 7) / 7.0,
+                value: 0.2 + 3.0 * f64::from(product % 7) / 7.0,
                 least: 0.0,
                 most: 1.0,
                 own_zone: product % 4 == 0,
@@ -36,20 +38,23 @@
     group.warm_up_time(Duration::from_millis(300)).measurement_time(Duration::from_secs(2)).sample_size(10);
     for products in [3, 30, 300] {
         let (demands, capacities) = demands(products);
-        let worth = |shares: &Shares| earned(&demands, shares, &capacities);
-        let (lp, plain) = (worth(&best(&demands, &capacities)), worth(&greedy(&demands, &capacities)));
-        println!("plans/{products}: a second the program earns {lp:.1}, the greedy rule {plain:.1}");
+        let value = |shares: &Shares| total_value(&demands, shares, &capacities);
+        let (lp, plain) =
+            (value(&optimal_shares(&demands, &capacities)), value(&greedy_shares(&demands, &capacities)));
+        println!(
+            "plans/{products}: value per second {lp:.1} by the linear program, {plain:.1} by the greedy rule"
+        );
         group.bench_function(BenchmarkId::new("program", products), |b| {
-            b.iter(|| black_box(best(&demands, &capacities)));
+            b.iter(|| black_box(optimal_shares(&demands, &capacities)));
         });
         group.bench_function(BenchmarkId::new("greedy", products), |b| {
-            b.iter(|| black_box(greedy(&demands, &capacities)));
+            b.iter(|| black_box(greedy_shares(&demands, &capacities)));
         });
     }
     group.finish();
 }
 
-fn looks(c: &mut Criterion) {
+fn evaluations(c: &mut Criterion) {
     let mut group = c.benchmark_group("looks");
     group.warm_up_time(Duration::from_millis(300)).measurement_time(Duration::from_secs(2)).sample_size(10);
     let product = |effect, revenue| Product {
@@ -68,9 +73,9 @@
     let products: Vec<(String, Product)> = names
         .iter()
         .map(|name| name.to_string())
-        .zip(kinds.map(|(effect, worth)| product(effect, worth)))
+        .zip(kinds.map(|(effect, value)| product(effect, value)))
         .collect();
-    let quiet = vec![Condition { signal: Signal::Pressure, value: 0.6, lasting: 6_000.0 }];
+    let leave = vec![Condition { signal: Signal::Pressure, value: 0.6, lasting: 6_000.0 }];
     let level = |name: &str, least: &[(u16, f64)], over: Option<f64>| Level {
         name: name.into(),
         keep: least.iter().map(|(id, least)| (ProductId(*id), Keep { least: *least, most: 1.0 })).collect(),
@@ -79,17 +84,17 @@
             .map(|value| Condition { signal: Signal::Pressure, value, lasting: 0.0 })
             .into_iter()
             .collect(),
-        leave: if over.is_some() { quiet.clone() } else { vec![] },
+        leave: if over.is_some() { leave.clone() } else { vec![] },
         stay: 20_000.0,
         emergency: false,
         force: false,
     };
     let levels = vec![level("full", &[], None), level("no-extras", &[(0, 0.0)], Some(0.8))];
     for proxies in [1_000u16, 10_000] {
-        let ladder = Ladder::new(levels.clone(), &products).expect("a ladder that can serve");
+        let ladder = Ladder::new(levels.clone(), &products).expect("a valid ladder");
         let sums = Sums { every: 2_000.0, lines_per_s: 1e6 };
-        let facts = products.iter().map(|(_, product)| product.clone()).collect();
-        let mut levels = ServiceLevels::new(ladder, 3, facts, &sums, true);
+        let classes = products.iter().map(|(_, product)| product.clone()).collect();
+        let mut levels = ServiceLevels::new(ladder, 3, classes, &sums, true);
         let mut now = 0.0;
         for proxy in 0..proxies {
             let zone = ZoneId(proxy % 3);
@@ -98,7 +103,7 @@
         group.bench_function(BenchmarkId::new("proxies", proxies), |b| {
             b.iter(|| {
                 now += 400.0;
-                // A fifth of the proxies tells in each look, as they do over a period.
+                // A fifth of the proxies reports in each evaluation, as they do over a report period.
                 let part = (now / 400.0) as u16 % 5;
                 for proxy in (0..proxies).filter(|proxy| proxy % 5 == part).map(ProxyId) {
                     for product in (0..3).map(ProductId) {
@@ -112,5 +117,5 @@
     group.finish();
 }
 
-criterion_group!(benches, plans, looks);
+criterion_group!(benches, plans, evaluations);
 criterion_main!(benches);
--- a/crates/service-levels/src/ladder.rs
+++ b/crates/service-levels/src/ladder.rs
@@ -1,27 +1,29 @@
-//! The levels that an operator names, from full service down, and what makes a ladder that can't serve.
+//! The ladder of service levels that an operator configures, from full service down, and its validation.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use amberarch_core::{Effect, Product, ProductId, Tries};
 
-/// What is seen of a zone, each figure from 0 (nothing wrong).
+/// A measured property of a zone; 0 means that nothing is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Signal {
-    /// Mean good answer over its SLA time, plus the voided part of tries where answers are slow or none is good.
+    /// Mean latency of successful answers divided by their latency target. The failed fraction of tries is
+    /// added where answers are slow or none succeeds.
     Pressure,
-    /// The voided part of tries.
+    /// Fraction of tries that failed.
     Voided,
-    /// The part of tries at hosts whose mean good answer is over its SLA time.
+    /// Fraction of tries sent to hosts whose mean latency exceeds the latency target.
     Late,
-    /// The part of the listed weight that is shut out or gone.
+    /// Fraction of the listed weight that is withdrawn or gone.
     Out,
-    /// The part of what should tell of the zone that has fallen silent.
+    /// Fraction of the expected reports about the zone that are missing.
     Unseen,
-    /// Median believed load of its hosts; only where loads are told.
+    /// Median estimated load of the zone's hosts; present only where hosts report loads.
     Load,
 }
 
+/// The names of the signals in settings and logs.
 pub const SIGNALS: [(Signal, &str); 6] = [
     (Signal::Pressure, "pressure"),
     (Signal::Voided, "voided"),
@@ -38,7 +40,7 @@
     }
 }
 
-/// A signal over (to enter) or under (to leave) a value, for so long, in ms.
+/// A signal that is above (to enter) or below (to leave) `value` for `lasting` milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Condition {
     pub signal: Signal,
@@ -46,153 +48,167 @@
     pub lasting: f64,
 }
 
-/// How much of a product a level may shed, and must.
+/// Bounds on the share of a request class that a level admits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Keep {
-    /// At least this share is let in.
+    /// At least this share is admitted.
     pub least: f64,
-    /// At most this share is let in, whatever room there is.
+    /// At most this share is admitted, even if there is capacity for more.
     pub most: f64,
 }
 
 impl Keep {
-    pub const WHOLE: Keep = Keep { least: 1.0, most: 1.0 };
+    pub const ALL: Keep = Keep { least: 1.0, most: 1.0 };
 }
 
+/// A named level of reduced service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Level {
     pub name: String,
-    /// Products that are not named are kept whole.
+    /// Request classes that are not named are admitted in full.
     pub keep: BTreeMap<ProductId, Keep>,
     pub tries: Tries,
-    /// Entered when any of these holds in a zone that matters.
+    /// The level is entered when any of these holds in a zone with a significant part of the traffic.
     pub enter: Vec<Condition>,
-    /// Left when all of these hold in all zones.
+    /// The level is left when all of these hold in all zones.
     pub leave: Vec<Condition>,
-    /// It lasts at least so long, in ms.
+    /// Minimum time in this level, in ms.
     pub stay: f64,
-    /// Its entry may come before 30 s have passed since the last change.
+    /// The level may be entered before 30 s have passed since the last change.
     pub emergency: bool,
-    /// It may shed a once-only product before a less worthy one.
+    /// The level may shed a non-idempotent class before an idempotent class of lower value density.
     pub force: bool,
 }
 
 impl Level {
-    pub fn keep(&self, product: ProductId) -> Keep {
-        self.keep.get(&product).copied().unwrap_or(Keep::WHOLE)
+    pub fn keep(&self, class: ProductId) -> Keep {
+        self.keep.get(&class).copied().unwrap_or(Keep::ALL)
     }
 }
 
-/// What is wrong with a ladder, and at which level, counted from full service.
+/// Why a ladder is invalid. The first field is the index of the level, counted from full service.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Unfit {
+pub enum LadderError {
     #[error("a ladder has full service and at least one level below it")]
     TooShort,
-    #[error("the first level is full service: nothing is shed in it and nothing enters it")]
-    NotFull,
+    #[error("the first level must be full service: it sheds nothing and has no conditions")]
+    FirstLevelNotFull,
     #[error("two levels are named {1}")]
-    Twice(usize, String),
+    DuplicateName(usize, String),
     #[error("level {1} keeps {2} to {3} of a product; expected 0 to 1, the lesser first")]
-    Shares(usize, String, f64, f64),
+    InvalidShares(usize, String, f64, f64),
     #[error("level {1} can't be entered: it has no condition to enter")]
-    NoWayIn(usize, String),
+    NoEnterCondition(usize, String),
     #[error("level {1} can't be left: it has no condition to leave")]
-    NoWayOut(usize, String),
+    NoLeaveCondition(usize, String),
     #[error("level {1} is left at {2} = {4} and entered at {3}: it would be left while it is entered")]
-    Overlap(usize, String, Signal, f64, f64),
-    #[error("level {1} is entered by {2} and not left by it: what enters must be seen to end")]
-    NotSeenToEnd(usize, String, Signal),
-    #[error("level {1} is never in force: {2} is entered by the same or less")]
+    OverlappingThresholds(usize, String, Signal, f64, f64),
+    #[error("level {1} has {2} as a condition to enter but not as one to leave: each signal that enters a level must also end it")]
+    MissingLeaveSignal(usize, String, Signal),
+    #[error("level {1} is unreachable: {2} is entered under the same or weaker conditions")]
     Unreachable(usize, String, String),
-    #[error("level {1} keeps more of a product than {2} above it")]
-    NotDeeper(usize, String, String),
+    #[error("level {1} keeps more of a request class than {2} above it")]
+    KeepsMoreThanPrevious(usize, String, String),
     #[error(
         "level {1} sheds the once-only product {2} before the inquiry-like product {3}, which earns less for its \
          work; force = true if that is meant"
     )]
-    OnceOnlyFirst(usize, String, String, String),
+    NonIdempotentShedFirst(usize, String, String, String),
 }
 
-impl Unfit {
-    /// The level that is wrong.
+impl LadderError {
+    /// Index of the invalid level.
     pub fn level(&self) -> usize {
         match self {
-            Unfit::TooShort | Unfit::NotFull => 0,
-            Unfit::Twice(at, ..)
-            | Unfit::Shares(at, ..)
-            | Unfit::NoWayIn(at, ..)
-            | Unfit::NoWayOut(at, ..)
-            | Unfit::Overlap(at, ..)
-            | Unfit::NotSeenToEnd(at, ..)
-            | Unfit::Unreachable(at, ..)
-            | Unfit::NotDeeper(at, ..)
-            | Unfit::OnceOnlyFirst(at, ..) => *at,
+            LadderError::TooShort | LadderError::FirstLevelNotFull => 0,
+            LadderError::DuplicateName(index, ..)
+            | LadderError::InvalidShares(index, ..)
+            | LadderError::NoEnterCondition(index, ..)
+            | LadderError::NoLeaveCondition(index, ..)
+            | LadderError::OverlappingThresholds(index, ..)
+            | LadderError::MissingLeaveSignal(index, ..)
+            | LadderError::Unreachable(index, ..)
+            | LadderError::KeepsMoreThanPrevious(index, ..)
+            | LadderError::NonIdempotentShedFirst(index, ..) => *index,
         }
     }
 }
 
-/// Levels that can serve, from full service down.
+/// A validated list of levels, from full service down.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ladder(Vec<Level>);
 
-/// What a product earns for its work; the SLA time stands in for the work of one.
-pub fn worth(product: &Product) -> f64 {
-    product.revenue / product.sla.max(1e-9)
+/// Value per unit of work of a request class; the latency target stands in for the work of one request.
+pub fn value_density(class: &Product) -> f64 {
+    class.revenue / class.sla.max(1e-9)
 }
 
 impl Ladder {
     /// # Errors
-    /// The first thing that would leave the ladder with a gap, an overlap, a level that is never in force, or a
-    /// once-only product that goes before a less worthy one.
-    pub fn new(levels: Vec<Level>, products: &[(String, Product)]) -> Result<Ladder, Unfit> {
-        let Some(full) = levels.first().filter(|_| levels.len() > 1) else { return Err(Unfit::TooShort) };
+    /// The first fault found: a ladder with a missing or overlapping condition, an unreachable level, or a
+    /// non-idempotent class that is shed before one of lower value density.
+    pub fn new(levels: Vec<Level>, classes: &[(String, Product)]) -> Result<Ladder, LadderError> {
+        let Some(full) = levels.first().filter(|_| levels.len() > 1) else {
+            return Err(LadderError::TooShort);
+        };
         if !full.keep.is_empty() || !full.enter.is_empty() || !full.leave.is_empty() {
-            return Err(Unfit::NotFull);
+            return Err(LadderError::FirstLevelNotFull);
         }
-        for (at, level) in levels.iter().enumerate().skip(1) {
-            let above = &levels[at - 1];
+        for (index, level) in levels.iter().enumerate().skip(1) {
+            let above = &levels[index - 1];
             let name = || level.name.clone();
-            if levels[..at].iter().any(|other| other.name == level.name) {
-                return Err(Unfit::Twice(at, name()));
+            if levels[..index].iter().any(|other| other.name == level.name) {
+                return Err(LadderError::DuplicateName(index, name()));
             }
             for Keep { least, most } in level.keep.values().copied() {
-                // Written so that what is not a number fails too.
+                // The comparison is negated so that NaN is rejected too.
                 if !(0.0 <= least && least <= most && most <= 1.0) {
-                    return Err(Unfit::Shares(at, name(), least, most));
+                    return Err(LadderError::InvalidShares(index, name(), least, most));
                 }
             }
             if level.enter.is_empty() {
-                return Err(Unfit::NoWayIn(at, name()));
+                return Err(LadderError::NoEnterCondition(index, name()));
             }
             if level.leave.is_empty() {
-                return Err(Unfit::NoWayOut(at, name()));
+                return Err(LadderError::NoLeaveCondition(index, name()));
             }
             for enter in &level.enter {
-                let out = level.leave.iter().find(|leave| leave.signal == enter.signal);
-                let Some(out) = out else { return Err(Unfit::NotSeenToEnd(at, name(), enter.signal)) };
-                // What is not a number fails too.
-                if out.value.partial_cmp(&enter.value) != Some(std::cmp::Ordering::Less) {
-                    return Err(Unfit::Overlap(at, name(), enter.signal, enter.value, out.value));
+                let leave = level.leave.iter().find(|leave| leave.signal == enter.signal);
+                let Some(leave) = leave else {
+                    return Err(LadderError::MissingLeaveSignal(index, name(), enter.signal));
+                };
+                // `partial_cmp` returns `None` for NaN, which is rejected too.
+                if leave.value.partial_cmp(&enter.value) != Some(std::cmp::Ordering::Less) {
+                    return Err(LadderError::OverlappingThresholds(
+                        index,
+                        name(),
+                        enter.signal,
+                        enter.value,
+                        leave.value,
+                    ));
                 }
             }
-            // A deeper one that is entered by no more than every way into this one is always taken instead.
-            let hidden = levels[at + 1..].iter().find(|deeper| {
-                let easier = |way: &Condition| {
+            // If a deeper level is entered by conditions at most as strict as each of this level's, it is
+            // always chosen instead.
+            let unreachable_by = levels[index + 1..].iter().find(|deeper| {
+                let weaker = |condition: &Condition| {
                     deeper.enter.iter().any(|other| {
-                        other.signal == way.signal && other.value <= way.value && other.lasting <= way.lasting
+                        other.signal == condition.signal
+                            && other.value <= condition.value
+                            && other.lasting <= condition.lasting
                     })
                 };
-                level.enter.iter().all(easier)
+                level.enter.iter().all(weaker)
             });
-            if let Some(deeper) = hidden {
-                return Err(Unfit::Unreachable(at, name(), deeper.name.clone()));
+            if let Some(deeper) = unreachable_by {
+                return Err(LadderError::Unreachable(index, name(), deeper.name.clone()));
             }
-            let ids = (0..products.len() as u16).map(ProductId);
+            let ids = (0..classes.len() as u16).map(ProductId);
             if ids.clone().any(|id| level.keep(id).least > above.keep(id).least) {
-                return Err(Unfit::NotDeeper(at, name(), above.name.clone()));
+                return Err(LadderError::KeepsMoreThanPrevious(index, name(), above.name.clone()));
             }
-            if let Some((first, less)) = level.wrong_way_round(products).filter(|_| !level.force) {
-                return Err(Unfit::OnceOnlyFirst(at, name(), first, less));
+            if let Some((first, less)) = level.misordered_classes(classes).filter(|_| !level.force) {
+                return Err(LadderError::NonIdempotentShedFirst(index, name(), first, less));
             }
         }
         Ok(Ladder(levels))
@@ -212,19 +228,18 @@
 }
 
 impl Level {
-    /// A once-only product that may be shed further than an inquiry-like one of less worth.
-    fn wrong_way_round(&self, products: &[(String, Product)]) -> Option<(String, String)> {
-        let each = || (0..).map(ProductId).zip(products);
-        each().filter(|(_, (_, product))| product.effect == Effect::OnceOnly).find_map(
-            |(id, (name, once))| {
-                let less = each().find(|(other, (_, product))| {
-                    product.effect == Effect::InquiryLike
-                        && worth(product) < worth(once)
-                        && (self.keep(*other).least > self.keep(id).least
-                            || self.keep(*other).most > self.keep(id).most)
-                });
-                less.map(|(_, (less, _))| (name.clone(), less.clone()))
-            },
-        )
+    /// Finds a non-idempotent class that may be shed further than an idempotent class of lower value
+    /// density.
+    fn misordered_classes(&self, classes: &[(String, Product)]) -> Option<(String, String)> {
+        let each = || (0..).map(ProductId).zip(classes);
+        each().filter(|(_, (_, class))| class.effect == Effect::OnceOnly).find_map(|(id, (name, once))| {
+            let less = each().find(|(other, (_, class))| {
+                class.effect == Effect::InquiryLike
+                    && value_density(class) < value_density(once)
+                    && (self.keep(*other).least > self.keep(id).least
+                        || self.keep(*other).most > self.keep(id).most)
+            });
+            less.map(|(_, (less, _))| (name.clone(), less.clone()))
+        })
     }
 }
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -1,9 +1,3 @@
-//! Named levels of reduced service. What the decisions hear and order goes in; which level is in force, with what
-//! shares of each product in each zone, comes out, as events for the decisions. No I/O and no clock: `now` is ms.
-//!
-//! What it never does: stand on two levels, change more than once in 30 s but for one emergency, lift a level
-//! because nothing is seen, or cut a product further than the operator's level allows.
-
 mod ladder;
 mod machine;
 mod plan;
@@ -15,144 +9,152 @@
 
 use amberarch_core::*;
 
-pub use ladder::{worth, Condition, Keep, Ladder, Level, Signal, Unfit, SIGNALS};
-pub use machine::{Change, Machine, Why, BETWEEN};
-pub use plan::{best, earned, greedy, Capacities, Demand, Demands, Shares};
-pub use signals::{Seen, Signals};
+pub use ladder::{value_density, Condition, Keep, Ladder, LadderError, Level, Signal, SIGNALS};
+pub use machine::{Change, ChangeReason, LevelMachine, MIN_CHANGE_INTERVAL};
+pub use plan::{greedy_shares, optimal_shares, total_value, Capacities, Demand, Demands, Shares};
+pub use signals::{Signals, ZoneStats};
 
-/// Levels are looked at once in so long: a small part of the periods of sums, so that it adds little to them.
-const LOOK: f64 = 400.0;
-/// Shares that differ by less write no orders.
-const SHIFT: f64 = 0.04;
-/// After a start with proxies that hold what an earlier steward told them: so many rounds show what that is.
-const ROUNDS_TO_FIND: u64 = 2;
-/// Nobody who holds anything joins later than this after a start; before it, nothing is ordered.
-const JOINING: f64 = 1_500.0;
-/// Within this of all, nothing is shed.
-const WHOLE: f64 = 0.93;
-/// Work planned up to this part of what a zone has shown that it can do.
-const FILLED: f64 = 0.85;
-/// From this pressure on, what gets done is all that can be; under the lower one there may be room for more. Where
-/// the level in force says at which pressure it is left, that is the lower one: a plan that stopped short of it
-/// would hold the level for good.
-const FULL: f64 = 0.65;
-const EASY: f64 = 0.45;
-/// What is taken for possible falls to what gets done, by a quarter in a round at most; it grows by what the
-/// pressure is under the lower one, so that what was learnt while hosts died is soon unlearnt.
-const FALL: f64 = 0.75;
-/// From this part of the plan on it counts as used.
-const USED: f64 = 0.85;
+/// Milliseconds between two evaluations of the levels. Small beside the report period, so that it adds
+/// little delay to the reports.
+const EVALUATION_INTERVAL: f64 = 400.0;
+/// Smallest change of a share that produces an order.
+const MIN_SHARE_CHANGE: f64 = 0.04;
+/// After a restart of the controller, proxies may still apply bounds of the previous one. This many report
+/// rounds are enough to see how much they admit.
+const ROUNDS_TO_DETECT: u64 = 2;
+/// Milliseconds after a start within which proxies that hold earlier bounds join; nothing is ordered before
+/// it has passed.
+const JOIN_WINDOW: f64 = 1_500.0;
+/// From this admitted fraction of the arrivals on, a zone counts as shedding nothing.
+const FULL_ADMISSION: f64 = 0.93;
+/// Work is planned up to this fraction of a zone's observed capacity.
+const TARGET_UTILIZATION: f64 = 0.85;
+/// From `SATURATED_PRESSURE` on, the completed work is taken for all that the zone can do; below
+/// `LOW_PRESSURE` the zone may be able to do more. Where the level in force names a pressure at which it is
+/// left, that value replaces `LOW_PRESSURE`: with a lower value the estimate would stop growing although
+/// the condition to leave holds, and the level would stay for good.
+const SATURATED_PRESSURE: f64 = 0.65;
+const LOW_PRESSURE: f64 = 0.45;
+/// The capacity estimate falls to the completed work, but by at most a quarter in a round. It grows by the
+/// difference between the pressure and the lower threshold, so that an estimate learnt while hosts failed
+/// recovers soon.
+const MIN_DECREASE_FACTOR: f64 = 0.75;
+/// From this fraction of the planned work on, the plan counts as used up.
+const PLAN_USED_FRACTION: f64 = 0.85;
 
-/// What a zone's hosts can do for each unit of open weight, as far as it was seen.
+/// Work per second that a zone's hosts can do per unit of available weight, as far as it has been observed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Room {
+struct CapacityEstimate {
     per_weight: Option<f64>,
     round: u64,
 }
 
-/// What is shown to operators.
+/// The state of the levels as shown to operators.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// `None` while a steward that started anew looks for what is in force.
+    /// `None` while a restarted controller detects the level in force.
     pub level: Option<String>,
     pub since: f64,
     pub acts: bool,
     pub pinned: Option<(String, f64)>,
     pub last: Option<Change>,
     pub changes: Vec<Change>,
-    /// What would have to be seen for a level up.
+    /// Conditions that have to hold before the next level up is restored.
     pub lifts: Vec<Condition>,
-    pub zones: BTreeMap<ZoneId, Seen>,
+    pub zones: BTreeMap<ZoneId, ZoneStats>,
     pub shares: BTreeMap<(ZoneId, ProductId), f64>,
 }
 
+/// Evaluates the ladder of levels against the signals of the zones and emits the resulting bounds.
 pub struct ServiceLevels {
     ladder: Ladder,
-    products: Vec<Product>,
-    /// False: all is looked at, told and logged, and nothing is bounded.
+    classes: Vec<Product>,
+    /// If false, levels are evaluated, reported and logged, but no bounds are sent.
     acts: bool,
     signals: Signals,
-    machine: Option<Machine>,
-    rooms: BTreeMap<ZoneId, Room>,
-    seen: BTreeMap<ZoneId, Seen>,
+    machine: Option<LevelMachine>,
+    capacity_estimates: BTreeMap<ZoneId, CapacityEstimate>,
+    zone_stats: BTreeMap<ZoneId, ZoneStats>,
     shares: Shares,
-    /// The level and the rounds that the shares were planned by.
-    planned: Option<(usize, u64)>,
-    told: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
-    awaiting: bool,
-    begun: Option<f64>,
-    /// Some proxy joined with tables that an earlier steward had told it.
-    held: bool,
-    looked: f64,
-    said: Vec<String>,
+    /// Level and sum of the report rounds for which `shares` was computed.
+    planned_for: Option<(usize, u64)>,
+    sent_bounds: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
+    await_sent: bool,
+    started_at: Option<f64>,
+    /// A proxy joined that still holds tables of an earlier controller.
+    prior_state_found: bool,
+    evaluated_at: f64,
+    log_lines: Vec<String>,
 }
 
 impl ServiceLevels {
-    pub fn new(ladder: Ladder, zones: u16, products: Vec<Product>, sums: &Sums, acts: bool) -> ServiceLevels {
+    pub fn new(ladder: Ladder, zones: u16, classes: Vec<Product>, sums: &Sums, acts: bool) -> ServiceLevels {
         ServiceLevels {
             ladder,
-            signals: Signals::new(zones, sums, &products),
-            products,
+            signals: Signals::new(zones, sums, &classes),
+            classes,
             acts,
             machine: None,
-            rooms: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            capacity_estimates: BTreeMap::new(),
+            zone_stats: BTreeMap::new(),
             shares: Shares::new(),
-            planned: None,
-            told: BTreeMap::new(),
-            awaiting: false,
-            begun: None,
-            held: false,
-            looked: f64::NEG_INFINITY,
-            said: Vec::new(),
+            planned_for: None,
+            sent_bounds: BTreeMap::new(),
+            await_sent: false,
+            started_at: None,
+            prior_state_found: false,
+            evaluated_at: f64::NEG_INFINITY,
+            log_lines: Vec::new(),
         }
     }
 
     pub fn hear(&mut self, now: f64, event: &Event) {
-        self.begun.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         if let Event::Joined { fresh: false, .. } = event {
-            // Later ones come from another steward, whose level they bring; this one's is told to them anew.
-            self.held |= self.machine.is_none();
+            // Proxies that join later come from another controller and bring its level; this controller's
+            // bounds are sent to them again.
+            self.prior_state_found |= self.machine.is_none();
         }
-        self.signals.hear(now, event);
+        self.signals.handle_event(now, event);
     }
 
-    pub fn ordered(&mut self, order: &Order) {
-        self.signals.ordered(order);
+    pub fn record_order(&mut self, order: &Order) {
+        self.signals.record_order(order);
     }
 
-    /// What the decisions are to be told now.
+    /// Evaluates the levels if an evaluation is due, and returns the events for the decisions.
     pub fn look(&mut self, now: f64) -> Vec<Event> {
-        if now - self.looked < LOOK {
+        if now - self.evaluated_at < EVALUATION_INTERVAL {
             return vec![];
         }
-        self.looked = now;
-        self.seen = self.signals.read(now);
-        self.learn();
+        self.evaluated_at = now;
+        self.zone_stats = self.signals.evaluate(now);
+        self.update_capacity_estimates();
         if self.machine.is_none() {
-            return self.find(now);
+            return self.detect_level(now);
         }
         let change = self.machine.take().and_then(|mut machine| {
-            let fits = |level: usize| fits(&self.demands(level), &self.capacities());
-            let level = &self.ladder.levels()[machine.at()];
-            let most =
-                |((_, id), share): (&(ZoneId, ProductId), &f64)| *share >= level.keep(*id).most - SHIFT;
-            let spent = self.shares.iter().all(most);
-            let change = machine.step(now, &self.ladder, &self.seen, fits, spent);
+            let fits = |level: usize| fits_capacity(&self.demands(level), &self.capacities());
+            let level = &self.ladder.levels()[machine.level()];
+            let at_max_share = |((_, id), share): (&(ZoneId, ProductId), &f64)| {
+                *share >= level.keep(*id).most - MIN_SHARE_CHANGE
+            };
+            let at_max_shares = self.shares.iter().all(at_max_share);
+            let change = machine.step(now, &self.ladder, &self.zone_stats, fits, at_max_shares);
             self.machine = Some(machine);
             change
         });
         if let Some(change) = &change {
-            self.say(change);
+            self.log_change(change);
         }
-        self.plan();
-        self.emit()
+        self.update_shares();
+        self.emit_bounds()
     }
 
-    /// A level by an operator's word until then; what is in force otherwise is taken up again after it.
+    /// Pins a level until `until` (ms). Afterwards the level follows the conditions again.
     ///
     /// # Errors
-    /// No level has that name, or what is in force is not known yet.
+    /// No level has that name, or the level in force is not known yet.
     pub fn pin(&mut self, now: f64, name: &str, until: f64) -> Result<(), String> {
         let level = self.ladder.find(name).ok_or_else(|| {
             let names: Vec<&str> = self.ladder.levels().iter().map(|level| level.name.as_str()).collect();
@@ -160,44 +162,44 @@
         })?;
         let machine = self.machine.as_mut().ok_or("the level in force is not known yet")?;
         let change = machine.pin(now, level, until);
-        self.said.push(format!("level pinned={name} for_s={:.0}", (until - now) / 1e3));
+        self.log_lines.push(format!("level pinned={name} for_s={:.0}", (until - now) / 1e3));
         if let Some(change) = change {
-            self.say(&change);
+            self.log_change(&change);
         }
-        self.looked = f64::NEG_INFINITY;
+        self.evaluated_at = f64::NEG_INFINITY;
         Ok(())
     }
 
     pub fn unpin(&mut self) {
         if let Some(machine) = self.machine.as_mut().filter(|machine| machine.pinned().is_some()) {
             machine.unpin();
-            self.said.push("level unpinned".into());
+            self.log_lines.push("level unpinned".into());
         }
     }
 
-    /// Lines for the log since the last call: one a change, with its evidence.
-    pub fn said(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.said)
+    /// Log lines since the last call: one per change, with the signals that led to it.
+    pub fn take_log_lines(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.log_lines)
     }
 
-    /// The place of the level in force; none where nothing is bounded by it, or it is not known yet.
+    /// Index of the level in force; `None` while it is not known, or where levels are not acted on.
     pub fn level(&self) -> Option<usize> {
-        self.machine.as_ref().filter(|_| self.acts).map(Machine::at)
+        self.machine.as_ref().filter(|_| self.acts).map(LevelMachine::level)
     }
 
     pub fn status(&self) -> Status {
         let name = |level: usize| self.ladder.levels()[level].name.clone();
         let machine = self.machine.as_ref();
-        let at = machine.map_or(0, Machine::at);
+        let current = machine.map_or(0, LevelMachine::level);
         Status {
-            level: machine.map(|machine| name(machine.at())),
-            since: machine.map_or(self.begun.unwrap_or(0.0), Machine::since),
+            level: machine.map(|machine| name(machine.level())),
+            since: machine.map_or(self.started_at.unwrap_or(0.0), LevelMachine::since),
             acts: self.acts,
-            pinned: machine.and_then(Machine::pinned).map(|(level, until)| (name(level), until)),
+            pinned: machine.and_then(LevelMachine::pinned).map(|(level, until)| (name(level), until)),
             last: machine.and_then(|machine| machine.changes().last().cloned()),
             changes: machine.map_or(vec![], |machine| machine.changes().cloned().collect()),
-            lifts: self.ladder.levels()[at].leave.clone(),
-            zones: self.seen.clone(),
+            lifts: self.ladder.levels()[current].leave.clone(),
+            zones: self.zone_stats.clone(),
             shares: self.shares.clone(),
         }
     }
@@ -206,104 +208,110 @@
         &self.ladder
     }
 
-    fn say(&mut self, Change { from, to, why, .. }: &Change) {
+    fn log_change(&mut self, Change { from, to, why, .. }: &Change) {
         let name = |level: &usize| &self.ladder.levels()[*level].name;
         let shown: Vec<String> = self
-            .seen
+            .zone_stats
             .iter()
-            .filter(|(_, seen)| seen.proxies > 0)
-            .map(|(zone, seen)| {
+            .filter(|(_, stats)| stats.proxies > 0)
+            .map(|(zone, stats)| {
                 let values: Vec<String> =
-                    seen.values.iter().map(|(signal, value)| format!("{signal}:{value:.2}")).collect();
+                    stats.values.iter().map(|(signal, value)| format!("{signal}:{value:.2}")).collect();
                 format!("zone{}={}", zone.0, values.join(","))
             })
             .collect();
         let acts = if self.acts { "" } else { " (not acted on)" };
         let line =
             format!("level from={} to={}{acts} why=\"{why}\" {}", name(from), name(to), shown.join(" "));
-        self.said.push(line);
+        self.log_lines.push(line);
     }
 
-    /// Until it is known what proxies hold, nothing is ordered and nothing lifted.
-    fn find(&mut self, now: f64) -> Vec<Event> {
-        let begun = self.begun.unwrap_or(now);
-        if now - begun < JOINING {
+    /// After a restart: detects the level in force from what the proxies admit. Until it is known, nothing
+    /// is ordered and no level is left.
+    fn detect_level(&mut self, now: f64) -> Vec<Event> {
+        let started_at = self.started_at.unwrap_or(now);
+        if now - started_at < JOIN_WINDOW {
             return vec![];
         }
-        if !self.held {
-            self.machine = Some(Machine::new(now, 0));
+        if !self.prior_state_found {
+            self.machine = Some(LevelMachine::new(now, 0));
             return vec![];
         }
-        let here = || self.seen.values().filter(|seen| seen.proxies > 0);
-        if here().any(|seen| seen.round < ROUNDS_TO_FIND || seen.came.is_empty()) {
-            let first = !std::mem::replace(&mut self.awaiting, self.acts);
+        let active_zones = || self.zone_stats.values().filter(|stats| stats.proxies > 0);
+        if active_zones().any(|stats| stats.round < ROUNDS_TO_DETECT || stats.arrival_rates.is_empty()) {
+            let first = !std::mem::replace(&mut self.await_sent, self.acts);
             return if first && self.acts { vec![Event::Await { on: true }] } else { vec![] };
         }
-        // Of what comes to a zone, tries tell how much was let in.
-        let (mut found, mut part) = (0, 1.0);
-        for seen in here() {
-            let came: f64 = seen.came.values().sum();
-            let let_in = seen.tries / came.max(1e-9);
-            let floor = |level: &Level| {
-                seen.came.iter().map(|(id, rate)| rate * level.keep(*id).least).sum::<f64>() / came.max(1e-9)
+        // The ratio of tries to arrivals shows how much of a zone's traffic was admitted.
+        let (mut detected, mut admitted) = (0, 1.0);
+        for stats in active_zones() {
+            let arrivals: f64 = stats.arrival_rates.values().sum();
+            let admitted_fraction = stats.tries_per_s / arrivals.max(1e-9);
+            let min_admitted = |level: &Level| {
+                stats.arrival_rates.iter().map(|(id, rate)| rate * level.keep(*id).least).sum::<f64>()
+                    / arrivals.max(1e-9)
             };
             let levels = self.ladder.levels();
-            let level = match let_in >= WHOLE {
+            let level = match admitted_fraction >= FULL_ADMISSION {
                 true => 0,
-                // The shallowest that may shed so much; where none may, the deepest.
-                false => {
-                    levels.iter().position(|level| floor(level) <= let_in + 0.05).unwrap_or(levels.len() - 1)
-                }
+                // The shallowest level that may shed this much; if there is none, the deepest level.
+                false => levels
+                    .iter()
+                    .position(|level| min_admitted(level) <= admitted_fraction + 0.05)
+                    .unwrap_or(levels.len() - 1),
             };
-            if level > found {
-                (found, part) = (level, let_in);
+            if level > detected {
+                (detected, admitted) = (level, admitted_fraction);
             }
         }
-        let mut machine = Machine::new(now, 0);
-        let change = machine.found(now, found, part);
+        let mut machine = LevelMachine::new(now, 0);
+        let change = machine.detected(now, detected, admitted);
         self.machine = Some(machine);
         if let Some(change) = change {
-            self.say(&change);
+            self.log_change(&change);
         }
-        self.plan();
-        let mut events = self.emit();
-        if std::mem::take(&mut self.awaiting) {
+        self.update_shares();
+        let mut events = self.emit_bounds();
+        if std::mem::take(&mut self.await_sent) {
             events.push(Event::Await { on: false });
         }
         events
     }
 
-    /// What each zone's hosts have shown that they can do.
-    fn learn(&mut self) {
-        let at = self.machine.as_ref().map_or(0, Machine::at);
-        let mut leave = self.ladder.levels()[at].leave.iter().filter(|on| on.signal == Signal::Pressure);
-        let easy = leave.next().map_or(EASY, |on| on.value);
-        let full = FULL.max(easy + 0.05);
-        for (zone, seen) in &self.seen {
-            let room = self.rooms.entry(*zone).or_default();
-            if seen.round == room.round || seen.open <= 0.0 {
+    /// Updates the estimate of each zone's capacity from the last report round.
+    fn update_capacity_estimates(&mut self) {
+        let current = self.machine.as_ref().map_or(0, LevelMachine::level);
+        let mut leave = self.ladder.levels()[current].leave.iter().filter(|on| on.signal == Signal::Pressure);
+        let low_pressure = leave.next().map_or(LOW_PRESSURE, |on| on.value);
+        let saturated_pressure = SATURATED_PRESSURE.max(low_pressure + 0.05);
+        for (zone, stats) in &self.zone_stats {
+            let estimate = self.capacity_estimates.entry(*zone).or_default();
+            if stats.round == estimate.round || stats.available_weight <= 0.0 {
                 continue;
             }
-            room.round = seen.round;
-            let Some(pressure) = seen.values.get(&Signal::Pressure).copied() else { continue };
-            let let_in = |id: &ProductId| self.shares.get(&(*zone, *id)).copied().unwrap_or(1.0);
+            estimate.round = stats.round;
+            let Some(pressure) = stats.values.get(&Signal::Pressure).copied() else { continue };
+            let admitted_fraction = |id: &ProductId| self.shares.get(&(*zone, *id)).copied().unwrap_or(1.0);
             let (mut rate, mut work) = (1e-9, 0.0);
-            for (id, came) in &seen.came {
-                let sla = self.products.get(usize::from(id.0)).map_or(0.0, |product| product.sla);
-                rate += came * let_in(id);
-                work += came * let_in(id) * sla;
+            for (id, arrivals) in &stats.arrival_rates {
+                let sla = self.classes.get(usize::from(id.0)).map_or(0.0, |class| class.sla);
+                rate += arrivals * admitted_fraction(id);
+                work += arrivals * admitted_fraction(id) * sla;
             }
-            let done = seen.good * work / rate / seen.open;
-            let shed = seen.came.keys().any(|id| let_in(id) < 1.0);
-            room.per_weight = match room.per_weight {
-                None if pressure >= full => Some(done),
-                Some(known) if pressure >= full => Some(known.min(done.max(FALL * known))),
-                // What goes on in ease fits. More than that is taken for possible only where the estimate is what
-                // limits: one that nothing comes near is not borne out (as RFC 7661 has it for windows).
-                Some(known) if pressure < easy => {
-                    let used = done >= USED * FILLED * known;
-                    let more = if shed && used { 1.0 + easy - pressure } else { 1.0 };
-                    Some(f64::max(done / FILLED, more * known))
+            let completed = stats.successes_per_s * work / rate / stats.available_weight;
+            let shed = stats.arrival_rates.keys().any(|id| admitted_fraction(id) < 1.0);
+            estimate.per_weight = match estimate.per_weight {
+                None if pressure >= saturated_pressure => Some(completed),
+                Some(known) if pressure >= saturated_pressure => {
+                    Some(known.min(completed.max(MIN_DECREASE_FACTOR * known)))
+                }
+                // Work done at low pressure fits. The estimate grows beyond it only where the estimate is
+                // what limits the traffic: an estimate that the traffic does not reach is not confirmed
+                // (RFC 7661 has the same rule for congestion windows).
+                Some(known) if pressure < low_pressure => {
+                    let used = completed >= PLAN_USED_FRACTION * TARGET_UTILIZATION * known;
+                    let growth = if shed && used { 1.0 + low_pressure - pressure } else { 1.0 };
+                    Some(f64::max(completed / TARGET_UTILIZATION, growth * known))
                 }
                 other => other,
             };
@@ -311,57 +319,57 @@
     }
 
     fn capacities(&self) -> Capacities {
-        let room = |(zone, seen): (&ZoneId, &Seen)| {
-            let known = self.rooms.get(zone).and_then(|room| room.per_weight);
-            // Nothing is cut for a limit that was never met.
-            (*zone, known.map_or(f64::INFINITY, |known| FILLED * known * seen.open))
+        let capacity = |(zone, stats): (&ZoneId, &ZoneStats)| {
+            let known = self.capacity_estimates.get(zone).and_then(|estimate| estimate.per_weight);
+            // A zone that was never saturated has no known limit, so nothing is cut there.
+            (*zone, known.map_or(f64::INFINITY, |known| TARGET_UTILIZATION * known * stats.available_weight))
         };
-        self.seen.iter().map(room).collect()
+        self.zone_stats.iter().map(capacity).collect()
     }
 
     fn demands(&self, level: usize) -> Demands {
         let level = &self.ladder.levels()[level];
         let mut demands = Demands::new();
-        for (zone, seen) in &self.seen {
-            for (id, rate) in &seen.came {
-                let Some(product) = self.products.get(usize::from(id.0)) else { continue };
+        for (zone, stats) in &self.zone_stats {
+            for (id, rate) in &stats.arrival_rates {
+                let Some(class) = self.classes.get(usize::from(id.0)) else { continue };
                 let Keep { least, most } = level.keep(*id);
-                let (rate, work, revenue, own_zone) = (*rate, product.sla, product.revenue, product.own_zone);
-                demands.insert((*zone, *id), Demand { rate, work, revenue, least, most, own_zone });
+                let (rate, work, value, own_zone) = (*rate, class.sla, class.revenue, class.own_zone);
+                demands.insert((*zone, *id), Demand { rate, work, value, least, most, own_zone });
             }
         }
         demands
     }
 
-    /// Anew where a round has told something or the level has changed: a program over hundreds of products takes
-    /// tens of milliseconds.
-    fn plan(&mut self) {
-        let at = self.machine.as_ref().map_or(0, Machine::at);
-        let basis = (at, self.seen.values().map(|seen| seen.round).sum());
-        if self.planned.replace(basis) == Some(basis) {
+    /// Recomputes the shares only when a report round is complete or the level has changed: a linear
+    /// program over hundreds of classes takes tens of milliseconds.
+    fn update_shares(&mut self) {
+        let current = self.machine.as_ref().map_or(0, LevelMachine::level);
+        let basis = (current, self.zone_stats.values().map(|stats| stats.round).sum());
+        if self.planned_for.replace(basis) == Some(basis) {
             return;
         }
-        self.shares = match at {
+        self.shares = match current {
             0 => self.demands(0).into_keys().map(|key| (key, 1.0)).collect(),
-            at => best(&self.demands(at), &self.capacities()),
+            current => optimal_shares(&self.demands(current), &self.capacities()),
         };
     }
 
-    /// The one place where bounds go out: what differs from what was told.
-    fn emit(&mut self) -> Vec<Event> {
+    /// Emits the bounds that differ from those last sent. This is the only place where bounds are emitted.
+    fn emit_bounds(&mut self) -> Vec<Event> {
         if !self.acts {
             return vec![];
         }
-        let at = self.machine.as_ref().map_or(0, Machine::at);
-        let tries = self.ladder.levels()[at].tries;
+        let current = self.machine.as_ref().map_or(0, LevelMachine::level);
+        let tries = self.ladder.levels()[current].tries;
         let mut events = Vec::new();
         for (&(zone, product), &share) in &self.shares {
             let wanted = (share, tries);
-            let told = self.told.get(&(zone, product)).copied().unwrap_or((1.0, Tries::TwiceAfterAny));
-            // The ends are told exactly: nothing stays shed for a rounding.
-            let end = (share >= 1.0) != (told.0 >= 1.0) || (share <= 0.0) != (told.0 <= 0.0);
-            if (share - told.0).abs() >= SHIFT || end || told.1 != tries {
-                self.told.insert((zone, product), wanted);
+            let sent = self.sent_bounds.get(&(zone, product)).copied().unwrap_or((1.0, Tries::TwiceAfterAny));
+            // Changes to or from 0 and 1 are always sent, so that no class stays shed because of rounding.
+            let end = (share >= 1.0) != (sent.0 >= 1.0) || (share <= 0.0) != (sent.0 <= 0.0);
+            if (share - sent.0).abs() >= MIN_SHARE_CHANGE || end || sent.1 != tries {
+                self.sent_bounds.insert((zone, product), wanted);
                 events.push(Event::Bound { zone, product, share, tries });
             }
         }
@@ -369,25 +377,26 @@
     }
 }
 
-/// Whether all that a level must keep can be carried.
-fn fits(demands: &Demands, capacities: &Capacities) -> bool {
-    let mut left = capacities.clone();
-    let mut free = 0.0;
+/// Whether the capacities can carry the minimum share of every class at a level.
+fn fits_capacity(demands: &Demands, capacities: &Capacities) -> bool {
+    let mut remaining = capacities.clone();
+    let mut movable_work = 0.0;
     for ((zone, _), demand) in demands {
         let work = demand.least * demand.rate * demand.work;
-        let Some(left) = left.get_mut(zone) else { continue };
+        let Some(remaining) = remaining.get_mut(zone) else { continue };
         match demand.own_zone {
-            true => *left -= work,
-            // A zone that was never full takes its own; others are not counted on it.
-            false if left.is_finite() => free += work,
+            true => *remaining -= work,
+            // A zone that was never saturated serves its own traffic; the traffic of other zones is not
+            // counted on it.
+            false if remaining.is_finite() => movable_work += work,
             false => {}
         }
     }
-    let limited = left.values().filter(|left| left.is_finite());
-    left.values().all(|left| *left >= 0.0) && limited.sum::<f64>() >= free
+    let limited = remaining.values().filter(|remaining| remaining.is_finite());
+    remaining.values().all(|remaining| *remaining >= 0.0) && limited.sum::<f64>() >= movable_work
 }
 
-/// Decisions with levels before them: hears what they hear, and tells them what is bounded.
+/// Wraps the decisions: passes their events and orders to the levels, and the levels' bounds to them.
 pub struct Levelled<D> {
     inner: D,
     levels: Rc<RefCell<ServiceLevels>>,
@@ -408,8 +417,8 @@
             true => self.inner.decide(now, events),
             false => self.inner.decide(now, &[&bounds, events].concat()),
         };
-        orders.iter().for_each(|order| levels.ordered(order));
-        orders.extend(levels.said().into_iter().map(|text| Order::Log { text }));
+        orders.iter().for_each(|order| levels.record_order(order));
+        orders.extend(levels.take_log_lines().into_iter().map(|text| Order::Log { text }));
         orders
     }
 }
--- a/crates/service-levels/src/machine.rs
+++ b/crates/service-levels/src/machine.rs
@@ -1,5 +1,5 @@
-//! Which level is in force, and why. One at a time; the order of the ladder is total, so overlapping troubles come
-//! to the deepest level that any of them asks for.
+//! State machine that decides which level is in force. One level is in force at a time. The levels are
+//! totally ordered, so when several conditions hold at once the deepest requested level wins.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -7,53 +7,66 @@
 use amberarch_core::ZoneId;
 
 use crate::ladder::{Condition, Ladder, Signal};
-use crate::signals::Seen;
+use crate::signals::ZoneStats;
 
-/// At most one change in so long, but for one emergency.
-pub const BETWEEN: f64 = 30_000.0;
-/// So many rounds must bear a condition out: one sum that is late or spoilt enters nothing. A round is half of all
-/// that tells of a zone, so one is enough where it is over by half of the value again.
-const ROUNDS: u32 = 2;
-const FAR: f64 = 1.5;
-/// What is not known for so long bears nothing out any more.
-const FORGET: f64 = 10_000.0;
-/// A zone with less of all that comes cannot bring the fleet down a level.
-const MATTERS: f64 = 0.05;
-/// Clients that ask again for what they were refused make more come than there is. Where a level lets in all that
-/// it may and nothing is wrong for so long, the next is tried although the plan sees no room for it. Below that
-/// the plan finds out by letting in more. Doubled after each try that failed.
-const TRIAL: f64 = 60_000.0;
-const LONGEST_TRIAL: f64 = 600_000.0;
-/// A try has failed if the level is back within so long.
-const FAILED: f64 = 60_000.0;
-const REMEMBERED: usize = 32;
+/// Minimum time between two changes, in ms. One emergency may come earlier.
+pub const MIN_CHANGE_INTERVAL: f64 = 30_000.0;
+/// Report rounds that must confirm a condition, so that a single late or corrupted report enters no level.
+/// A round covers half of all reports of a zone, so one round is enough where the value exceeds the
+/// threshold by half (`CLEAR_EXCESS_FACTOR`).
+const CONFIRMING_ROUNDS: u32 = 2;
+const CLEAR_EXCESS_FACTOR: f64 = 1.5;
+/// Milliseconds after which a condition with no new data no longer counts.
+const CONDITION_TTL: f64 = 10_000.0;
+/// A zone with a smaller fraction of the fleet's arrivals cannot make the fleet enter a level.
+const MIN_TRAFFIC_FRACTION: f64 = 0.05;
+/// Clients that retry refused requests inflate the arrivals, so the plan may never see enough capacity to
+/// leave a level. Where a level admits all it may and its conditions to leave have held for this long, in
+/// ms, the next level up is tried regardless. Before that point the plan finds out by admitting more. The
+/// delay doubles after each trial that failed.
+const MIN_TRIAL_DELAY: f64 = 60_000.0;
+const MAX_TRIAL_DELAY: f64 = 600_000.0;
+/// A trial has failed if a level is entered again within this time, in ms.
+const TRIAL_FAILURE_WINDOW: f64 = 60_000.0;
+const MAX_CHANGES: usize = 32;
 
+/// Why the level changed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Why {
+pub enum ChangeReason {
+    /// A condition to enter holds in the zone, with this value.
     Entered(Condition, ZoneId, f64),
     Emergency(Condition, ZoneId, f64),
-    /// All that brought it has ended, and the plan has room for more.
+    /// The conditions to leave hold, and the plan has capacity for more.
     Left,
-    /// The plan sees no room, but all that may be is let in and nothing has been wrong for a long time.
-    Tried,
+    /// The plan has no capacity for more, but the level admits all it may and the conditions to leave have
+    /// held for a long time.
+    Trial,
+    /// Pinned by an operator until then, in ms.
     Pinned(f64),
     PinEnded,
-    /// A steward that started anew found it at the proxies: they let in that part of what comes.
-    Found(f64),
+    /// A restarted controller detected the level from the fraction of arrivals that proxies admit.
+    Detected(f64),
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for ChangeReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Why::Entered(on, zone, value) | Why::Emergency(on, zone, value) => {
-                let how = if matches!(self, Why::Emergency(..)) { "emergency " } else { "" };
-                write!(f, "{how}{} {value:.2} over {} in zone {}", on.signal, on.value, zone.0)
+            ChangeReason::Entered(condition, zone, value)
+            | ChangeReason::Emergency(condition, zone, value) => {
+                let prefix = if matches!(self, ChangeReason::Emergency(..)) { "emergency " } else { "" };
+                write!(
+                    f,
+                    "{prefix}{} {value:.2} over {} in zone {}",
+                    condition.signal, condition.value, zone.0
+                )
+            }
+            ChangeReason::Left => f.write_str("what brought it has ended and there is room"),
+            ChangeReason::Trial => f.write_str("nothing was wrong for long, more is tried"),
+            ChangeReason::Pinned(until) => write!(f, "pinned until {:.0} s", until / 1e3),
+            ChangeReason::PinEnded => f.write_str("the pin has ended"),
+            ChangeReason::Detected(admitted_fraction) => {
+                write!(f, "proxies let in {:.0} % of what comes", 100.0 * admitted_fraction)
             }
-            Why::Left => f.write_str("what brought it has ended and there is room"),
-            Why::Tried => f.write_str("nothing was wrong for long, more is tried"),
-            Why::Pinned(until) => write!(f, "pinned until {:.0} s", until / 1e3),
-            Why::PinEnded => f.write_str("the pin has ended"),
-            Why::Found(part) => write!(f, "proxies let in {:.0} % of what comes", 100.0 * part),
         }
     }
 }
@@ -63,17 +76,17 @@
     pub at: f64,
     pub from: usize,
     pub to: usize,
-    pub why: Why,
+    pub why: ChangeReason,
 }
 
-/// For how long, and in how many rounds, something has held.
+/// How long, and in how many report rounds, a condition has held.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct ConditionState {
     since: f64,
-    last: f64,
+    last_met_at: f64,
     rounds: u32,
     round: u64,
-    /// In the last of them.
+    /// Value in the last of the rounds.
     value: f64,
 }
 
@@ -83,43 +96,46 @@
     until: f64,
 }
 
-pub struct Machine {
-    at: usize,
+/// The level in force, the state of each condition, and the history of changes.
+pub struct LevelMachine {
+    level: usize,
     since: f64,
-    changed: f64,
-    /// An emergency has come before its time; the next change waits for its own.
-    pre_empted: bool,
-    entering: BTreeMap<(usize, usize, ZoneId), Held>,
-    /// The round of each zone that was looked at last: between two, figures are of one and the other.
-    rounds: BTreeMap<ZoneId, u64>,
-    leaving: BTreeMap<usize, f64>,
+    changed_at: f64,
+    /// The last change was an emergency before the minimum interval had passed; the next change has to
+    /// wait.
+    changed_early: bool,
+    enter_states: BTreeMap<(usize, usize, ZoneId), ConditionState>,
+    /// The last evaluated round of each zone. Between two rounds the figures mix reports of both, so they
+    /// are not evaluated.
+    evaluated_rounds: BTreeMap<ZoneId, u64>,
+    leave_since: BTreeMap<usize, f64>,
     pin: Option<Pin>,
-    trial: f64,
-    tried_at: f64,
-    quiet_since: Option<f64>,
+    trial_delay: f64,
+    trial_at: f64,
+    calm_since: Option<f64>,
     changes: VecDeque<Change>,
 }
 
-impl Machine {
-    pub fn new(now: f64, at: usize) -> Machine {
-        Machine {
-            at,
+impl LevelMachine {
+    pub fn new(now: f64, level: usize) -> LevelMachine {
+        LevelMachine {
+            level,
             since: now,
-            changed: f64::NEG_INFINITY,
-            pre_empted: false,
-            entering: BTreeMap::new(),
-            rounds: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            changed_at: f64::NEG_INFINITY,
+            changed_early: false,
+            enter_states: BTreeMap::new(),
+            evaluated_rounds: BTreeMap::new(),
+            leave_since: BTreeMap::new(),
             pin: None,
-            trial: TRIAL,
-            tried_at: f64::NEG_INFINITY,
-            quiet_since: None,
+            trial_delay: MIN_TRIAL_DELAY,
+            trial_at: f64::NEG_INFINITY,
+            calm_since: None,
             changes: VecDeque::new(),
         }
     }
 
-    pub fn at(&self) -> usize {
-        self.at
+    pub fn level(&self) -> usize {
+        self.level
     }
 
     pub fn since(&self) -> f64 {
@@ -134,70 +150,80 @@
         self.pin.map(|pin| (pin.level, pin.until))
     }
 
-    /// An operator's word: that level until then, in ms. Deeper emergencies go before it.
+    /// Pins a level until `until` (ms). Emergencies that ask for a deeper level override the pin.
     pub fn pin(&mut self, now: f64, level: usize, until: f64) -> Option<Change> {
         self.pin = Some(Pin { level, until });
-        (level != self.at).then(|| self.change(now, level, Why::Pinned(until)))
+        (level != self.level).then(|| self.change(now, level, ChangeReason::Pinned(until)))
     }
 
     pub fn unpin(&mut self) {
         self.pin = None;
     }
 
-    /// What a steward that started anew found in force.
-    pub fn found(&mut self, now: f64, level: usize, part: f64) -> Option<Change> {
-        (level != self.at).then(|| self.change(now, level, Why::Found(part)))
+    /// Sets the level that a restarted controller detected.
+    pub fn detected(&mut self, now: f64, level: usize, admitted_fraction: f64) -> Option<Change> {
+        (level != self.level).then(|| self.change(now, level, ChangeReason::Detected(admitted_fraction)))
     }
 
-    /// Looks at what is seen now. `fits` tells whether what comes would fit into a level by the plan, `spent` that
-    /// the level in force lets in all that it may.
+    /// Evaluates the current figures. `fits` tells whether the arrivals fit into a level by the plan,
+    /// `at_max_shares` that the level in force admits all it may.
     pub fn step(
         &mut self,
         now: f64,
         ladder: &Ladder,
-        seen: &BTreeMap<ZoneId, Seen>,
+        stats: &BTreeMap<ZoneId, ZoneStats>,
         fits: impl Fn(usize) -> bool,
-        spent: bool,
+        at_max_shares: bool,
     ) -> Option<Change> {
-        let all: f64 = seen.values().flat_map(|seen| seen.came.values()).sum();
-        let matters = |seen: &Seen| {
-            seen.proxies > 0 && (all <= 0.0 || seen.came.values().sum::<f64>() >= MATTERS * all)
+        let total_arrivals: f64 = stats.values().flat_map(|stats| stats.arrival_rates.values()).sum();
+        let significant = |stats: &ZoneStats| {
+            stats.proxies > 0
+                && (total_arrivals <= 0.0
+                    || stats.arrival_rates.values().sum::<f64>() >= MIN_TRAFFIC_FRACTION * total_arrivals)
         };
-        // Whose figures may bring a level, and whose must be well before one is left: a zone that is not seen any
-        // more has no share of what comes, and is not well for that.
-        let bring: Vec<(ZoneId, &Seen)> =
-            seen.iter().filter(|(_, seen)| matters(seen)).map(|(zone, seen)| (*zone, seen)).collect();
-        let keep: Vec<&Seen> = seen.values().filter(|seen| seen.proxies > 0).collect();
-        self.gather(now, ladder, &bring, &keep);
-        let due = now - self.changed >= BETWEEN;
-        let ended = self.pin.filter(|pin| now >= pin.until);
-        if ended.is_some() {
+        // `enter_zones` may cause a level to be entered; all `observed_zones` must satisfy the conditions
+        // before one is left. A zone that has stopped reporting has no share of the arrivals, but is not
+        // healthy for that.
+        let enter_zones: Vec<(ZoneId, &ZoneStats)> = stats
+            .iter()
+            .filter(|(_, stats)| significant(stats))
+            .map(|(zone, stats)| (*zone, stats))
+            .collect();
+        let observed_zones: Vec<&ZoneStats> = stats.values().filter(|stats| stats.proxies > 0).collect();
+        self.update_conditions(now, ladder, &enter_zones, &observed_zones);
+        let due = now - self.changed_at >= MIN_CHANGE_INTERVAL;
+        let expired_pin = self.pin.filter(|pin| now >= pin.until);
+        if expired_pin.is_some() {
             self.pin = None;
         }
-        let floor = self.pin.map_or(self.at, |pin| pin.level);
-        // The deepest that anything asks for; levels between may be passed over.
-        let asked = (floor.max(self.at) + 1..ladder.depth()).rev().find_map(|level| {
-            let (on, zone, held) = self.borne_out(now, ladder, level)?;
+        let floor = self.pin.map_or(self.level, |pin| pin.level);
+        // The deepest level whose conditions are met; levels in between may be skipped.
+        let requested = (floor.max(self.level) + 1..ladder.depth()).rev().find_map(|level| {
+            let (condition, zone, state) = self.confirmed_condition(now, ladder, level)?;
             let emergency = ladder.levels()[level].emergency;
-            let may = due && self.pin.is_none() || emergency && (due || !self.pre_empted);
-            may.then_some((level, on, zone, held.value, emergency))
+            let allowed = due && self.pin.is_none() || emergency && (due || !self.changed_early);
+            allowed.then_some((level, condition, zone, state.value, emergency))
         });
-        if let Some((level, on, zone, value, emergency)) = asked {
+        if let Some((level, condition, zone, value, emergency)) = requested {
             let early = !due;
-            if now - self.tried_at < FAILED {
-                self.trial = LONGEST_TRIAL.min(2.0 * self.trial);
+            if now - self.trial_at < TRIAL_FAILURE_WINDOW {
+                self.trial_delay = MAX_TRIAL_DELAY.min(2.0 * self.trial_delay);
             }
-            let why = if emergency { Why::Emergency(on, zone, value) } else { Why::Entered(on, zone, value) };
+            let why = if emergency {
+                ChangeReason::Emergency(condition, zone, value)
+            } else {
+                ChangeReason::Entered(condition, zone, value)
+            };
             let change = self.change(now, level, why);
-            self.pre_empted = early;
+            self.changed_early = early;
             return Some(change);
         }
         if let Some(Pin { level, until }) = self.pin {
-            // An emergency that went before the pin ends like any level, down to where the pin holds.
-            let back = self.at > level && due && self.calm(now, ladder);
-            return back.then(|| self.change(now, level, Why::Pinned(until)));
+            // An emergency that overrode the pin ends like any level, and returns to the pinned level.
+            let return_to_pin = self.level > level && due && self.leave_conditions_met(now, ladder);
+            return return_to_pin.then(|| self.change(now, level, ChangeReason::Pinned(until)));
         }
-        self.leave(now, ladder, due, ended.is_some(), fits, spent)
+        self.leave(now, ladder, due, expired_pin.is_some(), fits, at_max_shares)
     }
 
     fn leave(
@@ -207,102 +233,123 @@
         due: bool,
         pin_ended: bool,
         fits: impl Fn(usize) -> bool,
-        spent: bool,
+        at_max_shares: bool,
     ) -> Option<Change> {
-        let calm = self.at > 0 && self.calm(now, ladder);
-        self.quiet_since = if calm { self.quiet_since.or(Some(now)) } else { None };
-        let stayed = now - self.since >= ladder.levels()[self.at].stay;
+        let calm = self.level > 0 && self.leave_conditions_met(now, ladder);
+        self.calm_since = if calm { self.calm_since.or(Some(now)) } else { None };
+        let stayed = now - self.since >= ladder.levels()[self.level].stay;
         if !(calm && stayed && due) {
             return None;
         }
-        let to = self.at - 1;
+        let to = self.level - 1;
         if fits(to) {
-            if now - self.tried_at >= FAILED {
-                self.trial = TRIAL;
+            if now - self.trial_at >= TRIAL_FAILURE_WINDOW {
+                self.trial_delay = MIN_TRIAL_DELAY;
             }
-            let why = if pin_ended { Why::PinEnded } else { Why::Left };
+            let why = if pin_ended { ChangeReason::PinEnded } else { ChangeReason::Left };
             return Some(self.change(now, to, why));
         }
-        let quiet = self.quiet_since.is_some_and(|since| now - since >= self.trial);
-        (quiet && spent).then(|| {
-            self.tried_at = now;
-            self.change(now, to, Why::Tried)
+        let quiet = self.calm_since.is_some_and(|since| now - since >= self.trial_delay);
+        (quiet && at_max_shares).then(|| {
+            self.trial_at = now;
+            self.change(now, to, ChangeReason::Trial)
         })
     }
 
-    fn change(&mut self, now: f64, to: usize, why: Why) -> Change {
-        let change = Change { at: now, from: self.at, to, why };
-        (self.at, self.since, self.changed, self.pre_empted) = (to, now, now, false);
-        // What was seen under another level says nothing of this one.
-        self.leaving.clear();
-        self.quiet_since = None;
+    fn change(&mut self, now: f64, to: usize, why: ChangeReason) -> Change {
+        let change = Change { at: now, from: self.level, to, why };
+        (self.level, self.since, self.changed_at, self.changed_early) = (to, now, now, false);
+        // Observations made under another level say nothing about this one.
+        self.leave_since.clear();
+        self.calm_since = None;
         if to < change.from {
-            self.entering.clear();
+            self.enter_states.clear();
         }
         self.changes.push_back(change.clone());
-        if self.changes.len() > REMEMBERED {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
         change
     }
 
-    /// Counts, condition by condition, for how long each has held and in how many rounds.
-    fn gather(&mut self, now: f64, ladder: &Ladder, bring: &[(ZoneId, &Seen)], keep: &[&Seen]) {
-        for (level, of) in ladder.levels().iter().enumerate().skip(1) {
-            for (place, on) in of.enter.iter().enumerate() {
-                let plain = seen_without_sums(on.signal);
-                let whole = |zone: &ZoneId, seen: &Seen| self.rounds.get(zone) != Some(&seen.round);
-                for (zone, seen) in bring.iter().filter(|(zone, seen)| plain || whole(zone, seen)) {
-                    let key = (level, place, *zone);
-                    match seen.values.get(&on.signal).copied() {
-                        Some(value) if value > on.value => {
-                            let round = seen.round;
-                            let first = Held { since: now, last: now, rounds: 1, round, value };
-                            let held = self.entering.entry(key).or_insert(first);
-                            held.rounds += u32::from(held.round != round);
-                            (held.last, held.round, held.value) = (now, round, value);
+    /// Tracks for each condition how long and in how many rounds it has held.
+    fn update_conditions(
+        &mut self,
+        now: f64,
+        ladder: &Ladder,
+        enter_zones: &[(ZoneId, &ZoneStats)],
+        observed_zones: &[&ZoneStats],
+    ) {
+        for (level, definition) in ladder.levels().iter().enumerate().skip(1) {
+            for (index, condition) in definition.enter.iter().enumerate() {
+                let independent = independent_of_reports(condition.signal);
+                let new_round =
+                    |zone: &ZoneId, stats: &ZoneStats| self.evaluated_rounds.get(zone) != Some(&stats.round);
+                for (zone, stats) in
+                    enter_zones.iter().filter(|(zone, stats)| independent || new_round(zone, stats))
+                {
+                    let key = (level, index, *zone);
+                    match stats.values.get(&condition.signal).copied() {
+                        Some(value) if value > condition.value => {
+                            let round = stats.round;
+                            let first =
+                                ConditionState { since: now, last_met_at: now, rounds: 1, round, value };
+                            let state = self.enter_states.entry(key).or_insert(first);
+                            state.rounds += u32::from(state.round != round);
+                            (state.last_met_at, state.round, state.value) = (now, round, value);
                         }
-                        Some(_) => drop(self.entering.remove(&key)),
+                        Some(_) => drop(self.enter_states.remove(&key)),
                         None => {}
                     }
                 }
             }
-            let over = |on: &Condition| {
-                // Unknown is not good, and a fleet of which nothing is seen is not either.
-                let fine = |seen: &&Seen| seen.values.get(&on.signal).is_some_and(|value| *value < on.value);
-                !keep.is_empty() && keep.iter().all(fine)
+            let below = |condition: &Condition| {
+                // Missing data does not satisfy a condition to leave, and neither does a fleet without any
+                // reporting zone.
+                let satisfied = |stats: &&ZoneStats| {
+                    stats.values.get(&condition.signal).is_some_and(|value| *value < condition.value)
+                };
+                !observed_zones.is_empty() && observed_zones.iter().all(satisfied)
             };
-            match of.leave.iter().all(over) {
-                true => drop(self.leaving.entry(level).or_insert(now)),
-                false => drop(self.leaving.remove(&level)),
+            match definition.leave.iter().all(below) {
+                true => drop(self.leave_since.entry(level).or_insert(now)),
+                false => drop(self.leave_since.remove(&level)),
             }
         }
-        self.rounds.extend(bring.iter().map(|(zone, seen)| (*zone, seen.round)));
-        self.entering.retain(|_, held| now - held.last < FORGET);
+        self.evaluated_rounds.extend(enter_zones.iter().map(|(zone, stats)| (*zone, stats.round)));
+        self.enter_states.retain(|_, state| now - state.last_met_at < CONDITION_TTL);
     }
 
-    /// The first of a level's conditions to enter that holds, where one does.
-    fn borne_out(&self, now: f64, ladder: &Ladder, level: usize) -> Option<(Condition, ZoneId, Held)> {
+    /// The first of a level's conditions to enter that is confirmed, if any.
+    fn confirmed_condition(
+        &self,
+        now: f64,
+        ladder: &Ladder,
+        level: usize,
+    ) -> Option<(Condition, ZoneId, ConditionState)> {
         let conditions = &ladder.levels()[level].enter;
-        self.entering.range((level, 0, ZoneId(0))..(level + 1, 0, ZoneId(0))).find_map(
-            |((_, place, zone), held)| {
-                let on = conditions[*place];
-                // These are seen without sums, so rounds tell nothing of them.
-                let plain = matches!(on.signal, Signal::Unseen | Signal::Out | Signal::Load);
-                let known = plain || held.rounds >= ROUNDS || held.value >= FAR * on.value;
-                (known && now - held.since >= on.lasting).then_some((on, *zone, *held))
+        self.enter_states.range((level, 0, ZoneId(0))..(level + 1, 0, ZoneId(0))).find_map(
+            |((_, index, zone), state)| {
+                let condition = conditions[*index];
+                // These signals do not depend on reports, so rounds do not count for them.
+                let independent = matches!(condition.signal, Signal::Unseen | Signal::Out | Signal::Load);
+                let known = independent
+                    || state.rounds >= CONFIRMING_ROUNDS
+                    || state.value >= CLEAR_EXCESS_FACTOR * condition.value;
+                (known && now - state.since >= condition.lasting).then_some((condition, *zone, *state))
             },
         )
     }
 
-    /// All conditions to leave the level in force have held for as long as each asks.
-    fn calm(&self, now: f64, ladder: &Ladder) -> bool {
-        let longest = ladder.levels()[self.at].leave.iter().map(|on| on.lasting).fold(0.0, f64::max);
-        self.leaving.get(&self.at).is_some_and(|since| now - since >= longest)
+    /// Whether all conditions to leave the level in force have held for as long as each requires.
+    fn leave_conditions_met(&self, now: f64, ladder: &Ladder) -> bool {
+        let longest =
+            ladder.levels()[self.level].leave.iter().map(|condition| condition.lasting).fold(0.0, f64::max);
+        self.leave_since.get(&self.level).is_some_and(|since| now - since >= longest)
     }
 }
 
-/// Rounds of sums tell nothing of these.
-fn seen_without_sums(signal: Signal) -> bool {
+/// Whether the signal is observed without traffic reports.
+fn independent_of_reports(signal: Signal) -> bool {
     matches!(signal, Signal::Unseen | Signal::Out | Signal::Load)
 }
--- a/crates/service-levels/src/plan.rs
+++ b/crates/service-levels/src/plan.rs
@@ -1,110 +1,121 @@
-//! How much of each product is let in, zone by zone, under the level in force: what earns most within what the
-//! hosts can do. A linear program where products may leave their zone; the greedy rule beside it for comparison.
+//! The plan: how much of each request class each zone admits under the level in force, maximizing the value
+//! within the capacities of the hosts. It is a linear program where classes may leave their zone; the
+//! greedy rule beside it serves as a fallback and for comparison.
 
 use std::collections::BTreeMap;
 
 use amberarch_core::{ProductId, ZoneId};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOutcome};
 
-/// What comes of a product in a zone, in the terms of the plan.
+/// The arrivals of a request class in a zone, as input to the plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Txns a second.
+    /// Txns per second.
     pub rate: f64,
-    /// Of one, in the unit of the capacities.
+    /// Work of one txn, in the unit of the capacities.
     pub work: f64,
-    pub revenue: f64,
+    pub value: f64,
     pub least: f64,
     pub most: f64,
-    /// It is served by hosts of its own zone only.
+    /// It is served only by hosts of its own zone.
     pub own_zone: bool,
 }
 
 pub type Demands = BTreeMap<(ZoneId, ProductId), Demand>;
-/// Work a second that a zone's hosts can do.
+/// Work per second that a zone's hosts can do; infinite where no limit was observed.
 pub type Capacities = BTreeMap<ZoneId, f64>;
 pub type Shares = BTreeMap<(ZoneId, ProductId), f64>;
 
-/// Work that crosses zones is worth that part less: it stays where it is at equal worth, and is shed for nothing.
-const CROSSING: f64 = 0.01;
-/// What exceeds the capacities because the level allows no less costs this many times the best worth: it is
-/// taken only where nothing else is left.
-const OVER: f64 = 1_000.0;
+/// Work that crosses zones counts for this fraction less, so that at equal value it stays in its zone, yet
+/// is never shed for that.
+const CROSS_ZONE_PENALTY: f64 = 0.01;
+/// Work above the capacities, which arises when the level allows no less, costs this many times the highest
+/// value density, so that it is planned only where there is no alternative.
+const OVERLOAD_COST_FACTOR: f64 = 1_000.0;
 
-/// The shares that earn most. Where the level keeps more than the capacities can carry, each product's least.
-pub fn best(demands: &Demands, capacities: &Capacities) -> Shares {
-    solve(demands, capacities).unwrap_or_else(|| greedy(demands, capacities))
+/// The shares with the highest value. Where the level keeps more than the capacities can carry, each class
+/// gets its minimum.
+pub fn optimal_shares(demands: &Demands, capacities: &Capacities) -> Shares {
+    solve(demands, capacities).unwrap_or_else(|| greedy_shares(demands, capacities))
 }
 
 fn solve(demands: &Demands, capacities: &Capacities) -> Option<Shares> {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
-    let worth = |of: &Demand| of.revenue / of.work.max(1e-9);
-    let dearest = demands.values().map(worth).fold(1e-9, f64::max);
-    let mut loads: BTreeMap<ZoneId, Vec<(microlp::Variable, f64)>> = BTreeMap::new();
+    let density = |demand: &Demand| demand.value / demand.work.max(1e-9);
+    let max_density = demands.values().map(density).fold(1e-9, f64::max);
+    let mut zone_flows: BTreeMap<ZoneId, Vec<(microlp::Variable, f64)>> = BTreeMap::new();
     let mut flows: BTreeMap<(ZoneId, ProductId), Vec<microlp::Variable>> = BTreeMap::new();
     for ((zone, product), demand) in demands.iter().filter(|(_, demand)| demand.rate > 0.0) {
-        // A flow is the work done in one zone for what came in another.
-        let asked = demand.rate * demand.work;
-        let mut parts = Vec::new();
-        // What a zone that was never full could do besides its own is not known, so nothing is counted on it.
-        let may = |at: &ZoneId, room: &f64| at == zone || !demand.own_zone && room.is_finite();
-        for (at, _) in capacities.iter().filter(|(at, room)| may(at, room)) {
-            let part = if at == zone { 1.0 } else { 1.0 - CROSSING };
-            let flow = problem.add_var(part * worth(demand), (0.0, demand.most * asked));
-            loads.entry(*at).or_default().push((flow, 1.0));
-            parts.push(flow);
+        // A flow is the work done in one zone for arrivals in another.
+        let requested_work = demand.rate * demand.work;
+        let mut class_flows = Vec::new();
+        // The spare capacity of a zone that was never saturated is unknown, so no foreign work is planned
+        // there.
+        let can_serve = |serving_zone: &ZoneId, capacity: &f64| {
+            serving_zone == zone || !demand.own_zone && capacity.is_finite()
+        };
+        for (serving_zone, _) in
+            capacities.iter().filter(|(serving_zone, capacity)| can_serve(serving_zone, capacity))
+        {
+            let factor = if serving_zone == zone { 1.0 } else { 1.0 - CROSS_ZONE_PENALTY };
+            let flow = problem.add_var(factor * density(demand), (0.0, demand.most * requested_work));
+            zone_flows.entry(*serving_zone).or_default().push((flow, 1.0));
+            class_flows.push(flow);
         }
-        let terms = || parts.iter().map(|flow| (*flow, 1.0)).collect::<Vec<_>>();
-        problem.add_constraint(terms(), ComparisonOp::Le, demand.most * asked);
-        problem.add_constraint(terms(), ComparisonOp::Ge, demand.least * asked);
-        flows.insert((*zone, *product), parts);
+        let terms = || class_flows.iter().map(|flow| (*flow, 1.0)).collect::<Vec<_>>();
+        problem.add_constraint(terms(), ComparisonOp::Le, demand.most * requested_work);
+        problem.add_constraint(terms(), ComparisonOp::Ge, demand.least * requested_work);
+        flows.insert((*zone, *product), class_flows);
     }
-    // A zone whose limit was never met has none.
+    // A zone that was never saturated has no capacity constraint.
     for (zone, capacity) in capacities.iter().filter(|(_, capacity)| capacity.is_finite()) {
-        let mut terms = loads.remove(zone).unwrap_or_default();
-        let over = problem.add_var(-OVER * dearest, (0.0, f64::INFINITY));
-        terms.push((over, -1.0));
+        let mut terms = zone_flows.remove(zone).unwrap_or_default();
+        let excess = problem.add_var(-OVERLOAD_COST_FACTOR * max_density, (0.0, f64::INFINITY));
+        terms.push((excess, -1.0));
         problem.add_constraint(terms, ComparisonOp::Le, *capacity);
     }
     let SolveOutcome::Solution(solution) = problem.solve().ok()? else { return None };
     let share = |(key, demand): (&(ZoneId, ProductId), &Demand)| {
-        let done = flows.get(key).map(|parts| parts.iter().map(|flow| solution[*flow]).sum::<f64>());
-        let share = done.map_or(demand.most, |done| done / (demand.rate * demand.work).max(1e-12));
+        let served =
+            flows.get(key).map(|class_flows| class_flows.iter().map(|flow| solution[*flow]).sum::<f64>());
+        let share = served.map_or(demand.most, |served| served / (demand.rate * demand.work).max(1e-12));
         (*key, share.clamp(demand.least, demand.most))
     };
     Some(demands.iter().map(share).collect())
 }
 
-/// Zone by zone, the least worthy first, each down to its least.
-pub fn greedy(demands: &Demands, capacities: &Capacities) -> Shares {
+/// Sheds zone by zone, lowest value density first, each class down to its minimum share.
+pub fn greedy_shares(demands: &Demands, capacities: &Capacities) -> Shares {
     let mut shares: Shares = demands.iter().map(|(key, demand)| (*key, demand.most)).collect();
     for (zone, capacity) in capacities {
-        let mut here: Vec<(&(ZoneId, ProductId), &Demand)> =
-            demands.iter().filter(|((of, _), _)| of == zone).collect();
-        here.sort_by(|a, b| (a.1.revenue / a.1.work).total_cmp(&(b.1.revenue / b.1.work)));
-        let mut over = here.iter().map(|(_, d)| d.most * d.rate * d.work).sum::<f64>() - capacity;
-        for (key, demand) in here {
+        let mut zone_demands: Vec<(&(ZoneId, ProductId), &Demand)> =
+            demands.iter().filter(|((origin, _), _)| origin == zone).collect();
+        zone_demands.sort_by(|a, b| (a.1.value / a.1.work).total_cmp(&(b.1.value / b.1.work)));
+        let mut excess = zone_demands.iter().map(|(_, d)| d.most * d.rate * d.work).sum::<f64>() - capacity;
+        for (key, demand) in zone_demands {
             let work = demand.rate * demand.work;
-            let cut = f64::min(over, (demand.most - demand.least) * work).max(0.0);
-            over -= cut;
+            let cut = f64::min(excess, (demand.most - demand.least) * work).max(0.0);
+            excess -= cut;
             shares.insert(*key, demand.most - cut / work.max(1e-12));
         }
     }
     shares
 }
 
-/// What shares earn a second, where work over the capacities earns nothing and may leave its zone if it can.
-pub fn earned(demands: &Demands, shares: &Shares, capacities: &Capacities) -> f64 {
-    // The most that these shares can earn: a plan in which they are the most and nothing is kept.
+/// Value per second of the given shares. Work above the capacities earns nothing, and may move to another
+/// zone if its class allows that.
+pub fn total_value(demands: &Demands, shares: &Shares, capacities: &Capacities) -> f64 {
+    // The highest value of these shares is that of the optimal plan with the shares as maxima and without
+    // minima.
     let bounded: Demands = demands
         .iter()
         .map(|(key, demand)| {
             (*key, Demand { least: 0.0, most: shares.get(key).copied().unwrap_or(0.0), ..*demand })
         })
         .collect();
-    let best = solve(&bounded, capacities).unwrap_or_default();
+    let optimal = solve(&bounded, capacities).unwrap_or_default();
     bounded
         .iter()
-        .map(|(key, demand)| demand.rate * demand.revenue * best.get(key).copied().unwrap_or(0.0))
+        .map(|(key, demand)| demand.rate * demand.value * optimal.get(key).copied().unwrap_or(0.0))
         .sum()
 }
--- a/crates/service-levels/src/signals.rs
+++ b/crates/service-levels/src/signals.rs
@@ -1,8 +1,9 @@
-//! What the steward has seen of each zone, with how much of it is missing.
+//! Figures of each zone, computed from the reports, with the fraction of reports that is missing.
 //!
-//! Only the newest sum of each pair (host and zone, proxy and product) counts, so one that comes twice counts once.
-//! A pair that falls silent keeps its last figure and is missed: hidden load does not count as none. A round of a
-//! zone is over when half of its pairs have told anew; evidence is counted in rounds, never in sums.
+//! Only the newest report of each pair (host and zone, proxy and request class) counts, so a duplicate
+//! counts once. A pair that stops reporting keeps its last figure and counts as missing, so that unreported
+//! load does not count as no load. A round of a zone is complete when half of its pairs have reported
+//! again; evidence is counted in rounds, never in reports.
 
 use std::collections::BTreeMap;
 
@@ -10,88 +11,92 @@
 
 use crate::ladder::Signal;
 
-/// A pair that told nothing for so many periods is missed, and for so many more its last figure stands.
-const MISSED: f64 = 2.5;
-const KEPT: f64 = 15.0;
-/// Where more than this part of the pairs is missed, nothing is known of the zone.
-const KNOWN: f64 = 0.5;
-/// Believed loads older than this say nothing.
-const LOAD_FOR: f64 = 3_000.0;
-/// At so few tries a period nothing is slow or voided but by chance.
-const LEAST_TRIES: f64 = 5.0;
+/// A pair counts as missing after `MISSED_PERIODS` report periods without a report; its last figure is used
+/// until `RETAINED_PERIODS` have passed.
+const MISSED_PERIODS: f64 = 2.5;
+const RETAINED_PERIODS: f64 = 15.0;
+/// Where a greater fraction of the pairs is missing, the traffic signals of the zone are unknown.
+const MAX_MISSING_FRACTION: f64 = 0.5;
+/// Milliseconds after which a load estimate is no longer used.
+const LOAD_MAX_AGE: f64 = 3_000.0;
+/// With fewer tries in a period, slow or failed answers are due to chance.
+const MIN_TRIES: f64 = 5.0;
 
+/// Newest traffic report about a host from the proxies of one zone.
 #[derive(Clone, Copy, Debug)]
-struct Met {
+struct HostReport {
     at: f64,
-    over: f64,
+    span: f64,
     tries: f64,
-    voided: f64,
+    failed: f64,
     mean: f64,
 }
 
-impl Met {
-    fn good(&self) -> f64 {
-        self.tries - self.voided
+impl HostReport {
+    fn succeeded(&self) -> f64 {
+        self.tries - self.failed
     }
 }
 
+/// Newest traffic report of a proxy about a request class.
 #[derive(Clone, Copy, Debug)]
-struct Came {
+struct ProxyReport {
     at: f64,
     rate: f64,
 }
 
 #[derive(Debug)]
-struct HostSeen {
+struct HostState {
     zone: ZoneId,
     weight: f64,
     standing: Standing,
-    shut: bool,
+    withdrawn: bool,
     load: Option<(f64, f64)>,
 }
 
-/// One zone's figures of a round; what is not known is absent.
+/// The figures of one zone in a report round; unknown signals are absent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Counts the rounds; the same number is the same evidence.
+pub struct ZoneStats {
+    /// Number of the report round; an unchanged number means that there is no new evidence.
     pub round: u64,
     pub values: BTreeMap<Signal, f64>,
-    /// Txns a second that come, by product, those that are turned away included.
-    pub came: BTreeMap<ProductId, f64>,
-    /// Good answers a second, and all tries.
-    pub good: f64,
-    pub tries: f64,
+    /// Arriving txns per second by request class, including those that are refused.
+    pub arrival_rates: BTreeMap<ProductId, f64>,
+    /// Successful answers per second, and all tries per second.
+    pub successes_per_s: f64,
+    pub tries_per_s: f64,
     pub proxies: usize,
-    /// Listed weight of its hosts that are on and not shut out.
-    pub open: f64,
+    /// Listed weight of the zone's hosts that are in service and not withdrawn.
+    pub available_weight: f64,
 }
 
+/// Keeps the newest reports and computes the signals of each zone from them.
 pub struct Signals {
-    every: f64,
-    slas: Vec<f64>,
+    period: f64,
+    latency_targets: Vec<f64>,
     zones: u16,
-    hosts: BTreeMap<HostId, HostSeen>,
+    hosts: BTreeMap<HostId, HostState>,
     proxies: BTreeMap<ProxyId, ZoneId>,
-    met: BTreeMap<(ZoneId, HostId), Met>,
-    came: BTreeMap<(ProxyId, ProductId), Came>,
+    host_reports: BTreeMap<(ZoneId, HostId), HostReport>,
+    proxy_reports: BTreeMap<(ProxyId, ProductId), ProxyReport>,
     rounds: BTreeMap<ZoneId, (u64, f64)>,
 }
 
 impl Signals {
-    pub fn new(zones: u16, sums: &Sums, products: &[Product]) -> Signals {
+    pub fn new(zones: u16, sums: &Sums, classes: &[Product]) -> Signals {
         Signals {
-            every: sums.every,
-            slas: products.iter().map(|product| product.sla).collect(),
+            period: sums.every,
+            latency_targets: classes.iter().map(|class| class.sla).collect(),
             zones,
             hosts: BTreeMap::new(),
             proxies: BTreeMap::new(),
-            met: BTreeMap::new(),
-            came: BTreeMap::new(),
+            host_reports: BTreeMap::new(),
+            proxy_reports: BTreeMap::new(),
             rounds: BTreeMap::new(),
         }
     }
 
-    pub fn hear(&mut self, now: f64, event: &Event) {
+    pub fn handle_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { news: ListNews::Failed, .. } => {}
             Event::List { news, entries } => {
@@ -99,26 +104,27 @@
                     self.hosts.values_mut().for_each(|host| host.standing = Standing::Gone);
                 }
                 for Listed { host, weight, zone, standing, .. } in entries {
-                    let shut = self.hosts.get(host).is_some_and(|host| host.shut);
+                    let withdrawn = self.hosts.get(host).is_some_and(|host| host.withdrawn);
                     let (zone, weight, standing) = (*zone, weight.max(1e-9), *standing);
-                    self.hosts.insert(*host, HostSeen { zone, weight, standing, shut, load: None });
+                    self.hosts.insert(*host, HostState { zone, weight, standing, withdrawn, load: None });
                 }
                 self.hosts.retain(|_, host| host.standing != Standing::Gone);
                 let known = &self.hosts;
-                self.met.retain(|(_, host), _| known.contains_key(host));
+                self.host_reports.retain(|(_, host), _| known.contains_key(host));
             }
             Event::Joined { proxy, zone, .. } => {
-                self.left(*proxy);
+                self.remove_proxy(*proxy);
                 self.proxies.insert(*proxy, *zone);
             }
-            Event::Left { proxy } => self.left(*proxy),
+            Event::Left { proxy } => self.remove_proxy(*proxy),
             Event::Met { host, zone, over, tries, voided, mean, .. } if self.hosts.contains_key(host) => {
-                let (tries, voided) = (f64::from(*tries), f64::from(*voided).min(f64::from(*tries)));
-                self.met.insert((*zone, *host), Met { at: now, over: *over, tries, voided, mean: *mean });
+                let (tries, failed) = (f64::from(*tries), f64::from(*voided).min(f64::from(*tries)));
+                self.host_reports
+                    .insert((*zone, *host), HostReport { at: now, span: *over, tries, failed, mean: *mean });
             }
             Event::Came { proxy, product, txns, over, .. } if self.proxies.contains_key(proxy) => {
                 let rate = 1_000.0 * f64::from(*txns) / over.max(1.0);
-                self.came.insert((*proxy, *product), Came { at: now, rate });
+                self.proxy_reports.insert((*proxy, *product), ProxyReport { at: now, rate });
             }
             Event::Load { host, load, age, sure } => {
                 if let Some(host) = self.hosts.get_mut(host) {
@@ -129,12 +135,12 @@
         }
     }
 
-    /// Orders tell who is shut out.
-    pub fn ordered(&mut self, order: &Order) {
+    /// Records which hosts an order withdraws.
+    pub fn record_order(&mut self, order: &Order) {
         match order {
             Order::Withdraw { host, out } => {
                 if let Some(host) = self.hosts.get_mut(host) {
-                    host.shut = *out;
+                    host.withdrawn = *out;
                 }
             }
             Order::Forget { host } => drop(self.hosts.remove(host)),
@@ -142,86 +148,111 @@
         }
     }
 
-    fn left(&mut self, proxy: ProxyId) {
+    fn remove_proxy(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
-        self.came.retain(|(other, _), _| *other != proxy);
+        self.proxy_reports.retain(|(other, _), _| *other != proxy);
     }
 
-    /// The figures of all zones as they stand.
-    pub fn read(&mut self, now: f64) -> BTreeMap<ZoneId, Seen> {
-        let kept = now - KEPT * self.every;
-        self.met.retain(|_, met| met.at > kept);
-        self.came.retain(|_, came| came.at > kept);
-        (0..self.zones).map(ZoneId).map(|zone| (zone, self.zone(now, zone))).collect()
+    /// Computes the current figures of all zones.
+    pub fn evaluate(&mut self, now: f64) -> BTreeMap<ZoneId, ZoneStats> {
+        let oldest = now - RETAINED_PERIODS * self.period;
+        self.host_reports.retain(|_, report| report.at > oldest);
+        self.proxy_reports.retain(|_, report| report.at > oldest);
+        (0..self.zones).map(ZoneId).map(|zone| (zone, self.zone_stats(now, zone))).collect()
     }
 
-    fn zone(&mut self, now: f64, zone: ZoneId) -> Seen {
-        let fresh = |at: f64| at > now - MISSED * self.every;
-        let met: Vec<Met> = self.met.iter().filter(|((z, _), _)| *z == zone).map(|(_, met)| *met).collect();
-        let came = || self.came.iter().filter(|((proxy, _), _)| self.proxies.get(proxy) == Some(&zone));
-        let told = met.iter().map(|met| met.at).chain(came().map(|(_, came)| came.at));
-        let told: Vec<f64> = told.collect();
-        let (heard, pairs) = (told.iter().filter(|at| fresh(**at)).count() as f64, told.len() as f64);
-        // Proxies that joined and never told a sum are missed too.
+    fn zone_stats(&mut self, now: f64, zone: ZoneId) -> ZoneStats {
+        let fresh = |at: f64| at > now - MISSED_PERIODS * self.period;
+        let reports: Vec<HostReport> =
+            self.host_reports.iter().filter(|((z, _), _)| *z == zone).map(|(_, report)| *report).collect();
+        let class_reports =
+            || self.proxy_reports.iter().filter(|((proxy, _), _)| self.proxies.get(proxy) == Some(&zone));
+        let report_times =
+            reports.iter().map(|report| report.at).chain(class_reports().map(|(_, report)| report.at));
+        let report_times: Vec<f64> = report_times.collect();
+        let (fresh_reports, pairs) =
+            (report_times.iter().filter(|at| fresh(**at)).count() as f64, report_times.len() as f64);
+        // Proxies that joined and never sent a report count as missing too.
         let silent = self.proxies.iter().filter(|(proxy, z)| {
             **z == zone
-                && self.came.range((**proxy, ProductId(0))..=(**proxy, ProductId(u16::MAX))).next().is_none()
+                && self
+                    .proxy_reports
+                    .range((**proxy, ProductId(0))..=(**proxy, ProductId(u16::MAX)))
+                    .next()
+                    .is_none()
         });
-        let all = pairs + silent.count() as f64;
-        let unseen = if all > 0.0 { 1.0 - heard / all } else { 1.0 };
+        let expected_pairs = pairs + silent.count() as f64;
+        let missing_fraction = if expected_pairs > 0.0 { 1.0 - fresh_reports / expected_pairs } else { 1.0 };
         let (round, last) = self.rounds.get(&zone).copied().unwrap_or((0, f64::NEG_INFINITY));
-        let anew = told.iter().filter(|at| **at > last).count() as f64;
-        let over = anew > 0.0 && anew >= 0.5 * pairs && now - last >= 0.5 * self.every;
-        let round = if over { (round + 1, now) } else { (round, last) };
+        let new_reports = report_times.iter().filter(|at| **at > last).count() as f64;
+        let round_complete =
+            new_reports > 0.0 && new_reports >= 0.5 * pairs && now - last >= 0.5 * self.period;
+        let round = if round_complete { (round + 1, now) } else { (round, last) };
         self.rounds.insert(zone, round);
 
         let proxies = self.proxies.values().filter(|z| **z == zone).count();
-        let mut seen = Seen { round: round.0, proxies, ..Seen::default() };
-        for ((_, product), Came { rate, .. }) in came() {
-            *seen.came.entry(*product).or_default() += rate;
+        let mut stats = ZoneStats { round: round.0, proxies, ..ZoneStats::default() };
+        for ((_, product), ProxyReport { rate, .. }) in class_reports() {
+            *stats.arrival_rates.entry(*product).or_default() += rate;
         }
         let listed = || self.hosts.values().filter(|host| host.zone == zone);
-        let on = |host: &&HostSeen| host.standing == Standing::On && !host.shut;
+        let available = |host: &&HostState| host.standing == Standing::On && !host.withdrawn;
         let all_weight = listed().map(|host| host.weight).sum::<f64>();
-        seen.open = listed().filter(on).map(|host| host.weight).sum();
+        stats.available_weight = listed().filter(available).map(|host| host.weight).sum();
         if all_weight > 0.0 {
-            seen.values.insert(Signal::Out, 1.0 - seen.open / all_weight);
+            stats.values.insert(Signal::Out, 1.0 - stats.available_weight / all_weight);
         }
-        seen.values.insert(Signal::Unseen, unseen);
+        stats.values.insert(Signal::Unseen, missing_fraction);
         let mut loads: Vec<f64> = listed()
-            .filter_map(|host| host.load.filter(|load| load.1 > now - LOAD_FOR))
+            .filter_map(|host| host.load.filter(|load| load.1 > now - LOAD_MAX_AGE))
             .map(|load| load.0)
             .collect();
         loads.sort_by(f64::total_cmp);
         if let Some(median) = loads.get(loads.len() / 2).filter(|_| 2 * loads.len() >= listed().count()) {
-            seen.values.insert(Signal::Load, *median);
+            stats.values.insert(Signal::Load, *median);
         }
-        let met: Vec<Met> = met.into_iter().filter(|met| fresh(met.at)).collect();
-        let sum = |of: &dyn Fn(&Met) -> f64| met.iter().map(of).sum::<f64>();
-        let per_s =
-            |of: &dyn Fn(&Met) -> f64| met.iter().map(|m| 1_000.0 * of(m) / m.over.max(1.0)).sum::<f64>();
-        (seen.good, seen.tries) = (per_s(&|met| met.good()), per_s(&|met| met.tries));
-        let (tries, good) = (sum(&|met| met.tries), sum(&|met| met.good()));
-        if unseen <= KNOWN && tries >= LEAST_TRIES {
-            let sla = self.sla(&seen.came);
-            let (voided, mean) =
-                (1.0 - good / tries, sum(&|met| met.good() * met.mean) / good.max(1.0) / sla);
-            // Quick good answers beside voided ones are no load's doing.
-            let slow = mean + if mean > 0.5 || good < 1.0 { voided } else { 0.0 };
-            let late = sum(&|met| if met.mean > sla || met.good() < 1.0 { met.tries } else { 0.0 }) / tries;
-            seen.values.extend([(Signal::Pressure, slow), (Signal::Voided, voided), (Signal::Late, late)]);
+        let reports: Vec<HostReport> = reports.into_iter().filter(|report| fresh(report.at)).collect();
+        let sum = |of: &dyn Fn(&HostReport) -> f64| reports.iter().map(of).sum::<f64>();
+        let per_s = |of: &dyn Fn(&HostReport) -> f64| {
+            reports.iter().map(|m| 1_000.0 * of(m) / m.span.max(1.0)).sum::<f64>()
+        };
+        (stats.successes_per_s, stats.tries_per_s) =
+            (per_s(&|report| report.succeeded()), per_s(&|report| report.tries));
+        let (tries, succeeded) = (sum(&|report| report.tries), sum(&|report| report.succeeded()));
+        if missing_fraction <= MAX_MISSING_FRACTION && tries >= MIN_TRIES {
+            let latency_target = self.mean_latency_target(&stats.arrival_rates);
+            let (failed_fraction, mean) = (
+                1.0 - succeeded / tries,
+                sum(&|report| report.succeeded() * report.mean) / succeeded.max(1.0) / latency_target,
+            );
+            // Failures beside fast successful answers are not caused by load.
+            let pressure = mean + if mean > 0.5 || succeeded < 1.0 { failed_fraction } else { 0.0 };
+            let late_fraction = sum(&|report| {
+                if report.mean > latency_target || report.succeeded() < 1.0 {
+                    report.tries
+                } else {
+                    0.0
+                }
+            }) / tries;
+            stats.values.extend([
+                (Signal::Pressure, pressure),
+                (Signal::Voided, failed_fraction),
+                (Signal::Late, late_fraction),
+            ]);
         }
-        seen
+        stats
     }
 
-    /// The mean SLA time of what comes.
-    fn sla(&self, came: &BTreeMap<ProductId, f64>) -> f64 {
-        let all: f64 = came.values().sum();
-        let sum: f64 =
-            came.iter().filter_map(|(id, rate)| Some(rate * self.slas.get(usize::from(id.0))?)).sum();
+    /// The mean latency target of the arrivals, in ms.
+    fn mean_latency_target(&self, arrival_rates: &BTreeMap<ProductId, f64>) -> f64 {
+        let all: f64 = arrival_rates.values().sum();
+        let sum: f64 = arrival_rates
+            .iter()
+            .filter_map(|(id, rate)| Some(rate * self.latency_targets.get(usize::from(id.0))?))
+            .sum();
         match all > 0.0 {
             true => sum / all,
-            false => self.slas.iter().sum::<f64>() / (self.slas.len() as f64).max(1.0),
+            false => self.latency_targets.iter().sum::<f64>() / (self.latency_targets.len() as f64).max(1.0),
         }
         .max(1e-9)
     }
--- a/crates/service-levels/tests/cases/ladders.rs
+++ b/crates/service-levels/tests/cases/ladders.rs
@@ -4,18 +4,18 @@
 use crate::night::{level, levels, on, products};
 
 #[test]
-fn a_ladder_that_can_not_serve_is_refused_at_its_level() {
+fn an_invalid_ladder_is_rejected_at_its_level() {
     let changed = |change: &dyn Fn(&mut Vec<Level>)| {
         let mut all = levels();
         change(&mut all);
         match Ladder::new(all, &products()) {
             Ok(_) => "fine".to_string(),
-            Err(unfit) => format!("{}: {unfit}", unfit.level()),
+            Err(error) => format!("{}: {error}", error.level()),
         }
     };
     let keep = |least, most| Keep { least, most };
     let id = amberarch_core::ProductId;
-    let said = [
+    let messages = [
         changed(&|_| {}),
         changed(&|all| all.truncate(1)),
         changed(&|all| all[0].enter = all[1].enter.clone()),
@@ -42,18 +42,18 @@
     expect![[r#"
         fine
         0: a ladder has full service and at least one level below it
-        0: the first level is full service: nothing is shed in it and nothing enters it
+        0: the first level must be full service: it sheds nothing and has no conditions
         2: two levels are named no-extras
         1: level no-extras keeps 0.5 to 0.2 of a product; expected 0 to 1, the lesser first
         1: level no-extras keeps NaN to 1 of a product; expected 0 to 1, the lesser first
         1: level no-extras can't be entered: it has no condition to enter
         1: level no-extras can't be left: it has no condition to leave
         1: level no-extras is left at pressure = 0.8 and entered at 0.8: it would be left while it is entered
-        1: level no-extras is entered by late and not left by it: what enters must be seen to end
-        1: level no-extras is never in force: essentials is entered by the same or less
+        1: level no-extras has late as a condition to enter but not as one to leave: each signal that enters a level must also end it
+        1: level no-extras is unreachable: essentials is entered under the same or weaker conditions
         fine
-        2: level essentials keeps more of a product than no-extras above it
+        2: level essentials keeps more of a request class than no-extras above it
         2: level essentials sheds the once-only product tally-submit before the inquiry-like product results-page, which earns less for its work; force = true if that is meant
         fine
-        fine"#]].assert_eq(&said.join("\n"));
+        fine"#]].assert_eq(&messages.join("\n"));
 }
--- a/crates/service-levels/tests/cases/main.rs
+++ b/crates/service-levels/tests/cases/main.rs
@@ -1,4 +1,4 @@
-//! The nights that levels exist for, and the ladders that can't serve.
+//! Tests of the service levels: overload and fault scenarios, invalid ladders, and property tests.
 
 mod hard;
 mod ladders;
--- a/crates/service-levels/tests/cases/model.rs
+++ b/crates/service-levels/tests/cases/model.rs
@@ -1,4 +1,4 @@
-//! Random signals and demands against what must always hold.
+//! Property tests: invariants of the levels and of the plan under random reports and demands.
 
 use std::collections::BTreeMap;
 
@@ -7,64 +7,65 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-use crate::night::{products, Night};
+use crate::night::{products, Fleet};
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever sums say: one level, one change in 30 s outside the emergency, submits never shed before pages.
+    /// Whatever the reports contain: one level at a time, one change in 30 s outside an emergency, and
+    /// submits are never shed before pages.
     #[test]
-    fn one_level_at_a_time_and_once_only_products_last(
+    fn one_level_at_a_time_and_non_idempotent_classes_last(
         rounds in vec((0.0f64..3.0, 0.0f64..1.0, 0.2f64..4.0, 0u8..12), 20..120),
     ) {
-        let mut night = Night::new();
-        night.run(8_000.0);
-        for (mean, voided, times, odd) in rounds {
-            let came = [40.0 * times, 30.0 * times, 10.0 * times];
-            night.cut = if odd == 0 { vec![1] } else { vec![] };
-            night.stalled = if odd == 1 { vec![0, 1] } else { vec![] };
-            night.now += 2_000.0;
+        let mut fleet = Fleet::new();
+        fleet.run(8_000.0);
+        for (mean, voided, times, fault) in rounds {
+            let arrival_rates = [40.0 * times, 30.0 * times, 10.0 * times];
+            fleet.partitioned_zones = if fault == 0 { vec![1] } else { vec![] };
+            fleet.stalled_proxies = if fault == 1 { vec![0, 1] } else { vec![] };
+            fleet.now += 2_000.0;
             for zone in 0..2 {
-                let part = if odd == 2 && zone == 1 { 0.2 } else { 1.0 };
-                night.sum(zone, came, 80.0 * times, voided * part, mean * part);
+                let part = if fault == 2 && zone == 1 { 0.2 } else { 1.0 };
+                fleet.report_zone(zone, arrival_rates, 80.0 * times, voided * part, mean * part);
             }
-            night.look();
+            fleet.evaluate();
             for zone in 0..2 {
-                let shares = [0, 1, 2].map(|product| night.share(zone, product));
+                let shares = [0, 1, 2].map(|product| fleet.share(zone, product));
                 prop_assert!(shares.iter().all(|share| (0.0..=1.0).contains(share)), "{shares:?}");
                 prop_assert!(shares[2] >= shares[0].min(shares[1]) - 1e-6 && shares[2] >= 0.999, "{shares:?}");
             }
         }
-        let changes = night.levels.status().changes;
+        let changes = fleet.levels.status().changes;
         for pair in changes.windows(2) {
-            let early = pair[1].at - pair[0].at < BETWEEN - 1e-6;
-            prop_assert!(!early || matches!(pair[1].why, Why::Emergency(..)), "{pair:?}");
-            // Down as far as need be, up one at a time.
+            let early = pair[1].at - pair[0].at < MIN_CHANGE_INTERVAL - 1e-6;
+            prop_assert!(!early || matches!(pair[1].why, ChangeReason::Emergency(..)), "{pair:?}");
+            // Several levels may be entered at once, but they are left one at a time.
             prop_assert!(pair[1].to > pair[1].from || pair[1].to + 1 == pair[1].from, "{pair:?}");
             prop_assert_eq!(pair[0].to, pair[1].from);
         }
         for three in changes.windows(3) {
-            prop_assert!(three[2].at - three[0].at >= BETWEEN - 1e-6, "two early changes: {three:?}");
+            prop_assert!(three[2].at - three[0].at >= MIN_CHANGE_INTERVAL - 1e-6, "two early changes: {three:?}");
         }
     }
 
-    /// More pressure never leads to a shallower level, seen from the same start.
+    /// From the same start, more failures never lead to a shallower level.
     #[test]
-    fn deeper_trouble_never_takes_a_shallower_level(voided in 0.0f64..0.9, more in 0.0f64..0.1, rounds in 3u32..8) {
+    fn a_higher_pressure_never_leads_to_a_shallower_level(voided in 0.0f64..0.9, increase in 0.0f64..0.1, rounds in 3u32..8) {
         let depth = |voided: f64| {
-            let mut night = Night::new();
-            night.run(8_000.0);
+            let mut fleet = Fleet::new();
+            fleet.run(8_000.0);
             for _ in 0..rounds {
-                night.now += 2_000.0;
-                (0..2).for_each(|zone| night.sum(zone, [40.0, 30.0, 10.0], 80.0, voided, 0.9));
-                night.look();
+                fleet.now += 2_000.0;
+                (0..2).for_each(|zone| fleet.report_zone(zone, [40.0, 30.0, 10.0], 80.0, voided, 0.9));
+                fleet.evaluate();
             }
-            night.levels.ladder().find(&night.at()).expect("a level that is known")
+            fleet.levels.ladder().find(&fleet.level()).expect("the level in force is known")
         };
-        prop_assert!(depth(voided + more) >= depth(voided));
+        prop_assert!(depth(voided + increase) >= depth(voided));
     }
 
-    /// The plan keeps every bound, and earns no less than the greedy rule.
+    /// The plan keeps all bounds, and its value is no lower than that of the greedy rule.
     #[test]
     fn the_plan_is_within_bounds_and_no_worse_than_greedy(
         zones in vec(vec((0.1f64..200.0, 50.0f64..900.0, 0.1f64..5.0, 0.0f64..1.0, any::<bool>()), 1..6), 1..4),
@@ -73,41 +74,42 @@
         let (mut demands, mut capacities) = (Demands::new(), Capacities::new());
         for (zone, here) in (0..).map(ZoneId).zip(&zones) {
             let mut work_here = 0.0;
-            for (product, (rate, work, revenue, least, own_zone)) in (0..).map(ProductId).zip(here.iter().copied()) {
-                demands.insert((zone, product), Demand { rate, work, revenue, least, most: 1.0, own_zone });
+            for (product, (rate, work, value, least, own_zone)) in (0..).map(ProductId).zip(here.iter().copied()) {
+                demands.insert((zone, product), Demand { rate, work, value, least, most: 1.0, own_zone });
                 work_here += rate * work;
             }
             capacities.insert(zone, work_here * parts[usize::from(zone.0)]);
         }
-        let plan = best(&demands, &capacities);
+        let plan = optimal_shares(&demands, &capacities);
         for (key, demand) in &demands {
             prop_assert!(plan[key] >= demand.least - 1e-6 && plan[key] <= demand.most + 1e-6);
         }
-        // What must be kept goes before what earns more; where it does not fit, the two do not compare.
+        // Minimum shares take precedence over value. Where they do not fit, the two plans are not
+        // comparable.
         let kept = |zone: &ZoneId| -> f64 {
             let here = demands.iter().filter(|((at, _), _)| at == zone);
             here.map(|(_, demand)| demand.least * demand.rate * demand.work).sum()
         };
         prop_assume!(capacities.iter().all(|(zone, room)| kept(zone) <= *room));
-        let by_greedy = greedy(&demands, &capacities);
-        let (one, other) = (earned(&demands, &plan, &capacities), earned(&demands, &by_greedy, &capacities));
+        let by_greedy = greedy_shares(&demands, &capacities);
+        let (one, other) = (total_value(&demands, &plan, &capacities), total_value(&demands, &by_greedy, &capacities));
         prop_assert!(one >= other * 0.99 - 1e-6, "{one} and {other}");
     }
 }
 
 #[test]
-fn a_plan_moves_what_may_leave_its_zone_and_keeps_what_may_not() {
-    let demand =
-        |rate, revenue, own_zone| Demand { rate, work: 100.0, revenue, least: 0.0, most: 1.0, own_zone };
+fn a_plan_moves_classes_that_may_leave_their_zone_and_keeps_the_others() {
+    let demand = |rate, value, own_zone| Demand { rate, work: 100.0, value, least: 0.0, most: 1.0, own_zone };
     let demands: Demands = [
         ((ZoneId(0), ProductId(0)), demand(10.0, 1.0, false)),
         ((ZoneId(0), ProductId(1)), demand(10.0, 0.5, true)),
     ]
     .into();
     let capacities: Capacities = [(ZoneId(0), 1_000.0), (ZoneId(1), 1_000.0)].into();
-    // Greedy sheds what zone 0 can't do; the plan sends the other product to zone 1 and keeps both.
-    assert_eq!(greedy(&demands, &capacities)[&(ZoneId(0), ProductId(1))], 0.0);
-    let plan: BTreeMap<_, _> = best(&demands, &capacities);
+    // The greedy rule sheds what zone 0 cannot serve. The plan moves the other class to zone 1 and keeps
+    // both.
+    assert_eq!(greedy_shares(&demands, &capacities)[&(ZoneId(0), ProductId(1))], 0.0);
+    let plan: BTreeMap<_, _> = optimal_shares(&demands, &capacities);
     assert!(plan.values().all(|share| *share > 0.999), "{plan:?}");
     assert_eq!(products().len(), 3);
 }
--- a/crates/service-levels/tests/cases/night.rs
+++ b/crates/service-levels/tests/cases/night.rs
@@ -1,30 +1,31 @@
-//! A fleet of two zones as levels see it: sums of what a plain model of its hosts makes of what is let in.
+//! A simulated fleet of two zones. A simple model of its hosts turns the admitted traffic into the reports
+//! that the service levels receive.
 
 use std::collections::BTreeMap;
 
 use amberarch_core::*;
 use amberarch_service_levels::*;
 
-pub const EVERY: f64 = 2_000.0;
+pub const REPORT_PERIOD: f64 = 2_000.0;
 const ZONES: u16 = 2;
 const HOSTS: u32 = 6;
 const PROXIES: u16 = 4;
 
-pub fn product(effect: Effect, sla: f64, revenue: f64) -> Product {
+pub fn product(effect: Effect, sla: f64, value: f64) -> Product {
     Product {
         sla,
         expiry: 3.0 * sla,
         effect,
         scope: Scope::All,
         window: 5_000.0,
-        revenue,
+        revenue: value,
         late_part: 0.2,
         own_zone: false,
         writes: effect != Effect::InquiryLike,
     }
 }
 
-/// Detail pages, results pages, tally submits.
+/// Three request classes: detail pages, results pages and tally submits.
 pub fn products() -> Vec<(String, Product)> {
     vec![
         ("detail-page".into(), product(Effect::InquiryLike, 400.0, 0.3)),
@@ -51,7 +52,7 @@
     }
 }
 
-/// Full service and three levels below it, the last entered by an emergency.
+/// Full service and three levels below it; the last one is an emergency level.
 pub fn levels() -> Vec<Level> {
     let quiet = [on(Signal::Pressure, 0.6, 6_000.0), on(Signal::Voided, 0.05, 6_000.0)];
     vec![
@@ -65,73 +66,73 @@
     ]
 }
 
-pub struct Night {
+pub struct Fleet {
     pub levels: ServiceLevels,
     pub now: f64,
     pub trace: String,
-    /// Txns a second of each product in each zone.
+    /// Txns per second of each request class in each zone.
     pub rates: [f64; 3],
-    /// Work a second that a zone's hosts can do, in ms of SLA time.
+    /// Work per second that a zone's hosts can do, in ms of latency target.
     pub capacity: [f64; 2],
-    /// Of what is turned away, so much comes again in the next round.
-    pub again: f64,
-    /// No sums of these proxies; none at all of these zones.
-    pub stalled: Vec<u16>,
-    pub cut: Vec<u16>,
-    /// Each sum comes that many times.
-    pub times: u32,
-    pub told: BTreeMap<(u16, u16), f64>,
-    pub awaits: bool,
-    turned_away: [[f64; 3]; 2],
+    /// Fraction of the refused txns that are retried in the next round.
+    pub retry_fraction: f64,
+    /// Proxies that send no reports, and zones that send none at all.
+    pub stalled_proxies: Vec<u16>,
+    pub partitioned_zones: Vec<u16>,
+    /// How many times each report is delivered.
+    pub report_copies: u32,
+    pub sent_shares: BTreeMap<(u16, u16), f64>,
+    pub awaiting: bool,
+    refused_rates: [[f64; 3]; 2],
     fresh: bool,
 }
 
-impl Night {
-    pub fn new() -> Night {
-        Night::with(levels(), true)
+impl Fleet {
+    pub fn new() -> Fleet {
+        Fleet::with(levels(), true)
     }
 
-    /// A steward's start: `fresh` where proxies hold nothing of one before it.
-    pub fn with(levels: Vec<Level>, fresh: bool) -> Night {
-        let mut night = Night {
-            levels: Night::steward(levels),
+    /// Starts a controller; `fresh` if the proxies hold nothing of an earlier one.
+    pub fn with(levels: Vec<Level>, fresh: bool) -> Fleet {
+        let mut fleet = Fleet {
+            levels: Fleet::service_levels(levels),
             now: 0.0,
             trace: String::new(),
             rates: [40.0, 30.0, 10.0],
             capacity: [60_000.0; 2],
-            again: 0.0,
-            stalled: vec![],
-            cut: vec![],
-            times: 1,
-            told: BTreeMap::new(),
-            awaits: false,
-            turned_away: [[0.0; 3]; 2],
+            retry_fraction: 0.0,
+            stalled_proxies: vec![],
+            partitioned_zones: vec![],
+            report_copies: 1,
+            sent_shares: BTreeMap::new(),
+            awaiting: false,
+            refused_rates: [[0.0; 3]; 2],
             fresh,
         };
-        night.begin();
-        night
+        fleet.connect();
+        fleet
     }
 
-    fn steward(levels: Vec<Level>) -> ServiceLevels {
-        let ladder = Ladder::new(levels, &products()).expect("a ladder that can serve");
-        let sums = Sums { every: EVERY, lines_per_s: 1_000.0 };
+    fn service_levels(levels: Vec<Level>) -> ServiceLevels {
+        let ladder = Ladder::new(levels, &products()).expect("a valid ladder");
+        let sums = Sums { every: REPORT_PERIOD, lines_per_s: 1_000.0 };
         ServiceLevels::new(ladder, ZONES, products().into_iter().map(|one| one.1).collect(), &sums, true)
     }
 
-    /// The steward starts anew; proxies keep what they were told.
+    /// Restarts the controller; the proxies keep the bounds they have received.
     pub fn restart(&mut self) {
-        self.levels = Night::steward(levels());
-        (self.fresh, self.awaits) = (false, false);
-        self.note("the steward starts anew");
-        self.begin();
+        self.levels = Fleet::service_levels(levels());
+        (self.fresh, self.awaiting) = (false, false);
+        self.note("the controller restarts");
+        self.connect();
     }
 
-    /// Another steward takes this one's place without a word of what was.
-    pub fn rejoin(&mut self) {
-        self.begin();
+    /// Replaces the controller by one that has no state of the previous one.
+    pub fn reconnect(&mut self) {
+        self.connect();
     }
 
-    fn begin(&mut self) {
+    fn connect(&mut self) {
         let entry = |host: u32| Listed {
             host: HostId(host),
             weight: 1.0,
@@ -157,87 +158,95 @@
         self.levels.hear(self.now, &event);
     }
 
-    pub fn at(&self) -> String {
-        self.levels.status().level.unwrap_or_else(|| "not known".into())
+    pub fn level(&self) -> String {
+        self.levels.status().level.unwrap_or_else(|| "unknown".into())
     }
 
     pub fn share(&self, zone: u16, product: u16) -> f64 {
-        self.told.get(&(zone, product)).copied().unwrap_or(1.0)
+        self.sent_shares.get(&(zone, product)).copied().unwrap_or(1.0)
     }
 
-    /// So long, with sums at the end of each period and looks in between.
+    /// Runs for `ms`, with reports at the end of each period and evaluations in between.
     pub fn run(&mut self, ms: f64) {
         let until = self.now + ms;
         while self.now < until {
             self.now += 400.0;
-            if self.now % EVERY < 400.0 {
-                self.sums();
+            if self.now % REPORT_PERIOD < 400.0 {
+                self.report_all_zones();
             }
-            self.look();
+            self.evaluate();
         }
     }
 
-    pub fn look(&mut self) {
+    pub fn evaluate(&mut self) {
         for event in self.levels.look(self.now) {
             match event {
                 Event::Bound { zone, product, share, .. } => {
-                    self.told.insert((zone.0, product.0), share);
+                    self.sent_shares.insert((zone.0, product.0), share);
                 }
-                Event::Await { on } => self.awaits = on,
-                other => panic!("no event of levels: {other:?}"),
+                Event::Await { on } => self.awaiting = on,
+                other => panic!("unexpected event from the service levels: {other:?}"),
             }
         }
-        for line in self.levels.said() {
+        for line in self.levels.take_log_lines() {
             let line = line.split(" zone").next().unwrap_or("").to_string();
             self.note(&line);
         }
     }
 
-    /// What a zone's proxies met in a period: the part that is too much is voided, what is near it is slow.
-    pub fn sums(&mut self) {
+    /// Reports what the zones' proxies observe in a period: traffic above the capacity fails, and near the
+    /// capacity it is slow.
+    pub fn report_all_zones(&mut self) {
         for zone in 0..ZONES {
-            let mut came = [0.0; 3];
+            let mut arrival_rates = [0.0; 3];
             let mut work = 0.0;
-            let mut let_in = 0.0;
-            let away = &mut self.turned_away[usize::from(zone)];
-            for (id, ((came, away), (_, product))) in (0..).zip(came.iter_mut().zip(away).zip(products())) {
-                *came = self.rates[usize::from(id)] + self.again * *away;
-                let inside = *came * self.told.get(&(zone, id)).copied().unwrap_or(1.0);
-                *away = *came - inside;
-                (work, let_in) = (work + inside * product.sla, let_in + inside);
+            let mut admitted = 0.0;
+            let refused = &mut self.refused_rates[usize::from(zone)];
+            for (id, ((arrival_rate, refused), (_, product))) in
+                (0..).zip(arrival_rates.iter_mut().zip(refused).zip(products()))
+            {
+                *arrival_rate = self.rates[usize::from(id)] + self.retry_fraction * *refused;
+                let admitted_rate = *arrival_rate * self.sent_shares.get(&(zone, id)).copied().unwrap_or(1.0);
+                *refused = *arrival_rate - admitted_rate;
+                (work, admitted) = (work + admitted_rate * product.sla, admitted + admitted_rate);
             }
             let used = work / self.capacity[usize::from(zone)];
             let mean = (0.2 / (1.0 - used).max(0.05)).min(2.5);
-            self.sum(zone, came, let_in, (1.0 - 1.0 / used.max(1e-9)).max(0.0), mean);
+            self.report_zone(zone, arrival_rates, admitted, (1.0 - 1.0 / used.max(1e-9)).max(0.0), mean);
         }
     }
 
-    /// One zone's sums of a period: rates by product, tries a second, the voided part, the mean over the SLA time.
-    pub fn sum(&mut self, zone: u16, came: [f64; 3], tries: f64, voided: f64, mean: f64) {
-        if self.cut.contains(&zone) {
+    /// Sends one zone's reports of a period: arrivals by class, tries per second, failed fraction, and mean
+    /// latency divided by the target.
+    pub fn report_zone(&mut self, zone: u16, arrival_rates: [f64; 3], tries: f64, voided: f64, mean: f64) {
+        if self.partitioned_zones.contains(&zone) {
             return;
         }
-        let over = EVERY;
+        let over = REPORT_PERIOD;
         let count = |per_s: f64| (per_s * over / 1e3).round() as u32;
-        let mine: Vec<u16> = (0..PROXIES).filter(|proxy| proxy % ZONES == zone).collect();
-        let told =
-            mine.iter().filter(|proxy| !self.stalled.contains(proxy)).count() as f64 / mine.len() as f64;
+        let zone_proxies: Vec<u16> = (0..PROXIES).filter(|proxy| proxy % ZONES == zone).collect();
+        let reporting_fraction =
+            zone_proxies.iter().filter(|proxy| !self.stalled_proxies.contains(proxy)).count() as f64
+                / zone_proxies.len() as f64;
         let hosts: Vec<u32> = (0..HOSTS).filter(|host| host % u32::from(ZONES) == u32::from(zone)).collect();
-        let all: f64 = came.iter().sum();
-        let sla =
-            came.iter().zip(products()).map(|(rate, one)| rate * one.1.sla).sum::<f64>() / all.max(1e-9);
-        for _ in 0..self.times {
+        let all: f64 = arrival_rates.iter().sum();
+        let sla = arrival_rates.iter().zip(products()).map(|(rate, one)| rate * one.1.sla).sum::<f64>()
+            / all.max(1e-9);
+        for _ in 0..self.report_copies {
             for host in &hosts {
-                let tries = count(told * tries / hosts.len() as f64);
+                let tries = count(reporting_fraction * tries / hosts.len() as f64);
                 let voided = (f64::from(tries) * voided).round() as u32;
                 let (host, zone, report) = (HostId(*host), ZoneId(zone), LoadReport::default());
                 self.hear(Event::Met { host, zone, over, tries, voided, mean: mean * sla, report });
             }
-            for proxy in
-                mine.iter().filter(|proxy| !self.stalled.contains(proxy)).copied().collect::<Vec<_>>()
+            for proxy in zone_proxies
+                .iter()
+                .filter(|proxy| !self.stalled_proxies.contains(proxy))
+                .copied()
+                .collect::<Vec<_>>()
             {
-                for (product, rate) in (0..).map(ProductId).zip(came) {
-                    let txns = count(rate / mine.len() as f64);
+                for (product, rate) in (0..).map(ProductId).zip(arrival_rates) {
+                    let txns = count(rate / zone_proxies.len() as f64);
                     self.hear(Event::Came { proxy: ProxyId(proxy), product, txns, voided: 0, over });
                 }
             }
