--- a/crates/intake/src/belief.rs
+++ b/crates/intake/src/belief.rs
@@ -1,125 +1,134 @@
-//! What is believed of one host's load, and how that ages.
+//! The estimated load of one host, and how it ages without new reports.
 //!
-//! A figure that is not renewed goes from fresh over ageing to silent. On the way the belief moves from the
-//! host's own figure to the fleet's median and loses its weight. It stays between the two, so silence never
-//! makes a host look idler than both the host itself last said and what the others say.
+//! An estimate without new reports goes from fresh through ageing to silent. Meanwhile it moves from the
+//! host's own load to the fleet's median, and its confidence falls to 0. It stays between the two values,
+//! so silence never makes a host look less loaded than the lower of its own last report and the median.
 
-use crate::clock::Observed;
+use crate::clock::ObservationTime;
 use crate::report::Load;
 
-/// A host's own figure, told of late.
+/// An estimate from a recent report of the host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fresh {
     pub load: f64,
     pub age: f64,
 }
 
-/// Between the host's own figure and the fleet's.
+/// An estimate between the host's last load and the fleet's median.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ageing {
     pub load: f64,
     pub age: f64,
-    /// Under 1 and over 0.
+    /// The confidence, between 1 and 0 (exclusive).
     pub sure: f64,
 }
 
-/// Nothing of the host's own is left: it is taken for one of the fleet, and nothing is done by that.
+/// The host's own reports no longer count. It is taken for a median host, and no decision is based on that.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Silent {
     pub median: f64,
     pub age: f64,
 }
 
+/// The estimated load of a host by freshness.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Belief {
+pub enum LoadEstimate {
     Fresh(Fresh),
     Ageing(Ageing),
     Silent(Silent),
-    /// It never reported, or not since it was listed or started anew.
+    /// The host never reported, or not since it was listed or restarted.
     Unknown,
 }
 
+/// How recent the newest report of a host is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
+pub enum Freshness {
     Fresh,
     Ageing,
     Silent,
 }
 
-/// A host may miss one report of its pace and come late with the next before it counts as ageing.
-const MISSED: f64 = 1.5;
-/// Half a second for the way here, one for a pause of the reporter.
-const LATE: f64 = 1_500.0;
+/// A host may miss one report and send the next one late before it counts as ageing.
+const MISSED_REPORTS: f64 = 1.5;
+/// Milliseconds of tolerated delay: 500 for the transmission and 1000 for a pause of the reporter.
+const MAX_DELAY: f64 = 1_500.0;
 
-/// For how long a figure stays fresh after it was observed, for a host that reports each `every` ms. Twice as
-/// long and it is silent.
-pub fn fresh_for(every: f64) -> f64 {
-    LATE + MISSED * every
+/// Milliseconds for which a load stays fresh after its observation, for a host that reports every `interval`
+/// ms. After twice that time the host is silent.
+pub fn freshness_limit(interval: f64) -> f64 {
+    MAX_DELAY + MISSED_REPORTS * interval
 }
 
-/// A single figure is noise, and sampled figures are few: half of the belief is renewed in 2 s. With a third of
-/// this, hosts of a steady emulated day crossed the line by chance alone.
-const SMOOTH: f64 = 3_000.0;
+/// Time constant of the smoothing, in ms. A single load is noisy and sampled loads are few; with this value
+/// half of the estimate is renewed in 2 s. With a third of it, hosts under a steady load crossed the line
+/// by chance alone.
+const SMOOTHING_TIME: f64 = 3_000.0;
 
-/// The newest that is known of a host.
+/// The smoothed load of a host and the time of its newest observation.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct SmoothedLoad {
     load: f64,
-    /// The figure that came last, before it was smoothed.
-    last: f64,
-    pub seen: Observed,
-    /// The reporter's own time of it: it orders the reports of one process to the microsecond.
+    /// The newest reported load, before smoothing.
+    last_reported: f64,
+    pub observed: ObservationTime,
+    /// The observation time on the reporter's clock, which orders the reports of one process to the
+    /// microsecond.
     pub at: f64,
 }
 
-impl Known {
-    pub fn first(load: Load, seen: Observed, at: f64) -> Known {
-        Known { load: load.figure(), last: load.figure(), seen, at }
+impl SmoothedLoad {
+    pub fn first(load: Load, observed: ObservationTime, at: f64) -> SmoothedLoad {
+        SmoothedLoad { load: load.value(), last_reported: load.value(), observed, at }
     }
 
     pub fn load(&self) -> f64 {
         self.load
     }
 
-    /// How far the last figure is from the smoothed one.
-    pub fn moved(&self) -> f64 {
-        (self.last - self.load).abs()
+    /// Difference between the newest reported load and the smoothed one.
+    pub fn deviation(&self) -> f64 {
+        (self.last_reported - self.load).abs()
     }
 
-    /// With one more figure, observed later: the longer after, the more it counts.
-    pub fn then(self, load: Load, seen: Observed, at: f64) -> Known {
-        let weight = 1.0 - (-(seen.latest - self.seen.latest).max(0.0) / SMOOTH).exp();
-        Known { load: self.load + weight * (load.figure() - self.load), last: load.figure(), seen, at }
+    /// Adds a load that was observed later. Its weight grows with the time since the previous one.
+    pub fn update(self, load: Load, observed: ObservationTime, at: f64) -> SmoothedLoad {
+        let weight = 1.0 - (-(observed.latest - self.observed.latest).max(0.0) / SMOOTHING_TIME).exp();
+        SmoothedLoad {
+            load: self.load + weight * (load.value() - self.load),
+            last_reported: load.value(),
+            observed,
+            at,
+        }
     }
 
-    /// When it leaves the stage that it is in at `now`; a silent one leaves it by reports only.
-    pub fn turns(&self, now: f64, every: f64) -> Option<f64> {
-        let fresh = fresh_for(every);
-        match self.stage(now, every) {
-            Stage::Fresh => Some(self.seen.latest + fresh),
-            Stage::Ageing => Some(self.seen.latest + 2.0 * fresh),
-            Stage::Silent => None,
+    /// When the freshness changes next; a silent host changes only by a new report.
+    pub fn next_transition(&self, now: f64, interval: f64) -> Option<f64> {
+        let fresh = freshness_limit(interval);
+        match self.freshness(now, interval) {
+            Freshness::Fresh => Some(self.observed.latest + fresh),
+            Freshness::Ageing => Some(self.observed.latest + 2.0 * fresh),
+            Freshness::Silent => None,
         }
     }
 
-    pub fn stage(&self, now: f64, every: f64) -> Stage {
-        let (age, fresh) = (now - self.seen.latest, fresh_for(every));
+    pub fn freshness(&self, now: f64, interval: f64) -> Freshness {
+        let (age, fresh) = (now - self.observed.latest, freshness_limit(interval));
         match age {
-            _ if age < fresh => Stage::Fresh,
-            _ if age < 2.0 * fresh => Stage::Ageing,
-            _ => Stage::Silent,
+            _ if age < fresh => Freshness::Fresh,
+            _ if age < 2.0 * fresh => Freshness::Ageing,
+            _ => Freshness::Silent,
         }
     }
 
-    pub fn belief(&self, now: f64, every: f64, median: f64) -> Belief {
-        let (age, fresh) = ((now - self.seen.latest).max(0.0), fresh_for(every));
-        match self.stage(now, every) {
-            Stage::Fresh => Belief::Fresh(Fresh { load: self.load, age }),
-            Stage::Ageing => {
+    pub fn estimate(&self, now: f64, interval: f64, median: f64) -> LoadEstimate {
+        let (age, fresh) = ((now - self.observed.latest).max(0.0), freshness_limit(interval));
+        match self.freshness(now, interval) {
+            Freshness::Fresh => LoadEstimate::Fresh(Fresh { load: self.load, age }),
+            Freshness::Ageing => {
                 let sure = 2.0 - age / fresh;
-                Belief::Ageing(Ageing { load: median + sure * (self.load - median), age, sure })
+                LoadEstimate::Ageing(Ageing { load: median + sure * (self.load - median), age, sure })
             }
-            Stage::Silent => Belief::Silent(Silent { median, age }),
+            Freshness::Silent => LoadEstimate::Silent(Silent { median, age }),
         }
     }
 }
--- a/crates/intake/src/pace.rs
+++ b/crates/intake/src/pace.rs
@@ -1,51 +1,56 @@
-//! How often each host is to report: a budget of reports a second, dealt over hosts.
+//! How often each host is to report: a budget of reports per second, distributed over the hosts.
 //!
-//! Each host is in one class of need. The rates are the weighted max-min fair ones: every host gets its class's
-//! weight times one common rate, but no less than the least and no more than the most; the common rate is what
-//! uses the budget up. Hosts of one class get the same, so it is found over the classes, not over the hosts.
+//! Each host has a priority. The rates are weighted max-min fair: each host gets the weight of its priority
+//! times one common rate, but no less than `MIN_RATE` and no more than `MAX_RATE`; the common rate is the
+//! one that uses up the budget. Hosts of one priority get the same rate, so the computation runs over the
+//! priorities, not over the hosts.
 
 /// How much a host's next report can change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Need {
-    /// Far from every line at which decisions change, and steady.
+pub enum Priority {
+    /// Far from the load at which decisions change, and steady.
     Steady,
+    /// Its load is changing.
     Moving,
-    /// Beside a line: the next report may cross it.
+    /// Near the load at which decisions change: the next report may cross it.
     Near,
 }
 
-pub const NEEDS: [(Need, f64); 3] = [(Need::Steady, 1.0), (Need::Moving, 2.0), (Need::Near, 4.0)];
+/// The priorities with their weights.
+pub const PRIORITIES: [(Priority, f64); 3] =
+    [(Priority::Steady, 1.0), (Priority::Moving, 2.0), (Priority::Near, 4.0)];
 
-/// Reports a second of one host: a belief ages within some seconds, and no decision looks more often than
-/// twenty times a second.
-const MOST: f64 = 20.0;
-const LEAST: f64 = 0.2;
+/// Bounds of one host's rate in reports per second: an estimate ages within some seconds, and no decision
+/// is made more often than twenty times per second.
+const MAX_RATE: f64 = 20.0;
+const MIN_RATE: f64 = 0.2;
 
-/// How many hosts are in each class, in the order of `NEEDS`.
-pub type Census = [u32; NEEDS.len()];
+/// Number of hosts of each priority, in the order of `PRIORITIES`.
+pub type PriorityCounts = [u32; PRIORITIES.len()];
 
-/// The rate of a host of each class, in reports a second. Their sum is the budget at the most; it is less only
-/// where all hosts have the most that is of use.
-pub fn deal(budget: f64, census: Census) -> [f64; NEEDS.len()] {
-    let hosts: u32 = census.iter().sum();
+/// The rate of a host of each priority, in reports per second. Their sum is at most the budget; it is less
+/// only where all hosts have `MAX_RATE`.
+pub fn allocate_rates(budget: f64, counts: PriorityCounts) -> [f64; PRIORITIES.len()] {
+    let hosts: u32 = counts.iter().sum();
     if hosts == 0 {
-        return [MOST; NEEDS.len()];
+        return [MAX_RATE; PRIORITIES.len()];
     }
-    // So many hosts that not even the least fits: all alike.
-    let least = f64::min(LEAST, budget / f64::from(hosts));
-    let rates = |common: f64| NEEDS.map(|(_, weight)| (weight * common).clamp(least, MOST));
+    // With so many hosts that not even the minimum rate fits, all get the same rate.
+    let min_rate = f64::min(MIN_RATE, budget / f64::from(hosts));
+    let rates = |common: f64| PRIORITIES.map(|(_, weight)| (weight * common).clamp(min_rate, MAX_RATE));
     let sum = |common: f64| -> f64 {
-        rates(common).iter().zip(census).map(|(rate, count)| rate * f64::from(count)).sum()
+        rates(common).iter().zip(counts).map(|(rate, count)| rate * f64::from(count)).sum()
     };
-    // The sum grows piece by piece along a straight line: the bends are where a class meets a bound.
-    let mut bends: Vec<f64> = NEEDS.iter().flat_map(|(_, weight)| [least / weight, MOST / weight]).collect();
-    bends.sort_by(f64::total_cmp);
-    let after = bends.iter().position(|bend| sum(*bend) >= budget);
+    // The sum is piecewise linear in the common rate; it bends where a priority reaches a bound.
+    let mut breakpoints: Vec<f64> =
+        PRIORITIES.iter().flat_map(|(_, weight)| [min_rate / weight, MAX_RATE / weight]).collect();
+    breakpoints.sort_by(f64::total_cmp);
+    let after = breakpoints.iter().position(|breakpoint| sum(*breakpoint) >= budget);
     let common = match after {
-        None => MOST,
-        Some(0) => bends[0],
+        None => MAX_RATE,
+        Some(0) => breakpoints[0],
         Some(after) => {
-            let (from, to) = (bends[after - 1], bends[after]);
+            let (from, to) = (breakpoints[after - 1], breakpoints[after]);
             let (low, high) = (sum(from), sum(to));
             from + (to - from) * (budget - low) / (high - low).max(1e-12)
         }
@@ -53,59 +58,61 @@
     rates(common)
 }
 
-/// The nearest interval of a grid of quarter octaves, rounded up: small shifts tell nobody anything, and the
-/// budget holds.
-pub fn interval(rate: f64) -> f64 {
+/// Converts a rate to an interval in ms, rounded up to a grid of quarter octaves: small changes cause no
+/// messages, and the budget holds.
+pub fn rounded_interval(rate: f64) -> f64 {
     let exact = 1_000.0 / rate.max(1e-6);
     2f64.powf((exact.log2() * 4.0 - 1e-9).ceil() / 4.0)
 }
 
-/// Over its pace by a quarter a host is not refused: clocks, pauses and batches bring reports together.
-const SLACK: f64 = 1.25;
-/// So many may come at once after a pause.
-const DEPTH: f64 = 3.0;
-/// For so long after a slower pace was told the faster one before it is still let through.
-const ON_ITS_WAY: f64 = 2_000.0;
+/// A host may exceed its rate by a quarter, because clocks, pauses and batches bunch reports together.
+const RATE_TOLERANCE: f64 = 1.25;
+/// Reports that may arrive at once after a pause.
+const BURST: f64 = 3.0;
+/// Milliseconds after a longer interval was sent for which the previous shorter one is still accepted, as
+/// the message may be in transit.
+const CHANGE_GRACE: f64 = 2_000.0;
 
-/// A host's pace: what its reporter was told, and what is let through by that.
+/// The report interval of a host, as sent to its reporter, and the token bucket that enforces it.
 #[derive(Clone, Debug)]
 pub struct Pace {
-    pub need: Need,
+    pub priority: Priority,
     /// Milliseconds between two reports.
-    every: f64,
-    before: f64,
-    /// Whether the reporter that speaks for the host was told.
-    pub known: bool,
-    told_at: f64,
+    interval: f64,
+    previous: f64,
+    /// Whether the reporter of the host has been sent the interval.
+    pub sent: bool,
+    changed_at: f64,
     tokens: f64,
     filled_at: f64,
 }
 
 impl Pace {
-    pub fn new(now: f64, every: f64) -> Pace {
-        let (need, known) = (Need::Steady, false);
-        Pace { need, every, before: every, known, told_at: now, tokens: DEPTH, filled_at: now }
+    pub fn new(now: f64, interval: f64) -> Pace {
+        let (priority, sent) = (Priority::Steady, false);
+        Pace { priority, interval, previous: interval, sent, changed_at: now, tokens: BURST, filled_at: now }
     }
 
-    pub fn every(&self) -> f64 {
-        self.every
+    pub fn interval(&self) -> f64 {
+        self.interval
     }
 
-    pub fn tell(&mut self, now: f64, every: f64) {
-        (self.before, self.every, self.told_at, self.known) = (self.every, every, now, true);
+    pub fn set_interval(&mut self, now: f64, interval: f64) {
+        (self.previous, self.interval, self.changed_at, self.sent) = (self.interval, interval, now, true);
     }
 
-    /// Whether one more report is let through, observed at `seen`. Observations are counted, not arrivals: of
-    /// what a queue held back, the newest must not be refused for the oldest.
-    pub fn pass(&mut self, seen: f64) -> bool {
-        let every = match seen - self.told_at < ON_ITS_WAY {
-            true => self.every.min(self.before),
-            false => self.every,
+    /// Whether one more report, observed at `observed`, is within the rate. The bucket refills by
+    /// observation times, not by arrivals: of reports that a queue delayed, the newest must not be refused
+    /// because of the oldest.
+    pub fn admits(&mut self, observed: f64) -> bool {
+        let interval = match observed - self.changed_at < CHANGE_GRACE {
+            true => self.interval.min(self.previous),
+            false => self.interval,
         };
-        let fresh = SLACK * (seen - self.filled_at).max(0.0) / every;
-        (self.tokens, self.filled_at) = (DEPTH.min(self.tokens + fresh), seen.max(self.filled_at));
-        let passes = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(passes));
-        passes
+        let refill = RATE_TOLERANCE * (observed - self.filled_at).max(0.0) / interval;
+        (self.tokens, self.filled_at) = (BURST.min(self.tokens + refill), observed.max(self.filled_at));
+        let admitted = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(admitted));
+        admitted
     }
 }
--- a/crates/intake/src/report.rs
+++ b/crates/intake/src/report.rs
@@ -1,51 +1,51 @@
-//! A report and its parts, each checked once where it comes in.
+//! Reports and their parts, validated once on arrival.
 
 use amberarch_core::HostId;
 
-/// One who reports: a host for itself, or an agent that passes on the reports of many.
+/// A reporter: a host that reports for itself, or an agent that forwards the reports of many hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReporterId(pub u32);
 
-/// A reporter's start: a number drawn anew by each of its processes. Boots have no order.
+/// Incarnation of a reporter: a random number drawn by each of its processes. Incarnations are not ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Boot(pub u64);
 
-/// A report's number, counted up by its reporter, round after 2^32.
+/// Sequence number of a report, counted up by its reporter; it wraps around after 2^32.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Seq(pub u32);
 
-/// The number of a message of paces. A reporter repeats the last that it has read, which shows that what it
-/// says was said after that message had left.
+/// Number of a message of report intervals. A reporter repeats the last number that it has read, which
+/// proves that its batch was sent after that message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Echo(pub u64);
 
-/// How much of its capacity a host uses: 1 is full, more is what queues up.
+/// The fraction of its capacity that a host uses: 1 is full, and above 1 work queues up.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Load(f64);
 
-/// Fifty times full is no load that a host serves under; what says more is spoilt.
-const MOST_LOAD: f64 = 50.0;
+/// No host serves under fifty times its capacity; higher values are corrupted.
+const MAX_LOAD: f64 = 50.0;
 
 impl Load {
     /// # Errors
-    /// A figure that is not a number, negative, infinite or out of range.
-    pub fn of(figure: f64) -> Result<Load, Refusal> {
-        // Written so that what is not a number fails too.
-        let fits = (0.0..=MOST_LOAD).contains(&figure);
-        fits.then_some(Load(figure)).ok_or(Refusal::Unfit)
+    /// The value is NaN, negative, infinite or out of range.
+    pub fn of(value: f64) -> Result<Load, Refusal> {
+        // A range check, so that NaN is refused too.
+        let valid = (0.0..=MAX_LOAD).contains(&value);
+        valid.then_some(Load(value)).ok_or(Refusal::Unfit)
     }
 
-    pub fn figure(self) -> f64 {
+    pub fn value(self) -> f64 {
         self.0
     }
 }
 
-/// What one host's load was at one moment of its reporter's clock.
+/// The load of one host at one moment of its reporter's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
     pub host: HostId,
     pub seq: Seq,
-    /// Milliseconds on the reporter's own clock, which only goes forward and starts anywhere.
+    /// Milliseconds on the reporter's own clock, which is monotonic and starts anywhere.
     pub at: f64,
     pub load: f64,
 }
@@ -54,36 +54,36 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Batch<'a> {
     pub boot: Boot,
-    /// When it was put together, on the reporter's clock, in milliseconds.
+    /// When the batch was assembled, on the reporter's clock, in milliseconds.
     pub sent: f64,
     pub echo: Option<Echo>,
     pub reports: &'a [Report],
 }
 
-/// Why a report is not taken. Each kind is counted by itself.
+/// Why a report is refused. Each kind is counted separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum Refusal {
-    #[error("a figure that can't be")]
+    #[error("the load or a time is out of range or not a number")]
     Unfit,
-    #[error("a host that is not listed")]
+    #[error("the host is not listed")]
     UnknownHost,
-    #[error("more reports than its pace allows")]
+    #[error("the host's report rate is exceeded")]
     OverPace,
-    #[error("a number that was taken before")]
+    #[error("the sequence number was accepted before")]
     Repeat,
-    #[error("a number from too far back to tell whether it was taken")]
+    #[error("the sequence number is too far back to tell whether it was accepted")]
     TooFarBack,
-    #[error("older than what is known of its host")]
+    #[error("older than the newest report of its host")]
     Superseded,
-    #[error("so old when it came that its host counts as silent by it")]
+    #[error("so old on arrival that its host would count as silent")]
     Stale,
-    #[error("observed before the last probe of its host, or sum about it")]
+    #[error("observed before the last probe of its host or traffic report about it")]
     Overtaken,
-    #[error("observed before its host's last start")]
+    #[error("observed before the last start of its host")]
     BeforeStart,
-    #[error("from a process of its reporter that another has followed")]
+    #[error("from a process of its reporter that a newer one has replaced")]
     Retired,
-    #[error("from a clock that nothing is known of yet")]
+    #[error("the clock of the reporter is not synchronized yet")]
     Unproven,
 }
 
--- a/crates/intake/src/reporter.rs
+++ b/crates/intake/src/reporter.rs
@@ -1,152 +1,166 @@
-//! One reporter: which of its processes speaks, how its clock stands to ours, and what it was told.
+//! State of one reporter: which of its processes is active, the offset of its clock, and which messages it
+//! was sent.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use amberarch_core::HostId;
 
-use crate::clock::Clock;
-use crate::replay::Replay;
+use crate::clock::RemoteClock;
+use crate::replay::ReplayWindow;
 use crate::report::{Batch, Boot, Echo, Refusal};
 
-/// What one process of a reporter has sent.
+/// State of one process of a reporter.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct ReporterProcess {
     pub boot: Boot,
-    pub clock: Clock,
-    pub replay: Replay,
-    /// Counts the jumps of its clock: times of before and after one have no order.
-    pub era: u32,
-    heard_at: f64,
+    pub clock: RemoteClock,
+    pub replay: ReplayWindow,
+    /// Number of jumps of its clock; times before and after a jump are not ordered.
+    pub clock_epoch: u32,
+    received_at: f64,
 }
 
-impl Run {
-    fn new(boot: Boot, now: f64) -> Run {
-        Run { boot, clock: Clock::default(), replay: Replay::default(), era: 0, heard_at: now }
+impl ReporterProcess {
+    fn new(boot: Boot, now: f64) -> ReporterProcess {
+        ReporterProcess {
+            boot,
+            clock: RemoteClock::default(),
+            replay: ReplayWindow::default(),
+            clock_epoch: 0,
+            received_at: now,
+        }
     }
 }
 
-/// A process that another has followed may speak again only after the other was quiet for so long: else two
-/// that were started by mistake would take turns with every message.
-const QUIET: f64 = 10_000.0;
-/// More processes than these in a row are not told apart from new ones; a new one still has to prove itself.
-const RETIRED: usize = 4;
-/// Echoes older than these prove nothing anyway.
-const ECHOES: usize = 4;
-/// A new message of paces is due this often even where nothing has changed: it shows how the clocks stand
-/// before they can have drifted apart by more than some milliseconds.
-const PROVE_AGAIN: f64 = 30_000.0;
-/// Between two messages to one reporter. A round trip proves a clock, so that need not be sooner.
-const BETWEEN: f64 = 500.0;
-/// A message that told nothing of its reports' clock is asked for again this soon.
-const PROVE_SOON: f64 = 1_000.0;
+/// Milliseconds that the active process must be silent before a process that it replaced may take over
+/// again. Otherwise two processes started under one name would alternate with every message.
+const TAKEOVER_DELAY: f64 = 10_000.0;
+/// Number of replaced processes that are remembered. Older ones count as new, but a new process has to
+/// synchronize its clock first.
+const MAX_RETIRED: usize = 4;
+/// Number of sent messages that are remembered; echoes of older ones are of no use for the clock bounds.
+const MAX_ECHOES: usize = 4;
+/// A message of intervals is due this often, in ms, even without changes: it renews the clock bounds before
+/// the clocks can drift apart by more than some milliseconds.
+const RESYNC_INTERVAL: f64 = 30_000.0;
+/// Minimum time between two messages to one reporter, in ms. A round trip synchronizes a clock, so a
+/// shorter time is of no use.
+const MIN_MESSAGE_INTERVAL: f64 = 500.0;
+/// Milliseconds after which a message is sent again while the clock of the reporter is not synchronized.
+const SYNC_RETRY_INTERVAL: f64 = 1_000.0;
 
 #[derive(Debug)]
 pub struct Reporter {
+    /// Number of open connections.
     pub open: u32,
-    pub heard_at: f64,
-    run: Option<Run>,
-    /// A process that has not shown yet how its clock stands.
-    candidate: Option<Run>,
+    pub received_at: f64,
+    process: Option<ReporterProcess>,
+    /// A process whose clock is not synchronized yet.
+    candidate: Option<ReporterProcess>,
     retired: VecDeque<Boot>,
     echoes: VecDeque<(Echo, f64)>,
     pub hosts: BTreeSet<HostId>,
-    /// Some pace of its hosts differs from what it was told, or it has just come.
+    /// An interval of its hosts differs from what was sent, or the reporter has just connected.
     pub changed: bool,
-    /// What it sent over its paces, less what was taken of it.
-    over: u32,
+    /// Reports above the rates, less the accepted ones.
+    excess: u32,
+    /// Number of consecutive pauses; each doubles the next one.
     strikes: u32,
 }
 
-/// So many over show a reporter that does not heed its paces.
-const HEEDLESS: u32 = 16;
-/// For so long it is not read at first; doubled each time, up to 1.6 s.
-const REST: f64 = 50.0;
-const MOST_STRIKES: u32 = 6;
+/// From this excess on, a reporter counts as ignoring its intervals.
+const EXCESS_LIMIT: u32 = 16;
+/// First pause of reading in ms; doubled each time, up to 1.6 s.
+const BASE_PAUSE: f64 = 50.0;
+const MAX_STRIKES: u32 = 6;
 
 impl Reporter {
     pub fn new(now: f64) -> Reporter {
         Reporter {
             open: 0,
-            heard_at: now,
-            run: None,
+            received_at: now,
+            process: None,
             candidate: None,
             retired: VecDeque::new(),
             echoes: VecDeque::new(),
             hosts: BTreeSet::new(),
             changed: true,
-            over: 0,
+            excess: 0,
             strikes: 0,
         }
     }
 
-    /// The process that a batch comes from, if it is the one that is listened to; its clock has heard the batch.
+    /// Returns the process that sent a batch if it is the active one, and updates its clock from the batch.
     ///
     /// # Errors
-    /// `Retired` from a process that another has followed, `Unproven` while nothing is known of its clock.
-    pub fn run(&mut self, now: f64, batch: &Batch) -> Result<&mut Run, Refusal> {
-        self.heard_at = now;
-        let left = batch.echo.and_then(|echo| self.left(echo));
-        if self.run.as_ref().is_none_or(|run| run.boot != batch.boot) {
-            let quiet = self.run.as_ref().is_none_or(|run| now - run.heard_at > QUIET);
+    /// `Retired` from a process that was replaced, `Unproven` while its clock is not synchronized.
+    pub fn accept_batch(&mut self, now: f64, batch: &Batch) -> Result<&mut ReporterProcess, Refusal> {
+        self.received_at = now;
+        let sent_at = batch.echo.and_then(|echo| self.echo_sent_at(echo));
+        if self.process.as_ref().is_none_or(|process| process.boot != batch.boot) {
+            let quiet =
+                self.process.as_ref().is_none_or(|process| now - process.received_at > TAKEOVER_DELAY);
             if self.retired.contains(&batch.boot) && !quiet {
                 return Err(Refusal::Retired);
             }
             let candidate = self.candidate.take().filter(|candidate| candidate.boot == batch.boot);
-            let mut candidate = candidate.unwrap_or_else(|| Run::new(batch.boot, now));
-            candidate.clock.heard(now, batch.sent, left);
-            // What an old process left in a queue proves nothing: it repeats no message that left of late.
-            if !candidate.clock.proven() {
+            let mut candidate = candidate.unwrap_or_else(|| ReporterProcess::new(batch.boot, now));
+            candidate.clock.update(now, batch.sent, sent_at);
+            // Batches of an old process left in a queue do not synchronize its clock: they repeat no recent
+            // message.
+            if !candidate.clock.synchronized() {
                 self.candidate = Some(candidate);
                 return Err(Refusal::Unproven);
             }
             self.retired.retain(|boot| *boot != batch.boot);
-            self.retired.extend(self.run.replace(candidate).map(|run| run.boot));
-            if self.retired.len() > RETIRED {
+            self.retired.extend(self.process.replace(candidate).map(|process| process.boot));
+            if self.retired.len() > MAX_RETIRED {
                 self.retired.pop_front();
             }
-        } else if let Some(run) = &mut self.run {
-            run.era += u32::from(!run.clock.heard(now, batch.sent, left));
+        } else if let Some(process) = &mut self.process {
+            process.clock_epoch += u32::from(!process.clock.update(now, batch.sent, sent_at));
         }
-        match &mut self.run {
-            Some(run) if run.clock.proven() => {
-                run.heard_at = now;
-                Ok(run)
+        match &mut self.process {
+            Some(process) if process.clock.synchronized() => {
+                process.received_at = now;
+                Ok(process)
             }
             _ => Err(Refusal::Unproven),
         }
     }
 
-    /// For how long it is not to be read after a batch.
-    pub fn rest(&mut self, over: u32, taken: u32) -> f64 {
-        self.over = (self.over + over).saturating_sub(taken);
-        self.strikes = if over == 0 { 0 } else { self.strikes };
-        if self.over < HEEDLESS {
+    /// Milliseconds for which the reporter is not to be read after a batch.
+    pub fn read_pause(&mut self, excess: u32, taken: u32) -> f64 {
+        self.excess = (self.excess + excess).saturating_sub(taken);
+        self.strikes = if excess == 0 { 0 } else { self.strikes };
+        if self.excess < EXCESS_LIMIT {
             return 0.0;
         }
-        (self.over, self.strikes) = (0, MOST_STRIKES.min(self.strikes + 1));
-        REST * f64::from(1 << (self.strikes - 1))
+        (self.excess, self.strikes) = (0, MAX_STRIKES.min(self.strikes + 1));
+        BASE_PAUSE * f64::from(1 << (self.strikes - 1))
     }
 
-    fn left(&self, echo: Echo) -> Option<f64> {
-        self.echoes.iter().find(|(sent, _)| *sent == echo).map(|(_, left)| *left)
+    fn echo_sent_at(&self, echo: Echo) -> Option<f64> {
+        self.echoes.iter().find(|(sent, _)| *sent == echo).map(|(_, sent_at)| *sent_at)
     }
 
-    /// Whether a message of paces is due.
-    pub fn due(&self, now: f64) -> bool {
-        let since = self.echoes.back().map_or(f64::INFINITY, |(_, left)| now - left);
-        let unproven = self.candidate.is_some() || !self.run.as_ref().is_some_and(|run| run.clock.proven());
-        let wait = match (self.changed, unproven) {
-            (true, _) => BETWEEN,
-            (false, true) => PROVE_SOON,
-            (false, false) => PROVE_AGAIN,
+    /// Whether a message of intervals is due.
+    pub fn message_due(&self, now: f64) -> bool {
+        let since = self.echoes.back().map_or(f64::INFINITY, |(_, sent_at)| now - sent_at);
+        let unsynchronized = self.candidate.is_some()
+            || !self.process.as_ref().is_some_and(|process| process.clock.synchronized());
+        let wait = match (self.changed, unsynchronized) {
+            (true, _) => MIN_MESSAGE_INTERVAL,
+            (false, true) => SYNC_RETRY_INTERVAL,
+            (false, false) => RESYNC_INTERVAL,
         };
         self.open > 0 && since >= wait
     }
 
-    pub fn told(&mut self, now: f64, echo: Echo) {
+    pub fn message_sent(&mut self, now: f64, echo: Echo) {
         self.changed = false;
         self.echoes.push_back((echo, now));
-        if self.echoes.len() > ECHOES {
+        if self.echoes.len() > MAX_ECHOES {
             self.echoes.pop_front();
         }
     }
--- a/crates/intake/tests/cases/main.rs
+++ b/crates/intake/tests/cases/main.rs
@@ -1,4 +1,4 @@
-//! The failures that the intake exists for, each caused here, in virtual time.
+//! Tests of the intake: fault scenarios in virtual time, and property tests.
 
 mod hard;
 mod model;
--- a/crates/intake/tests/cases/night.rs
+++ b/crates/intake/tests/cases/night.rs
@@ -1,4 +1,5 @@
-//! Reporters with clocks and ways of their own, and an intake that hears them, in virtual time.
+//! Simulated reporters with their own clocks and connections, and an intake that receives them, in virtual
+//! time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,45 +20,45 @@
     pub reports: Vec<Report>,
 }
 
-/// A reporter that does as it should, but for what a test does to it.
-pub struct Stand {
+/// A reporter that behaves correctly, apart from the faults that a test sets.
+pub struct TestReporter {
     pub id: ReporterId,
     pub boot: Boot,
-    /// Its clock less ours, and how much faster it runs.
+    /// Its clock minus the local one, in ms.
     pub skew: f64,
     pub seq: u32,
     pub echo: Option<Echo>,
     pub loads: BTreeMap<HostId, f64>,
-    pub every: BTreeMap<HostId, f64>,
+    pub intervals: BTreeMap<HostId, f64>,
     due: BTreeMap<HostId, f64>,
-    /// What it sends waits here while its way is cut, or for so long.
-    pub cut: bool,
+    /// Its messages wait in `in_transit` while it is disconnected, or for `delay` ms.
+    pub disconnected: bool,
     pub delay: f64,
-    pub heedless: bool,
-    pub held: VecDeque<(f64, Sent)>,
+    pub ignores_intervals: bool,
+    pub in_transit: VecDeque<(f64, Sent)>,
     pub taken: Taken,
 }
 
-impl Stand {
-    pub fn new(id: u32, hosts: std::ops::Range<u32>, load: f64) -> Stand {
-        Stand {
+impl TestReporter {
+    pub fn new(id: u32, hosts: std::ops::Range<u32>, load: f64) -> TestReporter {
+        TestReporter {
             id: ReporterId(id),
             boot: Boot(u64::from(id) * 1_000),
             skew: 7e6 * f64::from(id + 1),
             seq: 0,
             echo: None,
             loads: hosts.map(|host| (HostId(host), load)).collect(),
-            every: BTreeMap::new(),
+            intervals: BTreeMap::new(),
             due: BTreeMap::new(),
-            cut: false,
+            disconnected: false,
             delay: 0.0,
-            heedless: false,
-            held: VecDeque::new(),
+            ignores_intervals: false,
+            in_transit: VecDeque::new(),
             taken: Taken::default(),
         }
     }
 
-    /// Its process ends and another begins, with a clock of its own.
+    /// Ends its process and starts another one with a clock of its own.
     pub fn restart(&mut self) {
         (self.boot, self.seq, self.echo) = (Boot(self.boot.0 + 1), 0, None);
         self.skew = -self.skew;
@@ -68,8 +69,8 @@
         let mut reports = Vec::new();
         for (host, load) in &self.loads {
             let due = self.due.entry(*host).or_insert(now);
-            if now >= *due || self.heedless {
-                let every = self.every.get(host).copied().unwrap_or(STEP);
+            if now >= *due || self.ignores_intervals {
+                let every = self.intervals.get(host).copied().unwrap_or(STEP);
                 *due = (*due + every).max(now - every);
                 self.seq = self.seq.wrapping_add(1);
                 reports.push(Report { host: *host, seq: Seq(self.seq), at, load: *load });
@@ -79,68 +80,70 @@
     }
 }
 
-pub struct Night {
+pub struct Simulation {
     pub intake: Intake,
     pub now: f64,
-    pub told: BTreeMap<HostId, (f64, Believed)>,
+    pub estimates: BTreeMap<HostId, (f64, Believed)>,
     pub trace: String,
-    shown: Option<HostId>,
+    traced_host: Option<HostId>,
 }
 
-impl Night {
-    pub fn new(hosts: u32, budget: f64) -> Night {
+impl Simulation {
+    pub fn new(hosts: u32, budget: f64) -> Simulation {
         let line = Line { load: 0.9, beside: 1.3 };
         let now = 1e6;
         let intake = Intake::new(now, budget, 8, line, Echo(1 << 40));
-        let mut night = Night { intake, now, told: BTreeMap::new(), trace: String::new(), shown: None };
-        night.list(&(0..hosts).map(|number| host(number, (number % 3) as u16)).collect::<Vec<_>>());
-        night
+        let mut sim =
+            Simulation { intake, now, estimates: BTreeMap::new(), trace: String::new(), traced_host: None };
+        sim.list(&(0..hosts).map(|number| host(number, (number % 3) as u16)).collect::<Vec<_>>());
+        sim
     }
 
-    pub fn show(&mut self, host: u32) {
-        self.shown = Some(HostId(host));
+    pub fn trace_host(&mut self, host: u32) {
+        self.traced_host = Some(HostId(host));
     }
 
     pub fn list(&mut self, hosts: &[ListedHost]) {
         self.intake.hosts(self.now, hosts);
     }
 
-    pub fn open(&mut self, stand: &Stand) {
-        let hosts: Vec<HostId> = stand.loads.keys().copied().collect();
-        self.intake.opened(self.now, stand.id, &hosts).expect("room for a reporter");
+    pub fn open(&mut self, reporter: &TestReporter) {
+        let hosts: Vec<HostId> = reporter.loads.keys().copied().collect();
+        self.intake.opened(self.now, reporter.id, &hosts).expect("room for a reporter");
     }
 
     pub fn note(&mut self, text: &str) {
         self.trace += &format!("{} {text}\n", self.now - 1e6);
     }
 
-    /// All send what is due, what has arrived is taken, paces go back, a tick tells.
-    pub fn step(&mut self, stands: &mut [Stand]) {
+    /// One step: reporters send what is due, arrived batches are processed, intervals are returned, and a
+    /// tick emits the estimates.
+    pub fn step(&mut self, reporters: &mut [TestReporter]) {
         self.now += STEP;
-        for stand in stands.iter_mut() {
-            let sent = stand.batch(self.now);
-            stand.held.push_back((self.now + stand.delay, sent));
-            if !stand.cut {
-                self.deliver(stand);
-                self.answer(stand);
+        for reporter in reporters.iter_mut() {
+            let sent = reporter.batch(self.now);
+            reporter.in_transit.push_back((self.now + reporter.delay, sent));
+            if !reporter.disconnected {
+                self.deliver(reporter);
+                self.deliver_intervals(reporter);
             }
         }
         self.tick();
     }
 
-    pub fn run(&mut self, ms: f64, stands: &mut [Stand]) {
+    pub fn run(&mut self, ms: f64, reporters: &mut [TestReporter]) {
         for _ in 0..(ms / STEP) as u32 {
-            self.step(stands);
+            self.step(reporters);
         }
     }
 
-    pub fn deliver(&mut self, stand: &mut Stand) {
-        while stand.held.front().is_some_and(|(due, _)| *due <= self.now) {
-            let Some((_, sent)) = stand.held.pop_front() else { break };
-            let taken = self.take(stand.id, &sent);
-            stand.taken.taken += taken.taken;
-            stand.taken.rest = stand.taken.rest.max(taken.rest);
-            stand.taken.refused.iter_mut().zip(taken.refused).for_each(|(sum, one)| *sum += one);
+    pub fn deliver(&mut self, reporter: &mut TestReporter) {
+        while reporter.in_transit.front().is_some_and(|(due, _)| *due <= self.now) {
+            let Some((_, sent)) = reporter.in_transit.pop_front() else { break };
+            let taken = self.take(reporter.id, &sent);
+            reporter.taken.taken += taken.taken;
+            reporter.taken.rest = reporter.taken.rest.max(taken.rest);
+            reporter.taken.refused.iter_mut().zip(taken.refused).for_each(|(sum, one)| *sum += one);
         }
     }
 
@@ -149,37 +152,41 @@
         self.intake.take(self.now, from, &Batch { boot: *boot, sent: *sent, echo: *echo, reports })
     }
 
-    /// Paces reach a reporter, which answers at once.
-    fn answer(&mut self, stand: &mut Stand) {
-        while let Some(paces) = self.intake.paces(self.now, stand.id) {
-            stand.echo = Some(paces.echo);
-            if !stand.heedless {
-                stand.every.extend(paces.every);
+    /// Intervals reach a reporter, which answers at once.
+    fn deliver_intervals(&mut self, reporter: &mut TestReporter) {
+        while let Some(paces) = self.intake.paces(self.now, reporter.id) {
+            reporter.echo = Some(paces.echo);
+            if !reporter.ignores_intervals {
+                reporter.intervals.extend(paces.every);
             }
-            let sent =
-                Sent { boot: stand.boot, sent: self.now + stand.skew, echo: stand.echo, reports: vec![] };
-            stand.held.push_back((self.now + stand.delay, sent));
-            self.deliver(stand);
+            let sent = Sent {
+                boot: reporter.boot,
+                sent: self.now + reporter.skew,
+                echo: reporter.echo,
+                reports: vec![],
+            };
+            reporter.in_transit.push_back((self.now + reporter.delay, sent));
+            self.deliver(reporter);
         }
     }
 
     pub fn tick(&mut self) {
         for believed in self.intake.tick(self.now, usize::MAX) {
-            if self.shown == Some(believed.host) {
+            if self.traced_host == Some(believed.host) {
                 let Believed { load, age, sure, .. } = believed;
                 self.note(&format!("load {load:.2}, {age:.0} ms old, {:.0} % sure", 100.0 * sure));
             }
-            self.told.insert(believed.host, (self.now, believed));
+            self.estimates.insert(believed.host, (self.now, believed));
         }
     }
 
-    /// What the decisions go by for a host: the figure, where anything is believed.
-    pub fn known(&self, host: u32) -> Option<f64> {
-        let told = self.told.get(&HostId(host)).map(|told| told.1);
-        told.filter(|told| told.sure > 0.0).map(|told| told.load)
+    /// The load that the decisions use for a host; `None` without an estimate.
+    pub fn load(&self, host: u32) -> Option<f64> {
+        let estimate = self.estimates.get(&HostId(host)).map(|estimate| estimate.1);
+        estimate.filter(|estimate| estimate.sure > 0.0).map(|estimate| estimate.load)
     }
 }
 
-pub fn refused(stand: &Stand, why: Refusal) -> u32 {
-    stand.taken.refused[why as usize]
+pub fn refused(reporter: &TestReporter, why: Refusal) -> u32 {
+    reporter.taken.refused[why as usize]
 }
