--- a/crates/intake/src/lib.rs
+++ b/crates/intake/src/lib.rs
@@ -89,6 +89,7 @@
     pub ageing: u32,
     pub silent: u32,
     pub reporters: u32,
+    /// Most hosts that ever reported have stopped, so no estimates are given out.
     pub link_down: bool,
 }
 
@@ -110,6 +111,7 @@
     emitted: Option<Believed>,
     emitted_at: f64,
     received_at: f64,
+    /// Whether the index of the record is in `Intake::dirty`.
     dirty: bool,
 }
 
@@ -134,6 +136,7 @@
     line: Line,
     most_reporters: usize,
     records: Vec<Option<Record>>,
+    /// Indices of unused records.
     free: Vec<u32>,
     index_by_host: BTreeMap<HostId, u32>,
     reporters: BTreeMap<ReporterId, Reporter>,
@@ -141,6 +144,7 @@
     zone_loads: BTreeMap<ZoneId, Histogram>,
     /// The last fleet median that a quorum of hosts supported.
     median: f64,
+    /// Number of listed hosts that have reported.
     reported_hosts: u32,
     census: Census,
     priority_counts: [u32; PRIORITIES.len()],
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -54,7 +54,9 @@
 pub struct Status {
     /// `None` while a restarted controller detects the level in force.
     pub level: Option<String>,
+    /// When the level was entered, in ms.
     pub since: f64,
+    /// Whether bounds are sent to the proxies.
     pub acts: bool,
     pub pinned: Option<(String, f64)>,
     pub last: Option<Change>,
@@ -79,6 +81,7 @@
     /// Level and sum of the report rounds for which `shares` was computed.
     planned_for: Option<(usize, u64)>,
     sent_bounds: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
+    /// The decisions were told to wait until the level in force is detected.
     await_sent: bool,
     started_at: Option<f64>,
     /// A proxy joined that still holds tables of an earlier controller.
--- a/crates/service-levels/src/machine.rs
+++ b/crates/service-levels/src/machine.rs
@@ -71,8 +71,10 @@
     }
 }
 
+/// One change of the level; levels are indices into the ladder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
+    /// When it happened, in ms.
     pub at: f64,
     pub from: usize,
     pub to: usize,
@@ -90,6 +92,7 @@
     value: f64,
 }
 
+/// A level that an operator holds in force until `until`, in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Pin {
     level: usize,
@@ -108,10 +111,12 @@
     /// The last evaluated round of each zone. Between two rounds the figures mix reports of both, so they
     /// are not evaluated.
     evaluated_rounds: BTreeMap<ZoneId, u64>,
+    /// For each level whose conditions to leave all hold: since when, in ms.
     leave_since: BTreeMap<usize, f64>,
     pin: Option<Pin>,
     trial_delay: f64,
     trial_at: f64,
+    /// Since when the conditions to leave the level in force have been met for long enough, in ms.
     calm_since: Option<f64>,
     changes: VecDeque<Change>,
 }
--- a/crates/service-levels/src/plan.rs
+++ b/crates/service-levels/src/plan.rs
@@ -24,6 +24,7 @@
 pub type Demands = BTreeMap<(ZoneId, ProductId), Demand>;
 /// Work per second that a zone's hosts can do; infinite where no limit was observed.
 pub type Capacities = BTreeMap<ZoneId, f64>;
+/// Admitted share, from 0 to 1, of each request class in each zone.
 pub type Shares = BTreeMap<(ZoneId, ProductId), f64>;
 
 /// Work that crosses zones counts for this fraction less, so that at equal value it stays in its zone, yet
--- a/crates/service-levels/src/signals.rs
+++ b/crates/service-levels/src/signals.rs
@@ -51,6 +51,7 @@
     weight: f64,
     standing: Standing,
     withdrawn: bool,
+    /// Estimated load and the time of the estimate, in ms.
     load: Option<(f64, f64)>,
 }
 
@@ -79,6 +80,7 @@
     proxies: BTreeMap<ProxyId, ZoneId>,
     host_reports: BTreeMap<(ZoneId, HostId), HostReport>,
     proxy_reports: BTreeMap<(ProxyId, ProductId), ProxyReport>,
+    /// Number and end, in ms, of each zone's last complete report round.
     rounds: BTreeMap<ZoneId, (u64, f64)>,
 }
 
