--- a/crates/accord/src/bugs.rs
+++ b/crates/accord/src/bugs.rs
@@ -1,24 +1,26 @@
-//! Faults put in on purpose, one line each, for an explorer to find. Without the feature `seeded-bugs` there is no
-//! way to set one.
+//! Seeded faults, one line of code each, that the test explorer has to find. They can be enabled only with
+//! the feature `seeded-bugs`.
 
+/// A fault that can be seeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Bug {
-    /// A voter gives its vote to whoever asks.
+    /// A voter grants its vote to every candidate that asks.
     VotesTwice,
-    /// A chair counts who has an entry of an earlier term, and takes a majority for enough.
+    /// A leader commits an entry of an earlier term as soon as a majority has it.
     CommitsEarlierTermByCount,
-    /// A steward goes on after its lease.
+    /// A controller goes on acting after its lease has ended.
     ActsAfterLease,
-    /// A chair brings a revision in force while some may still act on the old one.
+    /// A leader puts a revision in force while some controllers may still act on the old one.
     WidensBeforeAllNarrowed,
-    /// A chair answers for a lease without having asked its voters.
+    /// A leader grants a lease without a round of its voters that confirms its leadership.
     GrantsWithoutMajority,
-    /// A new chair takes nobody for a holder of a lease that an earlier one gave.
+    /// A new leader ignores the leases that earlier leaders granted.
     ForgetsEarlierLeases,
-    /// A steward says that it lets go, and orders on under the lease that it had.
+    /// A controller states that it issues no orders any more, and goes on under the lease that it had.
     LetsGoUnfenced,
-    /// A chair takes a word of one run for the end of whatever its member holds.
+    /// A leader takes the release of one run for the end of all leases of its member.
     LetGoReleasesOthers,
-    /// Where every voter that one goes by agrees, those count too that lost the disk on which they had promised.
+    /// Where all voters of the configuration acknowledge, voters count too that lost the disk on which they
+    /// had voted or stored entries.
     CountsLostDisks,
 }
--- a/crates/accord/src/chair.rs
+++ b/crates/accord/src/chair.rs
@@ -1,233 +1,250 @@
-//! What a chair does: writes entries, sees which stand, and asks its voters in rounds whether it still is one.
+//! The leader: appends entries, advances the commit index, and confirms its leadership by rounds of messages
+//! to its voters.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::copying::Peer;
-use crate::grants::Grants;
-use crate::questions::Question;
-use crate::wishes::{Asker, Outcome};
-use crate::{Accord, Boot, Bug, Disk, Entry, Lasting, Logged, Ms, Name, Out, Output, Place, Role, Said};
-
-/// A chair that heard no majority for so many of the shortest elections has perhaps been replaced: those cut off
-/// with it are told so rather than left waiting.
-const ELECTIONS_UNHEARD: f64 = 2.0;
-/// Questions that come within this part of a beat share a round.
-const ROUND_GATHERS: f64 = 0.1;
-/// A chair that is called each beat and sees more than this pass was stopped, or its clock has jumped.
-const BEATS_STOOD_STILL: f64 = 2.0;
-
+use crate::grants::LeaseTable;
+use crate::questions::LeaseRequest;
+use crate::wishes::{Outcome, PendingProposal};
+use crate::{Accord, Boot, Bug, Disk, Entry, Lasting, Logged, Ms, Name, Output, Outputs, Place, Role, Said};
+
+/// In units of the minimum election timeout: a leader without contact with a majority for this long has
+/// perhaps been replaced. It steps down, so that members partitioned with it are told so instead of waiting
+/// for answers.
+const QUORUM_CONTACT_ELECTIONS: f64 = 2.0;
+/// Fraction of a heartbeat interval within which lease requests share a round.
+const ROUND_BATCH_BEATS: f64 = 0.1;
+/// In heartbeat intervals: a leader, which is called once per interval, takes a larger gap as a sign that the
+/// process was stopped or its clock jumped.
+const MAX_GAP_BEATS: f64 = 2.0;
+
+/// The state that only a leader has.
 #[derive(Clone, Debug, Hash)]
-pub(crate) struct Chair {
-    /// The first entry of its term. Before it stands it is not known what else does.
-    pub first: Place,
+pub(crate) struct Leader {
+    /// Index of the first entry of the leader's term. Until it is committed, the leader does not know which
+    /// earlier entries are.
+    pub first_index: Place,
     pub peers: BTreeMap<Name, Peer>,
-    /// The last round begun, and when.
+    /// The number of the last round begun, and when it began.
     pub round: u64,
-    pub begun: Ms,
-    /// By who asked, and that run's count.
-    pub questions: BTreeMap<(Name, u64), Question>,
-    pub grants: Grants,
-    /// Members that operators want out, and whether all are as they are wanted: looked at when either changes, since
-    /// members are hundreds and messages thousands.
+    pub round_started: Ms,
+    /// By the requesting member and its request number.
+    pub lease_requests: BTreeMap<(Name, u64), LeaseRequest>,
+    pub leases: LeaseTable,
+    /// The members that operators want removed, and whether the membership is as operators want it. Both are
+    /// recomputed when the membership or the wanted one changes, since there may be hundreds of members and
+    /// thousands of messages.
     pub leaving: BTreeSet<Name>,
-    pub as_wanted: bool,
-    pub askers: BTreeMap<(Name, u64), Asker>,
-    /// Wishes that were answered, by who asked and in which run: one of them may come once more.
+    pub members_as_wanted: bool,
+    pub proposals: BTreeMap<(Name, u64), PendingProposal>,
+    /// Answered proposals, by member, run and proposal ID: a copy of one may arrive later.
     pub answered: VecDeque<((Name, Boot, u64), Outcome)>,
-    /// Since when the one staged waits for verdicts here.
-    pub staged: Ms,
+    /// When the staged revision began to wait for verdicts at this leader.
+    pub staged_at: Ms,
 }
 
 impl Accord {
-    pub(crate) fn take_chair(&mut self, out: &mut Out) {
-        if !matches!(self.role, Role::Asks { .. }) {
+    pub(crate) fn become_leader(&mut self, out: &mut Outputs) {
+        if !matches!(self.role, Role::Candidate { .. }) {
             return;
         }
-        let handed = self.take_handed();
-        let was_told = handed.is_some();
-        let Role::Asks { given, .. } = &self.role else { return };
+        let transfer = self.take_transfer();
+        let was_transferred = transfer.is_some();
+        let Role::Candidate { votes, .. } = &self.role else { return };
         let last = self.log.last().1;
-        let peer = |name: &Name| Peer::new(Place(last.0 + 1), given.get(name).copied(), self.now);
-        let peers = self.voters.everyone().filter(|name| **name != self.facts.me);
-        let chair = Chair {
-            first: Place(last.0 + 1),
+        let peer = |name: &Name| Peer::new(Place(last.0 + 1), votes.get(name).copied(), self.now);
+        let peers = self.voters.everyone().filter(|name| **name != self.settings.me);
+        let leader = Leader {
+            first_index: Place(last.0 + 1),
             peers: peers.map(|name| (name.clone(), peer(name))).collect(),
             round: 0,
-            begun: self.now,
-            questions: BTreeMap::new(),
-            grants: Grants::new(self.now, &self.facts, handed),
+            round_started: self.now,
+            lease_requests: BTreeMap::new(),
+            leases: LeaseTable::new(self.now, &self.settings, transfer),
             leaving: BTreeSet::new(),
-            as_wanted: false,
-            askers: BTreeMap::new(),
+            members_as_wanted: false,
+            proposals: BTreeMap::new(),
             answered: VecDeque::new(),
-            staged: self.now,
+            staged_at: self.now,
         };
-        self.role = Role::Chairs(Box::new(chair));
+        self.role = Role::Leader(Box::new(leader));
         self.sync_members();
-        if let (true, Role::Chairs(chair)) = (self.has(Bug::ForgetsEarlierLeases), &mut self.role) {
-            chair.grants.forget_earlier();
+        if let (true, Role::Leader(leader)) = (self.has_bug(Bug::ForgetsEarlierLeases), &mut self.role) {
+            leader.leases.forget_earlier();
         }
         let entry = match last {
-            Place(0) => {
-                Entry::Founded { voters: self.facts.voters.clone(), followers: self.facts.followers.clone() }
-            }
-            _ if self.has(Bug::CommitsEarlierTermByCount) => return self.begin_round(out),
+            Place(0) => Entry::Founded {
+                voters: self.settings.voters.clone(),
+                followers: self.settings.followers.clone(),
+            },
+            _ if self.has_bug(Bug::CommitsEarlierTermByCount) => return self.begin_round(out),
             _ => Entry::Begun,
         };
-        self.write(entry, out);
-        if was_told {
-            // The chair that they know ends, and they would ask it in vain.
-            self.tell_stage(out);
+        self.append_entry(entry, out);
+        if was_transferred {
+            // The leader that the members know is shutting down, and would not answer their requests.
+            self.announce_stage(out);
         }
     }
 
-    pub(crate) fn write(&mut self, entry: Entry, out: &mut Out) {
+    /// Appends an entry to the log and starts replicating it.
+    pub(crate) fn append_entry(&mut self, entry: Entry, out: &mut Outputs) {
         let members = matches!(entry, Entry::Members(_) | Entry::Founded { .. });
         let logged = Logged { term: self.term, entry };
         self.log.push(logged.clone());
         let from = self.log.last().1;
-        out.all.push(Output::Last(Lasting::Entries { from, entries: vec![logged] }));
+        out.outputs.push(Output::Last(Lasting::Entries { from, entries: vec![logged] }));
         if members {
-            self.count_voters();
+            self.recompute_voters();
             self.sync_members();
         }
         self.begin_round(out);
     }
 
-    /// Who is told the log: the voters, and whoever is to become one.
+    /// Updates the set of members that receive the log: the voters, and the members that are to become
+    /// voters.
     pub(crate) fn sync_members(&mut self) {
         let last = self.log.last().1;
-        let Role::Chairs(chair) = &mut self.role else { return };
-        chair.grants.know(&self.standing);
-        chair.leaving = self.standing.names().filter(|name| self.standing.leaves(name)).cloned().collect();
-        chair.as_wanted = self.standing.as_wanted();
-        let joins = |name: &&Name| chair.grants.disk(name).is_some() && !self.voters.contains(name);
-        let wanted = self.standing.wanted.iter().flat_map(|wanted| &wanted.voters).filter(joins);
-        let told: Vec<Name> =
-            self.voters.everyone().chain(wanted).filter(|name| **name != self.facts.me).cloned().collect();
-        chair.peers.retain(|name, _| told.contains(name));
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.leases.set_members(&self.committed);
+        leader.leaving =
+            self.committed.member_names().filter(|name| self.committed.is_leaving(name)).cloned().collect();
+        leader.members_as_wanted = self.committed.members_as_wanted();
+        let joining = |name: &&Name| leader.leases.disk(name).is_some() && !self.voters.contains(name);
+        let wanted = self.committed.wanted.iter().flat_map(|wanted| &wanted.voters).filter(joining);
+        let replicated: Vec<Name> =
+            self.voters.everyone().chain(wanted).filter(|name| **name != self.settings.me).cloned().collect();
+        leader.peers.retain(|name, _| replicated.contains(name));
         let peer = Peer::new(Place(last.0 + 1), None, self.now);
-        for (name, known) in &self.standing.voters {
-            // All are agreed that its word counts for nothing by itself.
-            if let (Some(Disk::NONE), Some(peer)) = (known, chair.peers.get_mut(name)) {
-                peer.went_back = false;
+        for (name, known) in &self.committed.voters {
+            // It is committed that no disk of this voter is trusted, so its acknowledgements do not count
+            // anyway.
+            if let (Some(Disk::NONE), Some(peer)) = (known, leader.peers.get_mut(name)) {
+                peer.rolled_back = false;
             }
         }
-        for name in told {
-            chair.peers.entry(name).or_insert_with(|| peer.clone());
+        for name in replicated {
+            leader.peers.entry(name).or_insert_with(|| peer.clone());
         }
     }
 
-    pub(crate) fn begin_round(&mut self, out: &mut Out) {
-        let Role::Chairs(chair) = &mut self.role else { return };
-        chair.round += 1;
-        chair.begun = self.now;
-        let names: Vec<Name> = chair.peers.keys().cloned().collect();
-        names.iter().for_each(|name| self.copy_to(name, out));
+    pub(crate) fn begin_round(&mut self, out: &mut Outputs) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.round += 1;
+        leader.round_started = self.now;
+        let names: Vec<Name> = leader.peers.keys().cloned().collect();
+        names.iter().for_each(|name| self.replicate_to(name, out));
     }
 
-    /// The stage is another: all are to ask for it now.
-    pub(crate) fn tell_stage(&mut self, out: &mut Out) {
-        if !matches!(self.role, Role::Chairs(_)) {
+    /// Announces a new stage: every member has to request a lease for it now.
+    pub(crate) fn announce_stage(&mut self, out: &mut Outputs) {
+        if !matches!(self.role, Role::Leader(_)) {
             return;
         }
-        let said = Said::Heed { term: self.term, stage: self.standing.stage.no };
-        self.standing.names().for_each(|name| self.say(name, said.clone(), out));
+        let said = Said::Heed { term: self.term, stage: self.committed.stage.no };
+        self.committed.member_names().for_each(|name| self.send(name, said.clone(), out));
     }
 
-    /// Whoever spoke before this has perhaps heard of another chair since.
-    pub(crate) fn of_late(&self) -> Ms {
-        self.now.plus(-ELECTIONS_UNHEARD * self.facts.election)
+    /// A member that was last heard before this time may have heard of another leader since.
+    pub(crate) fn recent_contact_cutoff(&self) -> Ms {
+        self.now.plus(-QUORUM_CONTACT_ELECTIONS * self.settings.election)
     }
 
-    /// A majority has spoken of late, and this one is a voter still.
-    fn presides(&self) -> bool {
-        let Role::Chairs(chair) = &self.role else { return false };
-        let since = self.of_late();
+    /// Whether a majority of voters has been heard recently, and this member is still a voter.
+    fn has_quorum_contact(&self) -> bool {
+        let Role::Leader(leader) = &self.role else { return false };
+        let since = self.recent_contact_cutoff();
         let heard = |name: &&Name| {
-            **name == self.facts.me || chair.peers.get(*name).is_some_and(|peer| peer.heard >= since)
+            **name == self.settings.me
+                || leader.peers.get(*name).is_some_and(|peer| peer.last_contact >= since)
         };
         let voters = self.voters.names().count();
-        let out_of_it = self.stands >= chair.first && !self.standing.is_voter(&self.facts.me);
-        2 * self.voters.names().filter(heard).count() > voters && !out_of_it
+        let removed = self.commit_index >= leader.first_index && !self.committed.is_voter(&self.settings.me);
+        2 * self.voters.names().filter(heard).count() > voters && !removed
     }
 
-    /// All that a chair brings about by itself.
-    pub(crate) fn preside(&mut self, out: &mut Out) {
-        if !matches!(self.role, Role::Chairs(_)) {
+    /// Everything that a leader does on its own initiative.
+    pub(crate) fn run_leader(&mut self, out: &mut Outputs) {
+        if !matches!(self.role, Role::Leader(_)) {
             return;
         }
-        if !self.presides() {
-            return self.stand_down(None);
+        if !self.has_quorum_contact() {
+            return self.become_follower(None);
         }
-        if self.ending.is_some() {
-            // It takes nothing up any more; what it wrote may still come to stand.
-            while self.count_standing(out) {}
-            self.hand_on(out);
-            let Role::Chairs(chair) = &self.role else { return };
-            if self.now >= self.round_due(chair) {
+        if self.shutdown.is_some() {
+            // A leader that is shutting down starts nothing new; entries that it has appended may still be
+            // committed.
+            while self.advance_commit(out) {}
+            self.transfer_leadership(out);
+            let Role::Leader(leader) = &self.role else { return };
+            if self.now >= self.round_due(leader) {
                 self.begin_round(out);
             }
             return;
         }
-        // Each entry may stand at once, where this is the only voter, and ask for the next.
+        // If this is the only voter, each entry is committed at once and may lead to the next one.
         loop {
-            let stood = self.count_standing(out);
-            let wrote = self.first_stands() && (self.answer_wishes(out) || self.write_next(out));
-            if !stood && !wrote {
+            let committed = self.advance_commit(out);
+            let appended =
+                self.first_entry_committed() && (self.process_proposals(out) || self.append_next(out));
+            if !committed && !appended {
                 break;
             }
         }
-        self.answer_questions(out);
-        let Role::Chairs(chair) = &self.role else { return };
-        if self.now >= self.round_due(chair) {
+        self.answer_lease_requests(out);
+        let Role::Leader(leader) = &self.role else { return };
+        if self.now >= self.round_due(leader) {
             self.begin_round(out);
-            self.answer_questions(out);
+            self.answer_lease_requests(out);
         }
     }
 
-    pub(crate) fn first_stands(&self) -> bool {
-        matches!(&self.role, Role::Chairs(chair) if self.stands >= chair.first)
-            || self.has(Bug::CommitsEarlierTermByCount)
+    pub(crate) fn first_entry_committed(&self) -> bool {
+        matches!(&self.role, Role::Leader(leader) if self.commit_index >= leader.first_index)
+            || self.has_bug(Bug::CommitsEarlierTermByCount)
     }
 
-    /// What comes next by what is known: of the stages first, then of the members.
-    fn write_next(&mut self, out: &mut Out) -> bool {
-        let Role::Chairs(chair) = &self.role else { return false };
-        match self.next_stage(chair).or_else(|| self.next_member(chair)) {
-            Some(entry) => self.write(entry, out),
+    /// Appends the next entry, if one is due: stage changes first, then membership changes.
+    fn append_next(&mut self, out: &mut Outputs) -> bool {
+        let Role::Leader(leader) = &self.role else { return false };
+        match self.next_stage_entry(leader).or_else(|| self.next_member_change(leader)) {
+            Some(entry) => self.append_entry(entry, out),
             None => return false,
         }
         true
     }
 
-    fn round_due(&self, chair: &Chair) -> Ms {
-        let asked = chair.questions.values().any(|question| question.round > chair.round);
-        chair.begun.plus(if asked { ROUND_GATHERS } else { 1.0 } * self.facts.beat)
+    fn round_due(&self, leader: &Leader) -> Ms {
+        let asked = leader.lease_requests.values().any(|request| request.round > leader.round);
+        leader.round_started.plus(if asked { ROUND_BATCH_BEATS } else { 1.0 } * self.settings.beat)
     }
 
-    /// Leases that others hold run no faster because this chair's clock went ahead: what it did not live through
-    /// counts for nothing.
-    pub(crate) fn stood_still(&mut self, before: Ms) {
-        let (gap, beat) = (self.now.0 - before.0, self.facts.beat);
+    /// Postpones all lease ends by a gap of this leader's clock: leases held by others run no faster because
+    /// this clock jumped ahead, so time in which the leader was not running does not count.
+    pub(crate) fn discount_clock_gap(&mut self, before: Ms) {
+        let (gap, beat) = (self.now.0 - before.0, self.settings.beat);
         match &mut self.role {
-            Role::Chairs(chair) if gap > BEATS_STOOD_STILL * beat => {
-                chair.grants.postpone(gap - beat);
-                chair.staged = chair.staged.plus(gap - beat);
+            Role::Leader(leader) if gap > MAX_GAP_BEATS * beat => {
+                leader.leases.postpone(gap - beat);
+                leader.staged_at = leader.staged_at.plus(gap - beat);
+            }
+            // The lease ends received from the previous leader are counted from their arrival, by a clock
+            // that may have jumped since.
+            Role::Follower { .. } | Role::Candidate { .. } if gap > MAX_GAP_BEATS * beat => {
+                self.transfer = None
             }
-            // What a chair left is counted from when it was heard, by a clock that may have jumped since.
-            Role::Follows { .. } | Role::Asks { .. } if gap > BEATS_STOOD_STILL * beat => self.handed = None,
             _ => {}
         }
     }
 
-    pub(crate) fn presiding_due(&self) -> Ms {
-        let Role::Chairs(chair) = &self.role else { return Ms::NEVER };
-        let checked = match self.standing.stage.staged {
-            Some(_) => chair.staged.plus(self.facts.check_within),
+    pub(crate) fn leader_due(&self) -> Ms {
+        let Role::Leader(leader) = &self.role else { return Ms::NEVER };
+        let checked = match self.committed.stage.staged {
+            Some(_) => leader.staged_at.plus(self.settings.check_within),
             None => Ms::NEVER,
         };
-        let waits = self.all_waits(chair).into_iter().map(|wait| Ms(wait.until));
-        waits.chain([checked]).filter(|due| *due > self.now).fold(self.round_due(chair), Ms::min)
+        let waits = self.leader_waits(leader).into_iter().map(|wait| Ms(wait.until));
+        waits.chain([checked]).filter(|due| *due > self.now).fold(self.round_due(leader), Ms::min)
     }
 }
--- a/crates/accord/src/copying.rs
+++ b/crates/accord/src/copying.rs
@@ -1,45 +1,56 @@
-//! The log brought from the chair to the voters: Raft's matching of logs, a base for those far behind, and the count
-//! of what stands.
+//! Log replication from the leader to the voters: Raft's log matching, snapshots for voters that are far
+//! behind, and the commit index.
 
 use crate::{
-    Accord, Base, Bug, Disk, Entry, Lasting, Logged, Ms, Name, Out, Output, Place, Role, Said, Term, Voters,
+    Accord, Base, Bug, Disk, Entry, Lasting, Logged, Ms, Name, Output, Outputs, Place, Role, Said, Term,
+    Voters,
 };
 
-/// So many entries or bytes of texts in a message: under the 4 MiB that gRPC takes without being told otherwise.
-const ENTRIES_A_MESSAGE: usize = 256;
-const TEXT_A_MESSAGE: usize = 1 << 20;
-/// A log that stands is folded into a base from here on: a restart reads it within milliseconds.
-const ENTRIES_KEPT: usize = 1_000;
-const TEXT_KEPT: usize = 4 << 20;
+/// Limits of entries and of text bytes per message: they keep a message under gRPC's default limit of 4 MiB.
+const MAX_ENTRIES_PER_MESSAGE: usize = 256;
+const MAX_TEXT_PER_MESSAGE: usize = 1 << 20;
+/// The committed log is compacted into a snapshot from this many entries or text bytes on, so that a restart
+/// reads it within milliseconds.
+const COMPACTION_ENTRIES: usize = 1_000;
+const COMPACTION_TEXT_BYTES: usize = 4 << 20;
 
-/// What a chair knows of another voter's log, or of one that is to be a voter.
+/// The leader's view of the log of another voter, or of a member that is to become a voter.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Peer {
-    /// The place to send from, as if all that was sent had arrived.
-    pub next: Place,
-    pub agrees: Place,
-    /// The last round begun when that was heard. Whatever is asked in a later one is asked after it agreed.
-    pub agreed: u64,
+    /// The next index to send, on the assumption that everything sent before has arrived.
+    pub next_index: Place,
+    pub match_index: Place,
+    /// The last round begun when `match_index` was received. A message of a later round was sent after the
+    /// voter had matched.
+    pub matched_in_round: u64,
     /// The last round that it answered.
-    pub round: u64,
+    pub answered_round: u64,
     pub disk: Option<Disk>,
-    /// It has less than it once had: somebody put an older copy of its disk back.
-    pub went_back: bool,
-    pub heard: Ms,
+    /// The voter has fewer entries than it acknowledged before: an older copy of its disk was restored.
+    pub rolled_back: bool,
+    pub last_contact: Ms,
 }
 
 impl Peer {
-    pub fn new(next: Place, disk: Option<Disk>, heard: Ms) -> Peer {
-        Peer { next, agrees: Place(0), agreed: 0, round: 0, disk, went_back: false, heard }
+    pub fn new(next_index: Place, disk: Option<Disk>, last_contact: Ms) -> Peer {
+        Peer {
+            next_index,
+            match_index: Place(0),
+            matched_in_round: 0,
+            answered_round: 0,
+            disk,
+            rolled_back: false,
+            last_contact,
+        }
     }
 
-    /// The disk whose word counts; none for one that went back.
-    pub fn word(&self) -> Option<Disk> {
-        self.disk.filter(|_| !self.went_back)
+    /// The disk whose acknowledgements count; `None` for a voter whose disk was rolled back.
+    pub fn counted_disk(&self) -> Option<Disk> {
+        self.disk.filter(|_| !self.rolled_back)
     }
 }
 
-fn text_of(logged: &Logged) -> usize {
+fn text_bytes(logged: &Logged) -> usize {
     match &logged.entry {
         Entry::Proposed { revision, .. } => revision.text.len(),
         _ => 0,
@@ -51,95 +62,99 @@
 }
 
 impl Accord {
-    pub(crate) fn count_voters(&mut self) {
-        let after = self.log.after(self.stands, usize::MAX).iter().map(|logged| &logged.entry);
-        self.voters = Voters::new(&self.standing, after);
+    pub(crate) fn recompute_voters(&mut self) {
+        let after = self.log.after(self.commit_index, usize::MAX).iter().map(|logged| &logged.entry);
+        self.voters = Voters::new(&self.committed, after);
     }
 
-    pub(crate) fn enough(&self, said: impl Fn(&Name) -> Option<Disk>) -> bool {
-        self.voters.enough(&said) || (self.has(Bug::CountsLostDisks) && self.voters.all(said))
+    pub(crate) fn has_quorum(&self, confirmed_on: impl Fn(&Name) -> Option<Disk>) -> bool {
+        self.voters.has_quorum(&confirmed_on)
+            || (self.has_bug(Bug::CountsLostDisks) && self.voters.is_unanimous(confirmed_on))
     }
 
-    /// What the chair's peer has to be told next, or a sign of life.
-    pub(crate) fn copy_to(&mut self, name: &Name, out: &mut Out) {
-        let Role::Chairs(chair) = &mut self.role else { return };
-        let Some(peer) = chair.peers.get_mut(name) else { return };
-        let (term, round) = (self.term, chair.round);
-        let after = Place(peer.next.0.saturating_sub(1));
+    /// Sends a peer the next entries or a snapshot; without new entries the message is a heartbeat.
+    pub(crate) fn replicate_to(&mut self, name: &Name, out: &mut Outputs) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(peer) = leader.peers.get_mut(name) else { return };
+        let (term, round) = (self.term, leader.round);
+        let after = Place(peer.next_index.0.saturating_sub(1));
         let said = match self.log.term_at(after) {
             Some(before) => {
-                let mut room = TEXT_A_MESSAGE;
+                let mut room = MAX_TEXT_PER_MESSAGE;
                 let fits = |logged: &&Logged| {
                     let fits = room > 0;
-                    room = room.saturating_sub(text_of(logged));
+                    room = room.saturating_sub(text_bytes(logged));
                     fits
                 };
-                let entries = self.log.after(after, ENTRIES_A_MESSAGE);
+                let entries = self.log.after(after, MAX_ENTRIES_PER_MESSAGE);
                 let entries: Vec<Logged> = entries.iter().take_while(fits).cloned().collect();
-                peer.next = Place(after.0 + entries.len() as u64 + 1);
-                Said::Append { term, round, after: (before, after), entries, stands: self.stands }
+                peer.next_index = Place(after.0 + entries.len() as u64 + 1);
+                Said::Append { term, round, after: (before, after), entries, stands: self.commit_index }
             }
             None => {
-                let at = (self.log.term_at(self.stands).unwrap_or_default(), self.stands);
-                peer.next = Place(self.stands.0 + 1);
-                Said::Base { term, round, at, base: Box::new(self.standing.clone()) }
+                let at = (self.log.term_at(self.commit_index).unwrap_or_default(), self.commit_index);
+                peer.next_index = Place(self.commit_index.0 + 1);
+                Said::Base { term, round, at, base: Box::new(self.committed.clone()) }
             }
         };
-        self.say(name, said, out);
+        self.send(name, said, out);
     }
 
-    /// Whoever sends entries of this term is its chair. False: nothing it says may be taken.
-    fn hear_chair(&mut self, from: &Name, term: Term, out: &mut Out) -> bool {
-        if term < self.term || !self.plausible(term) {
+    /// Accepts the sender as leader of the term, since only a leader sends entries. Returns false if nothing
+    /// in the message may be used.
+    fn accept_leader(&mut self, from: &Name, term: Term, out: &mut Outputs) -> bool {
+        if term < self.term || !self.is_plausible_term(term) {
             return false;
         }
-        let another = match &self.role {
-            Role::Chairs(_) => true,
-            Role::Follows { chair: Some(chair) } => chair != from,
+        let other_leader = match &self.role {
+            Role::Leader(_) => true,
+            Role::Follower { leader: Some(leader) } => leader != from,
             _ => false,
         };
-        if term == self.term && another {
+        if term == self.term && other_leader {
             self.refuse("second chair");
-            // Told once: the counter goes on.
+            // Logged once only; the counter goes on.
             if self.refused.get("second chair") > Some(&1) {
                 return false;
             }
-            out.all.push(Output::Log(format!(
-                "{from} says it is chair of term {}, as another does: give each steward a disk of its own",
+            out.outputs.push(Output::Log(format!(
+                "{from} claims to be leader of term {}, but another member is: give each controller a \
+                 disk of its own",
                 term.0
             )));
             return false;
         }
         if term > self.term {
-            self.follow(term, out);
+            self.adopt_term(term, out);
         }
-        self.stand_down(Some(from.clone()));
-        if self.voted.is_none() {
-            // One that lost its disk has perhaps voted for this chair: it has no vote left in the term.
-            self.voted = Some(from.clone());
-            self.last_vote(out);
+        self.become_follower(Some(from.clone()));
+        if self.voted_for.is_none() {
+            // After the loss of its disk this member may have voted for this leader without knowing it, so it
+            // has no vote left in the term.
+            self.voted_for = Some(from.clone());
+            self.persist_vote(out);
         }
-        self.heard = self.now;
-        self.wait_anew();
+        self.last_leader_contact = self.now;
+        self.reset_election_timer();
         true
     }
 
-    fn say_appended(&self, to: &Name, round: u64, agrees: Result<Place, Place>, out: &mut Out) {
-        if let Some(disk) = self.facts.disk {
-            self.say(to, Said::Appended { term: self.term, round, agrees, disk }, out);
+    fn send_appended(&self, to: &Name, round: u64, agrees: Result<Place, Place>, out: &mut Outputs) {
+        if let Some(disk) = self.settings.disk {
+            self.send(to, Said::Appended { term: self.term, round, agrees, disk }, out);
         }
     }
 
-    pub(crate) fn append(
+    pub(crate) fn on_append(
         &mut self,
         from: Name,
         (term, round): (Term, u64),
         after: (Term, Place),
         mut entries: Vec<Logged>,
-        stands: Place,
-        out: &mut Out,
+        leader_commit: Place,
+        out: &mut Outputs,
     ) {
-        if self.facts.disk.is_none() {
+        if self.settings.disk.is_none() {
             return self.refuse("not a voter");
         }
         let mut before = after.0;
@@ -151,195 +166,202 @@
         if !entries.iter().all(in_order) || after.1 .0.checked_add(entries.len() as u64).is_none() {
             return self.refuse("spoilt");
         }
-        if !self.hear_chair(&from, term, out) {
-            return self.say_appended(&from, 0, Err(self.log.last().1), out);
+        if !self.accept_leader(&from, term, out) {
+            return self.send_appended(&from, 0, Err(self.log.last().1), out);
         }
-        // What stands here is the same there.
+        // Entries committed here are the same in the leader's log.
         let mut at = after.1;
-        if at < self.stands {
-            let known = usize::try_from(self.stands.0 - at.0).unwrap_or(usize::MAX).min(entries.len());
+        if at < self.commit_index {
+            let known = usize::try_from(self.commit_index.0 - at.0).unwrap_or(usize::MAX).min(entries.len());
             entries.drain(..known);
-            if at.0 + (known as u64) < self.stands.0 {
-                return self.say_appended(&from, round, Ok(self.stands), out);
+            if at.0 + (known as u64) < self.commit_index.0 {
+                return self.send_appended(&from, round, Ok(self.commit_index), out);
             }
-            at = self.stands;
+            at = self.commit_index;
         } else if self.log.term_at(at) != Some(after.0) {
-            let agrees = self.before(at);
-            return self.say_appended(&from, round, Err(agrees), out);
+            let agrees = self.retry_index(at);
+            return self.send_appended(&from, round, Err(agrees), out);
         }
         let mut members = false;
         let agrees = Place(at.0 + entries.len() as u64);
-        let same = (entries.iter().zip(at.0 + 1..))
+        let matching = (entries.iter().zip(at.0 + 1..))
             .take_while(|(logged, place)| self.log.term_at(Place(*place)) == Some(logged.term))
             .count();
-        let fresh = entries.split_off(same);
-        if !fresh.is_empty() {
-            let from = Place(at.0 + same as u64 + 1);
-            let gone = self.log.after(Place(from.0 - 1), usize::MAX);
-            members = gone.iter().chain(&fresh).any(|logged| changes_members(&logged.entry));
-            self.log.cut_from(from);
-            fresh.iter().cloned().for_each(|logged| self.log.push(logged));
-            out.all.push(Output::Last(Lasting::Entries { from, entries: fresh }));
+        let new_entries = entries.split_off(matching);
+        if !new_entries.is_empty() {
+            let from = Place(at.0 + matching as u64 + 1);
+            let removed = self.log.after(Place(from.0 - 1), usize::MAX);
+            members = removed.iter().chain(&new_entries).any(|logged| changes_members(&logged.entry));
+            self.log.truncate_from(from);
+            new_entries.iter().cloned().for_each(|logged| self.log.push(logged));
+            out.outputs.push(Output::Last(Lasting::Entries { from, entries: new_entries }));
         }
         if members {
-            self.count_voters();
+            self.recompute_voters();
         }
-        self.stand_to(stands.min(agrees), out);
-        self.say_appended(&from, round, Ok(agrees), out);
+        self.commit_to(leader_commit.min(agrees), out);
+        self.send_appended(&from, round, Ok(agrees), out);
     }
 
-    /// Where to try next. Never less than it once agreed to: so a chair sees one that went back by it. What does not
-    /// match is a handful, since a chair writes little that does not stand yet; one try an entry is soon through.
-    fn before(&self, at: Place) -> Place {
-        Place(at.0.saturating_sub(1)).min(self.log.last().1).max(self.stands)
+    /// The index to retry at. It is never below the commit index, which this voter acknowledged; so the
+    /// leader notices a voter that was rolled back. Few entries mismatch, since a leader appends little
+    /// beyond what is committed, so stepping back by one entry per message ends soon.
+    fn retry_index(&self, at: Place) -> Place {
+        Place(at.0.saturating_sub(1)).min(self.log.last().1).max(self.commit_index)
     }
 
-    pub(crate) fn take_base(
+    pub(crate) fn on_snapshot(
         &mut self,
         from: Name,
         (term, round): (Term, u64),
         at: (Term, Place),
         base: Base,
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
-        if self.facts.disk.is_none() {
+        if self.settings.disk.is_none() {
             return self.refuse("not a voter");
         }
         if at.0 > term {
             return self.refuse("spoilt");
         }
-        if !self.hear_chair(&from, term, out) {
-            return self.say_appended(&from, 0, Err(self.log.last().1), out);
+        if !self.accept_leader(&from, term, out) {
+            return self.send_appended(&from, 0, Err(self.log.last().1), out);
         }
-        if at.1 > self.stands {
-            // First what does not follow the base, so that a disk never holds it after the base.
+        if at.1 > self.commit_index {
+            // First remove the entries that do not follow the snapshot, so that the disk never holds them
+            // after it.
             if self.log.term_at(at.1) != Some(at.0) && self.log.last().1 > at.1 {
                 let from = Place(at.1 .0 + 1);
-                out.all.push(Output::Last(Lasting::Entries { from, entries: vec![] }));
+                out.outputs.push(Output::Last(Lasting::Entries { from, entries: vec![] }));
             }
-            self.log.rebase(at);
-            (self.stands, self.standing) = (at.1, base.clone());
-            out.all.push(Output::Last(Lasting::Base { at, base: Box::new(base) }));
-            self.count_voters();
+            self.log.compact(at);
+            (self.commit_index, self.committed) = (at.1, base.clone());
+            out.outputs.push(Output::Last(Lasting::Base { at, base: Box::new(base) }));
+            self.recompute_voters();
         }
-        self.say_appended(&from, round, Ok(self.stands), out);
+        self.send_appended(&from, round, Ok(self.commit_index), out);
     }
 
-    pub(crate) fn appended(
+    pub(crate) fn on_appended(
         &mut self,
         from: Name,
         (term, round): (Term, u64),
         agrees: Result<Place, Place>,
         disk: Disk,
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
-        if !self.plausible(term) {
+        if !self.is_plausible_term(term) {
             return;
         }
         if term > self.term {
-            return self.follow(term, out);
+            return self.adopt_term(term, out);
         }
         let (now, last) = (self.now, self.log.last().1);
-        let Role::Chairs(chair) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         if term < self.term {
             return;
         }
-        let (begun, peer) = (chair.round, chair.peers.get_mut(&from));
+        let (current_round, peer) = (leader.round, leader.peers.get_mut(&from));
         let Some(peer) = peer else { return };
-        if round > begun || agrees.is_ok_and(|place| place > last) {
+        if round > current_round || agrees.is_ok_and(|place| place > last) {
             return self.refuse("spoilt");
         }
-        peer.heard = now;
+        peer.last_contact = now;
         if peer.disk != Some(disk) {
-            // What the lost disk held counts no more.
-            *peer = Peer::new(peer.next, Some(disk), now);
+            // Entries stored on the lost disk do not count any more.
+            *peer = Peer::new(peer.next_index, Some(disk), now);
         }
-        peer.round = peer.round.max(round);
+        peer.answered_round = peer.answered_round.max(round);
         let more = match agrees {
             Ok(place) => {
-                if place >= peer.agrees {
-                    (peer.agrees, peer.agreed) = (place, begun);
+                if place >= peer.match_index {
+                    (peer.match_index, peer.matched_in_round) = (place, current_round);
                 }
-                peer.next = peer.next.max(Place(place.0 + 1));
-                peer.next <= last
+                peer.next_index = peer.next_index.max(Place(place.0 + 1));
+                peer.next_index <= last
             }
             Err(hint) => {
-                if hint < peer.agrees && round > peer.agreed {
-                    // In one term no voter gives up what it has.
-                    (peer.went_back, peer.agrees) = (true, Place(0));
-                    let (had, has) = (peer.agreed, hint.0);
-                    out.all.push(Output::Log(format!(
-                        "{from} has forgotten what it had written by round {had}: an older copy of its folder was \
-                         put back (up to {has}); its word counts again once it has been taken in anew"
+                if hint < peer.match_index && round > peer.matched_in_round {
+                    // Within one term a voter never removes an entry that it acknowledged.
+                    (peer.rolled_back, peer.match_index) = (true, Place(0));
+                    let (had, has) = (peer.matched_in_round, hint.0);
+                    out.outputs.push(Output::Log(format!(
+                        "{from} lost log entries that it had acknowledged by round {had}: an older copy of \
+                         its folder was restored (up to index {has}); its votes count again once it has been \
+                         admitted again"
                     )));
                 }
-                let (least, most) = (peer.agrees.0 + 1, last.0 + 1);
-                peer.next = Place((hint.0.saturating_add(1)).clamp(least.min(most), most));
+                let (least, most) = (peer.match_index.0 + 1, last.0 + 1);
+                peer.next_index = Place((hint.0.saturating_add(1)).clamp(least.min(most), most));
                 true
             }
         };
         if more {
-            self.copy_to(&from, out);
+            self.replicate_to(&from, out);
         }
     }
 
-    /// How far this chair's log stands by now: what a majority has, if it is of this term. What earlier terms left
-    /// is never counted itself; it stands with the first entry of this one.
-    pub(crate) fn count_standing(&mut self, out: &mut Out) -> bool {
-        let Role::Chairs(chair) = &self.role else { return false };
-        let (me, disk) = (&self.facts.me, self.facts.disk);
-        let mut places: Vec<Place> = chair.peers.values().map(|peer| peer.agrees).collect();
+    /// Advances the commit index to the last entry of this term that a quorum has. Entries of earlier terms
+    /// are not counted themselves; they are committed with the first entry of this term.
+    pub(crate) fn advance_commit(&mut self, out: &mut Outputs) -> bool {
+        let Role::Leader(leader) = &self.role else { return false };
+        let (me, disk) = (&self.settings.me, self.settings.disk);
+        let mut places: Vec<Place> = leader.peers.values().map(|peer| peer.match_index).collect();
         places.push(self.log.last().1);
         places.sort_unstable_by(|a, b| b.cmp(a));
-        let stands = places.into_iter().take_while(|place| *place > self.stands).find(|place| {
+        let commit_index = places.into_iter().take_while(|place| *place > self.commit_index).find(|place| {
             let has = |name: &Name| match name == me {
                 true => disk,
-                false => chair.peers.get(name).filter(|peer| peer.agrees >= *place)?.word(),
+                false => leader.peers.get(name).filter(|peer| peer.match_index >= *place)?.counted_disk(),
             };
             let own = self.log.term_at(*place) == Some(self.term);
-            (own || self.has(Bug::CommitsEarlierTermByCount)) && self.enough(has)
+            (own || self.has_bug(Bug::CommitsEarlierTermByCount)) && self.has_quorum(has)
         });
-        match stands {
-            Some(place) => self.stand_to(place, out),
+        match commit_index {
+            Some(place) => self.commit_to(place, out),
             None => return false,
         }
         true
     }
 
-    /// All up to this place can't change any more.
-    fn stand_to(&mut self, place: Place, out: &mut Out) {
+    /// Commits and applies all entries up to this index.
+    fn commit_to(&mut self, place: Place, out: &mut Outputs) {
         let (mut members, mut wanted, mut stage, mut text) = (false, false, false, false);
-        while self.stands < place {
-            let next = Place(self.stands.0 + 1);
+        while self.commit_index < place {
+            let next = Place(self.commit_index.0 + 1);
             let Some(logged) = self.log.get(next) else { break };
-            let changed = self.standing.apply(next, &logged.entry);
+            let changed = self.committed.apply(next, &logged.entry);
             let proposed = matches!(logged.entry, Entry::Proposed { .. });
             members |= changes_members(&logged.entry);
             wanted |= matches!(logged.entry, Entry::Wanted(_));
             (stage, text) = (stage | changed, text | proposed);
-            self.stands = next;
-            if let (true, true, Role::Chairs(chair)) = (changed, proposed, &mut self.role) {
-                chair.grants.proposed();
-                chair.staged = self.now;
+            self.commit_index = next;
+            if let (true, true, Role::Leader(leader)) = (changed, proposed, &mut self.role) {
+                leader.leases.mark_proposed();
+                leader.staged_at = self.now;
             }
         }
         if members {
-            self.count_voters();
+            self.recompute_voters();
         }
         if members || wanted {
             self.sync_members();
         }
         if stage {
-            self.tell_stage(out);
+            self.announce_stage(out);
         }
-        let kept = usize::try_from(self.stands.0 - self.log.base().0).unwrap_or(usize::MAX);
-        // Which disks are known has to outlast a restart: whoever does not know them needs every single voter to elect.
-        let heavy = || self.log.after(self.log.base(), kept).iter().map(text_of).sum::<usize>() > TEXT_KEPT;
-        if members || kept >= ENTRIES_KEPT || (text && heavy()) {
-            let at = (self.log.term_at(self.stands).unwrap_or_default(), self.stands);
-            self.log.rebase(at);
-            let base = Box::new(self.standing.clone());
-            out.all.push(Output::Last(Lasting::Base { at, base }));
+        let kept = usize::try_from(self.commit_index.0 - self.log.snapshot_index().0).unwrap_or(usize::MAX);
+        // The known disks have to survive a restart: a voter that does not know them needs every single voter
+        // for an election, so a membership change is always followed by a snapshot.
+        let texts_too_large = || {
+            self.log.after(self.log.snapshot_index(), kept).iter().map(text_bytes).sum::<usize>()
+                > COMPACTION_TEXT_BYTES
+        };
+        if members || kept >= COMPACTION_ENTRIES || (text && texts_too_large()) {
+            let at = (self.log.term_at(self.commit_index).unwrap_or_default(), self.commit_index);
+            self.log.compact(at);
+            let base = Box::new(self.committed.clone());
+            out.outputs.push(Output::Last(Lasting::Base { at, base }));
         }
     }
 }
--- a/crates/accord/src/election.rs
+++ b/crates/accord/src/election.rs
@@ -1,163 +1,172 @@
-//! Who is chair. Raft's election, with trial votes and with voters that stay with a chair they hear
-//! (dissertation, 9.6 and 4.2.3), so that one that comes back from a cut disturbs nobody.
+//! Leader election. Raft's election with pre-votes, and with voters that refuse their vote while they have
+//! contact with a leader (dissertation, 9.6 and 4.2.3), so that a member that returns from a partition
+//! disturbs nobody.
 
 use std::collections::BTreeMap;
 
-use crate::{Accord, Bug, Disk, Lasting, Name, Out, Output, Place, Role, Said, Term};
+use crate::{Accord, Bug, Disk, Lasting, Name, Output, Outputs, Place, Role, Said, Term};
 
-/// A term so far above one's own was never reached by elections: a spoilt message.
-const TERMS_AHEAD: u64 = 1 << 32;
+/// Elections never reach a term this far above the own one: such a message is corrupted.
+const MAX_TERMS_AHEAD: u64 = 1 << 32;
 
 impl Accord {
-    /// A voter, by its log, with a disk to keep its word on. One whose removal does not stand yet may still be needed
-    /// as chair, since its log may be the longest (dissertation, 4.2.2).
-    pub(crate) fn votes(&self) -> bool {
-        let me = &self.facts.me;
-        self.facts.disk.is_some() && (self.voters.contains(me) || self.standing.is_voter(me))
+    /// Whether this member votes: it is a voter according to its log and has a disk to store its votes on. A
+    /// voter whose removal is not committed yet may still be needed as leader, since its log may be the
+    /// longest (dissertation, 4.2.2).
+    pub(crate) fn is_voting(&self) -> bool {
+        let me = &self.settings.me;
+        self.settings.disk.is_some() && (self.voters.contains(me) || self.committed.is_voter(me))
     }
 
-    /// Each waits another time, so that seldom two ask at once.
-    pub(crate) fn wait_anew(&mut self) {
-        let chance = self.chance();
-        self.patience = self.now.plus(self.facts.election * (1.0 + chance));
+    /// Restarts the election timeout. Each voter waits a different time, so that two rarely start an election
+    /// at once.
+    pub(crate) fn reset_election_timer(&mut self) {
+        let random_fraction = self.random_fraction();
+        self.election_deadline = self.now.plus(self.settings.election * (1.0 + random_fraction));
     }
 
-    pub(crate) fn elect(&mut self, out: &mut Out) {
-        if self.now < self.patience || matches!(self.role, Role::Chairs(_)) || !self.votes() {
+    pub(crate) fn check_election(&mut self, out: &mut Outputs) {
+        if self.now < self.election_deadline || matches!(self.role, Role::Leader(_)) || !self.is_voting() {
             return;
         }
-        // One that ends would leave the fleet without a chair again.
-        if self.ending.is_none() {
-            self.ask_votes(true, false, out);
+        // A member that is shutting down would soon leave the fleet without a leader again.
+        if self.shutdown.is_none() {
+            self.request_votes(true, false, out);
         }
     }
 
-    /// The first round binds nobody; only when enough would vote for it does it take a new term.
-    pub(crate) fn ask_votes(&mut self, trial: bool, told: bool, out: &mut Out) {
-        let Some(disk) = self.facts.disk else { return };
-        self.wait_anew();
-        let me = self.facts.me.clone();
+    /// Requests votes. The first round is a pre-vote and binds nobody; the candidate starts a new term only
+    /// if a quorum would vote for it.
+    pub(crate) fn request_votes(&mut self, trial: bool, told: bool, out: &mut Outputs) {
+        let Some(disk) = self.settings.disk else { return };
+        self.reset_election_timer();
+        let me = self.settings.me.clone();
         if !trial {
             self.term = Term(self.term.0 + 1);
-            self.voted = Some(me.clone());
-            self.last_vote(out);
+            self.voted_for = Some(me.clone());
+            self.persist_vote(out);
         }
         let term = Term(self.term.0 + u64::from(trial));
-        let lengths = self.facts.lengths();
+        let lengths = self.settings.lengths();
         let said = Said::AskVote { term, last: self.log.last(), trial, disk, lengths, told };
-        self.role = Role::Asks { trial, given: BTreeMap::from([(me.clone(), disk)]) };
+        self.role = Role::Candidate { trial, votes: BTreeMap::from([(me.clone(), disk)]) };
         for name in self.voters.everyone().filter(|name| **name != me) {
-            self.say(name, said.clone(), out);
+            self.send(name, said.clone(), out);
         }
-        self.count_votes(out);
+        self.tally_votes(out);
     }
 
-    fn count_votes(&mut self, out: &mut Out) {
+    fn tally_votes(&mut self, out: &mut Outputs) {
         match &self.role {
-            Role::Asks { trial, given } if self.enough(|name| given.get(name).copied()) => match trial {
-                true => self.ask_votes(false, false, out),
-                false => self.take_chair(out),
-            },
+            Role::Candidate { trial, votes } if self.has_quorum(|name| votes.get(name).copied()) => {
+                match trial {
+                    true => self.request_votes(false, false, out),
+                    false => self.become_leader(out),
+                }
+            }
             _ => {}
         }
     }
 
-    pub(crate) fn last_vote(&self, out: &mut Out) {
-        out.all.push(Output::Last(Lasting::Vote { term: self.term, voted: self.voted.clone() }));
+    pub(crate) fn persist_vote(&self, out: &mut Outputs) {
+        out.outputs.push(Output::Last(Lasting::Vote { term: self.term, voted: self.voted_for.clone() }));
     }
 
-    /// A higher term was heard of: whatever this one was in its own, it is no more.
-    pub(crate) fn follow(&mut self, term: Term, out: &mut Out) {
+    /// Moves to a higher term as follower, whatever this member's role was in its own term.
+    pub(crate) fn adopt_term(&mut self, term: Term, out: &mut Outputs) {
         if term > self.term {
-            (self.term, self.voted, self.handed) = (term, None, None);
-            self.last_vote(out);
+            (self.term, self.voted_for, self.transfer) = (term, None, None);
+            self.persist_vote(out);
         }
-        self.stand_down(None);
+        self.become_follower(None);
     }
 
-    pub(crate) fn stand_down(&mut self, chair: Option<Name>) {
-        if matches!(self.role, Role::Chairs(_)) {
-            self.wait_anew();
+    pub(crate) fn become_follower(&mut self, leader: Option<Name>) {
+        if matches!(self.role, Role::Leader(_)) {
+            self.reset_election_timer();
         }
-        self.role = Role::Follows { chair };
+        self.role = Role::Follower { leader };
     }
 
-    pub(crate) fn plausible(&mut self, term: Term) -> bool {
-        let plausible = term.0 < self.term.0.saturating_add(TERMS_AHEAD);
-        if !plausible {
+    pub(crate) fn is_plausible_term(&mut self, term: Term) -> bool {
+        let within_range = term.0 < self.term.0.saturating_add(MAX_TERMS_AHEAD);
+        if !within_range {
             self.refuse("term far ahead");
         }
-        plausible
+        within_range
     }
 
-    pub(crate) fn hears_a_chair(&self) -> bool {
-        matches!(self.role, Role::Chairs(_)) || self.now < self.heard.plus(self.facts.election)
+    pub(crate) fn has_leader_contact(&self) -> bool {
+        matches!(self.role, Role::Leader(_))
+            || self.now < self.last_leader_contact.plus(self.settings.election)
     }
 
-    pub(crate) fn asked_vote(
+    pub(crate) fn on_vote_request(
         &mut self,
         from: Name,
         term: Term,
         last: (Term, Place),
         (trial, told): (bool, bool),
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
-        let Some(disk) = self.facts.disk else { return self.refuse("not a voter") };
-        if !self.plausible(term) {
+        let Some(disk) = self.settings.disk else { return self.refuse("not a voter") };
+        if !self.is_plausible_term(term) {
             return;
         }
-        // A chair that lives is not voted away, and no term is taken from one that tries; but for the one that the chair
-        // itself told to stand.
+        // A voter with contact with a leader grants no vote and keeps its term, so a candidate does not
+        // replace a working leader, except for the candidate that the leader itself asked to take over.
         let told = told && !trial && term.0 == self.term.0.saturating_add(1);
-        if term > self.term && self.hears_a_chair() && !told {
+        if term > self.term && self.has_leader_contact() && !told {
             return;
         }
-        let current = last >= self.log.last();
+        let log_is_current = last >= self.log.last();
         if trial {
-            let given = term > self.term && current;
+            let given = term > self.term && log_is_current;
             let term = if given { term } else { self.term };
-            return self.say(&from, Said::Vote { term, given, trial, disk }, out);
+            return self.send(&from, Said::Vote { term, given, trial, disk }, out);
         }
         if term > self.term {
-            self.follow(term, out);
+            self.adopt_term(term, out);
         }
-        let free = self.voted.as_ref().is_none_or(|voted| *voted == from) || self.has(Bug::VotesTwice);
-        let given = term == self.term && free && current && !matches!(self.role, Role::Chairs(_));
+        let vote_available =
+            self.voted_for.as_ref().is_none_or(|voted| *voted == from) || self.has_bug(Bug::VotesTwice);
+        let given =
+            term == self.term && vote_available && log_is_current && !matches!(self.role, Role::Leader(_));
         if given {
-            if self.voted.as_ref() != Some(&from) {
-                self.voted = Some(from.clone());
-                self.last_vote(out);
+            if self.voted_for.as_ref() != Some(&from) {
+                self.voted_for = Some(from.clone());
+                self.persist_vote(out);
             }
-            self.wait_anew();
+            self.reset_election_timer();
         }
-        self.say(&from, Said::Vote { term: self.term, given, trial, disk }, out);
+        self.send(&from, Said::Vote { term: self.term, given, trial, disk }, out);
     }
 
-    pub(crate) fn got_vote(
+    pub(crate) fn on_vote(
         &mut self,
         from: Name,
         term: Term,
         given: bool,
         trial: bool,
         disk: Disk,
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
-        if !self.plausible(term) {
+        if !self.is_plausible_term(term) {
             return;
         }
         if !given {
             if term > self.term {
-                self.follow(term, out);
+                self.adopt_term(term, out);
             }
             return;
         }
-        let asked = Term(self.term.0 + u64::from(trial));
+        let asked_term = Term(self.term.0 + u64::from(trial));
         match &mut self.role {
-            Role::Asks { trial: asks, given } if *asks == trial && term == asked => {
-                given.insert(from, disk);
+            Role::Candidate { trial: asked_trial, votes } if *asked_trial == trial && term == asked_term => {
+                votes.insert(from, disk);
             }
             _ => return,
         }
-        self.count_votes(out);
+        self.tally_votes(out);
     }
 }
--- a/crates/accord/src/ending.rs
+++ b/crates/accord/src/ending.rs
@@ -1,40 +1,45 @@
-//! A run that is ended in good order. It fences itself first, then says that it lets go until the chair has heard; a
-//! chair hands the chair on before that, so that the fleet need not miss one (Ongaro's dissertation, 3.10).
+//! Graceful shutdown of a run. The run fences itself first, then repeats its release to the leader until the
+//! leader acknowledges it. A leader transfers leadership before that, so that the fleet need not go without
+//! one (Ongaro's dissertation, 3.10).
 //!
-//! That a run lets go is true from the moment it is said for all time, so a word that is late, lost or said twice
-//! does no harm; it is a word of one run about itself, so it gives back no lease of another.
+//! A release stays true for all time, so a copy that arrives late, not at all or twice does no harm. It
+//! concerns only the run that sends it, so it ends no lease of another run.
 
 use std::collections::BTreeSet;
 
-use crate::{Accord, AskLease, Boot, Bug, Ends, Facts, Ms, Name, Out, Output, Role, Said, Term};
+use crate::{Accord, AskLease, Boot, Bug, Ends, Facts, Ms, Name, Output, Outputs, Role, Said, Term};
 
-/// Said again within this part of a beat: a handful of times within the half second that a front waits.
-const AGAIN_WITHIN: f64 = 0.5;
-/// One that was told to stand has asked for votes by then, or another is told.
-const STANDS_WITHIN_BEATS: f64 = 2.0;
-/// Ends further back than a day are of no use to anyone.
-const LONGEST_AGO: f64 = -86_400_000.0;
+/// The release is repeated after this fraction of a heartbeat interval: a handful of times within the half
+/// second that the embedding process waits.
+const RETRY_BEATS: f64 = 0.5;
+/// A voter that was asked to take over has started an election within this many heartbeat intervals; after
+/// that another voter is asked.
+const TAKEOVER_BEATS: f64 = 2.0;
+/// Lease ends that lie further back than a day are of no use, and are reported as one day.
+const MIN_REMAINING_MS: f64 = -86_400_000.0;
 
+/// The progress of a graceful shutdown.
 #[derive(Clone, Debug, Default, Hash)]
-pub(crate) struct Ending {
-    pub gone: bool,
-    /// Whom this chair told to stand, the last of them, and when the next may be told.
+pub(crate) struct Shutdown {
+    pub finished: bool,
+    /// The voters that this leader asked to take over, the last one asked, and when the next one may be
+    /// asked.
     tried: BTreeSet<Name>,
-    pub told: Option<Name>,
-    pub next: Option<Ms>,
+    pub successor: Option<Name>,
+    pub next_try: Option<Ms>,
 }
 
-/// What the chair of a term left to the one that it told to stand. Good for the very next term alone: in any later
-/// one another chair may have given leases in between.
+/// The lease ends that the leader of a term passed to the voter that it asked to take over. They are valid
+/// for the very next term only: in a later term another leader may have granted leases in between.
 #[derive(Clone, Debug, Hash)]
-pub(crate) struct Handed {
+pub(crate) struct Transfer {
     by: Term,
-    pub ends: Vec<Ended>,
+    pub ends: Vec<LeaseEnd>,
 }
 
-/// As [`Ends`] has it, by this clock.
+/// An [`Ends`] record converted to this member's clock.
 #[derive(Clone, Debug, Hash)]
-pub(crate) struct Ended {
+pub(crate) struct LeaseEnd {
     pub name: Name,
     pub boot: Option<Boot>,
     pub acts: Ms,
@@ -42,168 +47,185 @@
     pub gone: bool,
 }
 
-impl Handed {
-    fn new(now: Ms, by: Term, leases: Vec<Ends>, facts: &Facts) -> Handed {
-        // What is still to come is counted longer, what is over shorter: whichever of the two clocks is the faster.
+impl Transfer {
+    fn new(now: Ms, by: Term, leases: Vec<Ends>, settings: &Facts) -> Transfer {
+        // Remaining times are counted longer and past times shorter, whichever of the two clocks is the
+        // faster one.
         let end = |ms: f64| match ms > 0.0 {
-            true => now.plus(facts.counted(ms)),
-            false => now.plus(ms / (1.0 + facts.drift)),
+            true => now.plus(settings.granted_ms(ms)),
+            false => now.plus(ms / (1.0 + settings.drift)),
         };
-        let good = leases.into_iter().filter(|ends| !ends.acts.is_nan() && !ends.knows.is_nan());
-        let ends = good.map(|Ends { name, boot, acts, knows, gone }| Ended {
+        let valid = leases.into_iter().filter(|ends| !ends.acts.is_nan() && !ends.knows.is_nan());
+        let ends = valid.map(|Ends { name, boot, acts, knows, gone }| LeaseEnd {
             name,
             boot,
             acts: end(acts),
             knows: end(knows),
             gone,
         });
-        Handed { by, ends: ends.collect() }
+        Transfer { by, ends: ends.collect() }
     }
 }
 
-/// How another chair is told of an end.
-pub(crate) fn told_end(now: Ms, end: Ms) -> f64 {
-    (end.0 - now.0).max(LONGEST_AGO)
+/// A lease end as it is passed to another leader: ms from now, negative if it is over.
+pub(crate) fn remaining_ms(now: Ms, end: Ms) -> f64 {
+    (end.0 - now.0).max(MIN_REMAINING_MS)
 }
 
 impl Accord {
-    /// The front has fenced this run: it orders nothing any more.
-    pub(crate) fn let_go(&mut self, out: &mut Out) {
-        if self.ending.is_some() {
+    /// Starts the graceful shutdown. The embedding process has fenced this run: it issues no orders any more.
+    pub(crate) fn begin_shutdown(&mut self, out: &mut Outputs) {
+        if self.shutdown.is_some() {
             return;
         }
-        self.ending = Some(Ending::default());
-        let holder = &mut self.holder;
-        // An answer that is still on its way finds no question: the lease in it never comes to life.
-        holder.open.clear();
-        (holder.next, holder.unanswered, holder.hops) = (self.now, 0, 0);
-        if matches!(self.role, Role::Asks { .. }) {
-            self.role = Role::Follows { chair: None };
+        self.shutdown = Some(Shutdown::default());
+        let holder = &mut self.lease_holder;
+        // An answer that is still under way matches no open request, so the lease in it never takes effect.
+        holder.open_requests.clear();
+        (holder.next_due, holder.unanswered, holder.redirects) = (self.now, 0, 0);
+        if matches!(self.role, Role::Candidate { .. }) {
+            self.role = Role::Follower { leader: None };
         }
-        let word = self.holder.question(self.now, &self.facts);
-        let (term, me) = (self.term, self.facts.me.clone());
-        let Role::Chairs(chair) = &mut self.role else { return };
-        // Whatever it knew is handed on as it is now: it gives no lease from here on.
-        chair.grants.let_go(self.now, &me, &word, (term, term), &self.standing, &self.facts);
-        chair.questions.clear();
-        chair.askers.clear();
+        let last = self.lease_holder.lease_request(self.now, &self.settings);
+        let (term, me) = (self.term, self.settings.me.clone());
+        let Role::Leader(leader) = &mut self.role else { return };
+        // The lease ends are passed on as they are now, so the leader grants no leases from here on.
+        leader.leases.release(self.now, &me, &last, (term, term), &self.committed, &self.settings);
+        leader.lease_requests.clear();
+        leader.proposals.clear();
         self.begin_round(out);
     }
 
-    /// False: this run orders nothing any more.
-    pub(crate) fn orders(&self) -> bool {
-        self.ending.is_none() || self.has(Bug::LetsGoUnfenced)
+    /// Whether this run may still issue orders.
+    pub(crate) fn may_order(&self) -> bool {
+        self.shutdown.is_none() || self.has_bug(Bug::LetsGoUnfenced)
     }
 
-    /// Says it to the chair until that has heard.
-    pub(crate) fn let_go_on(&mut self, out: &mut Out) {
-        let gone = self.ending.as_ref().is_some_and(|ending| ending.gone);
-        self.holder.next = if gone { Ms::NEVER } else { self.now.plus(AGAIN_WITHIN * self.facts.beat) };
-        if gone || matches!(self.role, Role::Chairs(_)) {
+    /// Sends the release to the leader, and again until the leader acknowledges it.
+    pub(crate) fn send_release(&mut self, out: &mut Outputs) {
+        let finished = self.shutdown.as_ref().is_some_and(|shutdown| shutdown.finished);
+        self.lease_holder.next_due =
+            if finished { Ms::NEVER } else { self.now.plus(RETRY_BEATS * self.settings.beat) };
+        if finished || matches!(self.role, Role::Leader(_)) {
             return;
         }
-        let Some(target) = self.next_asked() else { return };
-        self.holder.open.insert(self.holder.asked, None);
-        self.holder.trim();
-        let last = self.holder.question(self.now, &self.facts);
-        self.say(&target, Said::LetGo { term: self.chair_term(), last }, out);
+        let Some(target) = self.next_target() else { return };
+        self.lease_holder.open_requests.insert(self.lease_holder.request_no, None);
+        self.lease_holder.trim_open_requests();
+        let last = self.lease_holder.lease_request(self.now, &self.settings);
+        self.send(&target, Said::LetGo { term: self.leader_term(), last }, out);
     }
 
-    pub(crate) fn let_gone(&mut self, from: Name, (asked, term): (u64, Term), taken: bool, out: &mut Out) {
-        let open = self.holder.open.remove(&asked).is_some();
-        let Some(ending) = self.ending.as_mut().filter(|_| open) else { return self.refuse("old answer") };
+    pub(crate) fn on_release_ack(
+        &mut self,
+        from: Name,
+        (asked, term): (u64, Term),
+        taken: bool,
+        out: &mut Outputs,
+    ) {
+        let open = self.lease_holder.open_requests.remove(&asked).is_some();
+        let Some(shutdown) = self.shutdown.as_mut().filter(|_| open) else {
+            return self.refuse("old answer");
+        };
         if taken {
-            self.holder.next = Ms::NEVER;
-            if !std::mem::replace(&mut ending.gone, true) {
-                out.all.push(Output::Gone);
+            self.lease_holder.next_due = Ms::NEVER;
+            if !std::mem::replace(&mut shutdown.finished, true) {
+                out.outputs.push(Output::Gone);
             }
             return;
         }
-        let soon = self.holder.last.plus(AGAIN_WITHIN * self.facts.beat);
-        let holder = &mut self.holder;
-        (holder.chair, holder.term, holder.unanswered) = (Some(from), term, 0);
-        holder.next = holder.next.min(soon);
+        let soon = self.lease_holder.last_sent.plus(RETRY_BEATS * self.settings.beat);
+        let holder = &mut self.lease_holder;
+        (holder.leader, holder.term, holder.unanswered) = (Some(from), term, 0);
+        holder.next_due = holder.next_due.min(soon);
     }
 
-    /// At a chair: a run that lets go is waited for no longer than for what lingers.
-    pub(crate) fn heard_let_go(&mut self, from: Name, term: Term, last: AskLease, out: &mut Out) {
+    /// At the leader: a run that has released its lease is waited for no longer than the linger.
+    pub(crate) fn on_release(&mut self, from: Name, term: Term, last: AskLease, out: &mut Outputs) {
         let (asked, boot) = (last.asked, last.boot);
-        if !self.presides_for(&from, asked, out) {
+        if !self.redirect_unless_leader(&from, asked, out) {
             return;
         }
-        if self.facts.same_lengths(last.lengths).is_err() {
+        if self.settings.check_lengths(last.lengths).is_err() {
             return self.refuse("other lengths");
         }
-        // Who the members are is known once the first entry stands; it says it again.
-        if !self.first_stands() {
+        // The members are known once the first entry of the term is committed; the run sends the release
+        // again.
+        if !self.first_entry_committed() {
             return;
         }
-        let (own, by_bug) = (self.term, self.has(Bug::LetGoReleasesOthers));
-        let Role::Chairs(chair) = &mut self.role else { return };
-        let taken = chair.grants.let_go(self.now, &from, &last, (term, own), &self.standing, &self.facts);
+        let (own, by_bug) = (self.term, self.has_bug(Bug::LetGoReleasesOthers));
+        let Role::Leader(leader) = &mut self.role else { return };
+        let taken =
+            leader.leases.release(self.now, &from, &last, (term, own), &self.committed, &self.settings);
         if by_bug {
-            chair.grants.forget(self.now, &from);
+            leader.leases.forget_member(self.now, &from);
         }
-        chair.questions.retain(|(name, _), question| *name != from || question.boot != boot);
-        self.say(&from, Said::LetGone { asked, boot, term: own, taken }, out);
+        leader.lease_requests.retain(|(name, _), question| *name != from || question.boot != boot);
+        self.send(&from, Said::LetGone { asked, boot, term: own, taken }, out);
     }
 
-    /// Whether a question may be answered here; else whoever asked is told whom to ask, if that is known.
-    pub(crate) fn presides_for(&mut self, from: &Name, asked: u64, out: &mut Out) -> bool {
-        let chair = match (&self.role, &self.ending) {
-            // Whom it told to stand is the next chair; before that there is nobody to name.
-            (Role::Chairs(_), Some(Ending { told: Some(told), .. })) => Some(told.clone()),
-            (Role::Chairs(_), _) => return true,
-            (Role::Follows { chair }, _) => chair.clone(),
-            (Role::Asks { .. }, _) => None,
+    /// Returns whether this member is the leader and may answer the request; otherwise it sends the requester
+    /// the name of the leader, if known.
+    pub(crate) fn redirect_unless_leader(&mut self, from: &Name, asked: u64, out: &mut Outputs) -> bool {
+        let chair = match (&self.role, &self.shutdown) {
+            // The voter asked to take over is the next leader; before one is asked there is nobody to name.
+            (Role::Leader(_), Some(Shutdown { successor: Some(successor), .. })) => Some(successor.clone()),
+            (Role::Leader(_), _) => return true,
+            (Role::Follower { leader }, _) => leader.clone(),
+            (Role::Candidate { .. }, _) => None,
         };
-        self.say(from, Said::NotChair { asked, chair }, out);
+        self.send(from, Said::NotChair { asked, chair }, out);
         false
     }
 
-    /// A chair that ends: once another has all of its log, that one is told to stand.
-    pub(crate) fn hand_on(&mut self, out: &mut Out) {
+    /// At a leader that is shutting down: asks a voter that has the complete log to take over.
+    pub(crate) fn transfer_leadership(&mut self, out: &mut Outputs) {
         let last = self.log.last().1;
-        let (Role::Chairs(chair), Some(ending)) = (&self.role, &mut self.ending) else { return };
-        if ending.next.is_some_and(|next| self.now < next) {
+        let (Role::Leader(leader), Some(shutdown)) = (&self.role, &mut self.shutdown) else { return };
+        if shutdown.next_try.is_some_and(|next| self.now < next) {
             return;
         }
-        let votes = |name: &Name| self.voters.contains(name) && *name != self.facts.me;
-        if !self.voters.everyone().any(votes) {
-            // Nobody is left to agree on anything.
-            if !std::mem::replace(&mut ending.gone, true) {
-                out.all.push(Output::Gone);
+        let is_other_voter = |name: &Name| self.voters.contains(name) && *name != self.settings.me;
+        if !self.voters.everyone().any(is_other_voter) {
+            // There is no other voter, so nobody can take over.
+            if !std::mem::replace(&mut shutdown.finished, true) {
+                out.outputs.push(Output::Gone);
             }
             return;
         }
         let ready = |(name, peer): &(&Name, &crate::copying::Peer)| {
-            votes(name) && peer.word().is_some() && peer.agrees == last && !ending.tried.contains(*name)
+            is_other_voter(name)
+                && peer.counted_disk().is_some()
+                && peer.match_index == last
+                && !shutdown.tried.contains(*name)
         };
-        let fresher = |a: (Name, Ms), b: (Name, Ms)| if b.1 > a.1 { b } else { a };
-        let heard = chair.peers.iter().filter(ready).map(|(name, peer)| (name.clone(), peer.heard));
-        let Some((name, _)) = heard.reduce(fresher) else {
-            // All were told, and none stood: from the beginning.
-            return ending.tried.clear();
+        let most_recent = |a: (Name, Ms), b: (Name, Ms)| if b.1 > a.1 { b } else { a };
+        let candidates =
+            leader.peers.iter().filter(ready).map(|(name, peer)| (name.clone(), peer.last_contact));
+        let Some((name, _)) = candidates.reduce(most_recent) else {
+            // All voters were asked and none took over: start again with the first one.
+            return shutdown.tried.clear();
         };
-        ending.tried.insert(name.clone());
-        ending.told = Some(name.clone());
-        ending.next = Some(self.now.plus(STANDS_WITHIN_BEATS * self.facts.beat));
-        let leases = chair.grants.handed_on(self.now, self.facts.lingers());
-        self.say(&name, Said::Stand { term: self.term, leases }, out);
+        shutdown.tried.insert(name.clone());
+        shutdown.successor = Some(name.clone());
+        shutdown.next_try = Some(self.now.plus(TAKEOVER_BEATS * self.settings.beat));
+        let leases = leader.leases.export(self.now, self.settings.linger_bound());
+        self.send(&name, Said::Stand { term: self.term, leases }, out);
     }
 
-    /// Told by the chair, which ends.
-    pub(crate) fn stand(&mut self, from: Name, term: Term, leases: Vec<Ends>, out: &mut Out) {
-        let follows = matches!(&self.role, Role::Follows { chair: Some(chair) } if *chair == from);
-        if term != self.term || !follows || !self.votes() || self.ending.is_some() {
+    /// Handles the request of a leader that is shutting down to take over.
+    pub(crate) fn on_transfer(&mut self, from: Name, term: Term, leases: Vec<Ends>, out: &mut Outputs) {
+        let follows_sender = matches!(&self.role, Role::Follower { leader: Some(leader) } if *leader == from);
+        if term != self.term || !follows_sender || !self.is_voting() || self.shutdown.is_some() {
             return self.refuse("not to stand");
         }
-        self.handed = Some(Handed::new(self.now, term, leases, &self.facts));
-        self.ask_votes(false, true, out);
+        self.transfer = Some(Transfer::new(self.now, term, leases, &self.settings));
+        self.request_votes(false, true, out);
     }
 
-    /// What was handed on for this very term.
-    pub(crate) fn take_handed(&mut self) -> Option<Handed> {
-        self.handed.take().filter(|handed| handed.by.0.checked_add(1) == Some(self.term.0))
+    /// The lease ends received for exactly this term, if any.
+    pub(crate) fn take_transfer(&mut self) -> Option<Transfer> {
+        self.transfer.take().filter(|transfer| transfer.by.0.checked_add(1) == Some(self.term.0))
     }
 }
--- a/crates/accord/src/facts.rs
+++ b/crates/accord/src/facts.rs
@@ -1,4 +1,4 @@
-//! What a steward is told at its start, and which of it can't be.
+//! The settings of a member at process start, and their validation.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -7,102 +7,107 @@
 
 use crate::{Boot, Disk, FleetId, Kept, Length, Lengths, Name, Turned, Wanted};
 
-/// Few enough that a majority's answers are quick; Raft's clusters are 3, 5 or 7.
+/// A limit on the number of voters: with few voters a majority answers quickly. Raft clusters have 3, 5 or 7.
 pub const MOST_VOTERS: usize = 7;
-/// No two clocks of machines that work drift apart by a tenth.
-const WILDEST_DRIFT: f64 = 0.1;
-/// One lost sign of life is no reason to elect.
-const BEATS_AN_ELECTION: f64 = 3.0;
-/// A chair that is gone is missed after at most twice this, and another has to be found before the leases end.
-const ELECTIONS_A_LEASE: f64 = 2.5;
-
+/// The clocks of two working machines never drift apart by a tenth.
+const MAX_DRIFT: f64 = 0.1;
+/// One lost heartbeat must not cause an election.
+const MIN_BEATS_PER_ELECTION: f64 = 3.0;
+/// A missing leader is noticed after at most twice the election timeout, and the next one has to be elected
+/// before the leases end.
+const MIN_ELECTIONS_PER_LEASE: f64 = 2.5;
+
+/// The settings of a member at process start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Facts {
     pub fleet: FleetId,
     pub me: Name,
-    /// Drawn anew at each start.
+    /// Drawn at random at each process start.
     pub boot: Boot,
-    /// A voter's; drawn when its folder was empty, kept in it from then on.
+    /// The ID of a voter's disk; drawn at random when its folder was empty, and kept in the folder from then
+    /// on.
     pub disk: Option<Disk>,
-    /// With whom the fleet begins. Once it has begun its log tells the members.
+    /// The initial voters. Once the fleet has been founded, the members are taken from the log.
     pub voters: Vec<Name>,
     pub followers: Vec<Name>,
     pub length: Length,
-    /// By which part any two members' clocks may run apart, e.g. 0.02.
+    /// The maximum relative drift between any two members' clocks, e.g. 0.02.
     pub drift: f64,
-    /// ms on top of it, for what is rounded and for the look at the clock itself.
+    /// ms added to the drift, for rounding and for the time that reading the clock takes.
     pub slack: f64,
-    /// ms after a lease until nothing that was ordered under it is with any proxy.
+    /// ms after the end of a lease until no proxy has any order issued under it.
     pub linger: f64,
-    /// ms without a sign of a chair after which another is elected; each waits up to twice as long, by chance.
+    /// ms without contact from a leader after which a voter starts an election; each voter waits up to twice
+    /// as long, at random.
     pub election: f64,
-    /// ms between a chair's signs of life.
+    /// ms between a leader's heartbeats.
     pub beat: f64,
-    /// ms in which all stewards that run have to have checked a revision.
+    /// ms within which all running controllers have to have checked a revision.
     pub check_within: f64,
+    /// Seed of the deterministic random generator.
     pub seed: u64,
 }
 
-/// Facts that contradict each other.
+/// Why settings or stored state are invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Unfit {
     #[error("the fleet has no voter")]
     NoVoters,
     #[error("the fleet has {0} voters, more than {most}", most = MOST_VOTERS)]
     TooManyVoters(usize),
-    #[error("this steward, {0}, is not among the members")]
+    #[error("this controller, {0}, is not among the members")]
     NotNamed(Name),
     #[error("a member has an empty name")]
     NoName,
-    #[error("the member {0} is named twice")]
+    #[error("the member {0} is listed twice")]
     NamedTwice(Name),
-    #[error("{0} is a voter and has no disk")]
+    #[error("{0} is a voter without a disk")]
     NoDisk(Name),
-    #[error("the disk is {found:?}, and what it holds was written on {kept:?}")]
+    #[error("the disk is {found:?}, but its content was written on {kept:?}")]
     OtherDisk { found: Option<Disk>, kept: Disk },
-    #[error("the log on the disk has a gap or goes back in its terms at its {0}. entry")]
+    #[error("the log on the disk has a gap or a decreasing term at entry {0}")]
     Torn(u64),
-    #[error("{what} is {value}, and has to be a number of at least {least}")]
+    #[error("{what} is {value}, but has to be a number of at least {least}")]
     Number { what: &'static str, value: f64, least: f64 },
-    #[error("drift is {0}, outside 0 to {most}", most = WILDEST_DRIFT)]
+    #[error("drift is {0}, outside 0 to {most}", most = MAX_DRIFT)]
     Drift(f64),
-    #[error("election is {election} ms, under {n} beats of {beat} ms", n = BEATS_AN_ELECTION)]
+    #[error("election is {election} ms, under {n} beats of {beat} ms", n = MIN_BEATS_PER_ELECTION)]
     ElectionShort { election: f64, beat: f64 },
-    #[error("a lease acts for {acts} ms, under {n} elections of {election} ms", n = ELECTIONS_A_LEASE)]
+    #[error("acts is {acts} ms, under {n} elections of {election} ms", n = MIN_ELECTIONS_PER_LEASE)]
     ActsShort { acts: f64, election: f64 },
-    #[error("a lease knows for {knows} ms, less than the {acts} ms that it acts")]
+    #[error("knows is {knows} ms, less than acts, {acts} ms")]
     KnowsShort { knows: f64, acts: f64 },
 }
 
 impl Unfit {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
             Unfit::NoVoters => "name 1, 3 or 5 voters",
-            Unfit::TooManyVoters(_) => "make the others followers: they act on the policy all the same",
-            Unfit::NotNamed(_) => "name this steward among the voters or followers, or set its right name",
+            Unfit::TooManyVoters(_) => "make the others followers: they act on the policy as well",
+            Unfit::NotNamed(_) => "add this controller to the voters or followers, or correct its name",
             Unfit::NoName => "give each member a name",
-            Unfit::NamedTwice(_) => "give each member a name of its own, and name it once",
-            Unfit::NoDisk(_) => "give the voter a folder that outlives it, or make it a follower",
+            Unfit::NamedTwice(_) => "give each member a name of its own, and list it once",
+            Unfit::NoDisk(_) => "give the voter a folder that outlives its process, or make it a follower",
             Unfit::OtherDisk { .. } => {
                 "give each voter a folder of its own; if this one was copied, empty it"
             }
             Unfit::Torn(_) => {
-                "move the folder away and start on an empty one: the fleet takes the voter in anew"
+                "move the folder away and start with an empty one: the fleet admits the voter again"
             }
-            Unfit::Number { .. } => "set it to a time that can be waited for",
+            Unfit::Number { .. } => "set it to a finite time of at least that value",
             Unfit::Drift(_) => {
-                "set what the clocks may run apart by, such as 0.02; mend clocks that need more"
+                "set the largest drift between clocks, such as 0.02; repair clocks that need more"
             }
-            Unfit::ElectionShort { .. } => "beat more often, or wait longer before an election",
-            Unfit::ActsShort { .. } => "make leases longer, or elections shorter",
+            Unfit::ElectionShort { .. } => "shorten the beat, or lengthen the election timeout",
+            Unfit::ActsShort { .. } => "lengthen the leases, or shorten the election timeout",
             Unfit::KnowsShort { .. } => "make `knows` at least as long as `acts`",
         }
     }
 }
 
-/// Whether a fleet can have these members.
-pub(crate) fn members_fit(voters: &[Name], followers: &[Name]) -> Result<(), Unfit> {
+/// Checks whether a fleet can have these members.
+pub(crate) fn check_members(voters: &[Name], followers: &[Name]) -> Result<(), Unfit> {
     if voters.is_empty() {
         return Err(Unfit::NoVoters);
     }
@@ -122,9 +127,9 @@
 }
 
 impl Facts {
-    /// Refuses what contradicts itself.
+    /// Checks the settings for values that are invalid or contradict each other.
     pub fn check(&self) -> Result<(), Unfit> {
-        members_fit(&self.voters, &self.followers)?;
+        check_members(&self.voters, &self.followers)?;
         let voter = self.voters.contains(&self.me);
         if !voter && !self.followers.contains(&self.me) {
             return Err(Unfit::NotNamed(self.me.clone()));
@@ -146,14 +151,14 @@
                 return Err(Unfit::Number { what, value, least });
             }
         }
-        if !(0.0..=WILDEST_DRIFT).contains(&self.drift) {
+        if !(0.0..=MAX_DRIFT).contains(&self.drift) {
             return Err(Unfit::Drift(self.drift));
         }
         let (election, beat) = (self.election, self.beat);
-        if election < BEATS_AN_ELECTION * beat {
+        if election < MIN_BEATS_PER_ELECTION * beat {
             return Err(Unfit::ElectionShort { election, beat });
         }
-        if acts < ELECTIONS_A_LEASE * election {
+        if acts < MIN_ELECTIONS_PER_LEASE * election {
             return Err(Unfit::ActsShort { acts, election });
         }
         match knows < acts {
@@ -162,16 +167,17 @@
         }
     }
 
-    /// What a disk held has to be in one piece, and of this disk.
-    pub(crate) fn check_kept(&self, kept: &Kept) -> Result<(), Unfit> {
-        if let Some(written) = kept.disk {
+    /// Checks the stored state: it has to be written on this disk, and its log has to have no gap and
+    /// non-decreasing terms.
+    pub(crate) fn check_stored(&self, stored: &Kept) -> Result<(), Unfit> {
+        if let Some(written) = stored.disk {
             if self.disk != Some(written) {
                 return Err(Unfit::OtherDisk { found: self.disk, kept: written });
             }
         }
-        let mut term = kept.base.as_ref().map_or_else(Default::default, |((term, _), _)| *term);
-        for (at, logged) in kept.entries.iter().enumerate() {
-            if logged.term < term || logged.term > kept.term {
+        let mut term = stored.base.as_ref().map_or_else(Default::default, |((term, _), _)| *term);
+        for (at, logged) in stored.entries.iter().enumerate() {
+            if logged.term < term || logged.term > stored.term {
                 return Err(Unfit::Torn(at as u64 + 1));
             }
             term = logged.term;
@@ -179,7 +185,7 @@
         Ok(())
     }
 
-    /// Whether a message's envelope names this fleet.
+    /// Checks whether a message's envelope names this fleet.
     pub fn same_fleet(&self, theirs: &FleetId) -> Result<(), Turned> {
         match *theirs == self.fleet {
             true => Ok(()),
@@ -187,7 +193,8 @@
         }
     }
 
-    /// What members compare: the same for the same numbers, on every machine and in every version.
+    /// The digest of the lease settings that members compare; it is the same for the same numbers on every
+    /// machine and in every version.
     pub fn lengths(&self) -> Lengths {
         let Length { acts, knows } = self.length;
         let mut all = Sha256::new();
@@ -199,8 +206,8 @@
         Lengths(first.max(1))
     }
 
-    /// Whether a member counts leases as this one does.
-    pub(crate) fn same_lengths(&self, theirs: Lengths) -> Result<(), Turned> {
+    /// Checks whether another member has the same lease settings.
+    pub(crate) fn check_lengths(&self, theirs: Lengths) -> Result<(), Turned> {
         let ours = self.lengths();
         match theirs == ours {
             true => Ok(()),
@@ -208,13 +215,13 @@
         }
     }
 
-    /// How long a chair whose clock runs fast waits for what lingers.
-    pub(crate) fn lingers(&self) -> f64 {
+    /// How long a leader waits for the linger, in ms of its clock, which may run fast.
+    pub(crate) fn linger_bound(&self) -> f64 {
         self.linger * (1.0 + self.drift)
     }
 
-    /// How long the giver of a lease counts what its holder counts as `length` ms.
-    pub(crate) fn counted(&self, length: f64) -> f64 {
+    /// How long the leader counts a lease that its holder counts as `length` ms.
+    pub(crate) fn granted_ms(&self, length: f64) -> f64 {
         length * (1.0 + self.drift) + self.slack
     }
 }
@@ -225,7 +232,7 @@
     }
 }
 
-/// Facts never change in a run: which run it is says all.
+/// The settings never change during a run, so the identity of the run stands for all of them.
 impl Hash for Facts {
     fn hash<H: Hasher>(&self, state: &mut H) {
         (&self.me, self.boot, self.disk).hash(state);
--- a/crates/accord/src/holder.rs
+++ b/crates/accord/src/holder.rs
@@ -1,4 +1,5 @@
-//! A steward's own lease: asked for at a pace, counted from before the question, over at the next look after its end.
+//! The controller's own lease: it is requested at regular intervals, counted from before the request was
+//! sent, and over at the first check after its end.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
@@ -6,114 +7,120 @@
 use std::sync::Arc;
 
 use crate::{
-    Accord, Act, AskLease, Boot, Bug, Digest, Facts, Length, Ms, Name, Out, Output, Revision, RevisionNo,
+    Accord, Act, AskLease, Boot, Bug, Digest, Facts, Length, Ms, Name, Output, Outputs, Revision, RevisionNo,
     Role, Said, Stage, StageNo, Term, Turned,
 };
 
-/// A question each third of a lease: two may be lost and the lease still runs.
-const QUESTIONS_A_LEASE: f64 = 3.0;
-/// And within that up to this part earlier, by chance, so that hundreds don't ask at once.
-const SPREAD: f64 = 0.2;
-/// An answer that has not come by this part of a lease is asked for again, of another if need be.
-const AGAIN_WITHIN: f64 = 1.0 / 12.0;
-/// Questions whose answers may still come.
-const OPEN_KEPT: usize = 8;
-/// One that was named as chair is left for another after so many questions without an answer.
-const UNANSWERED: u32 = 2;
-/// Voters that name each other as chair are followed so far without a pause.
-pub(crate) const HOPS: u32 = 3;
-
+/// Requests per lease length: two of them may be lost and the lease still does not run out.
+const REQUESTS_PER_LEASE: f64 = 3.0;
+/// Each interval is shortened by up to this fraction, at random, so that hundreds of controllers don't send
+/// their requests at once.
+const RENEWAL_JITTER: f64 = 0.2;
+/// A request without an answer after this fraction of a lease is sent again, to another voter if need be.
+const RETRY_FRACTION: f64 = 1.0 / 12.0;
+/// Number of unanswered requests that are remembered; an answer to an older one is ignored.
+const MAX_OPEN_REQUESTS: usize = 8;
+/// A presumed leader is given up after this many requests without an answer.
+const MAX_UNANSWERED: u32 = 2;
+/// Number of redirects that are followed without a pause, since voters may name each other as leader.
+pub(crate) const MAX_REDIRECTS: u32 = 3;
+
+/// The state of this controller's own lease and of its requests to renew it.
 #[derive(Clone, Debug, Hash)]
-pub(crate) struct Holder {
-    pub asked: u64,
-    /// When each question that may still be answered was asked; none for one that asked for no lease.
-    pub open: BTreeMap<u64, Option<Ms>>,
-    pub last: Ms,
-    pub next: Ms,
-    /// Whom this steward takes for chair, and how often it did not answer.
-    pub chair: Option<Name>,
-    /// The term of the last lease.
+pub(crate) struct LeaseHolder {
+    pub request_no: u64,
+    /// When each request that may still be answered was sent; `None` for a request that asked for no lease.
+    pub open_requests: BTreeMap<u64, Option<Ms>>,
+    pub last_sent: Ms,
+    pub next_due: Ms,
+    /// The presumed leader; `unanswered` counts the requests that it did not answer.
+    pub leader: Option<Name>,
+    /// The term of the leader that granted the last lease.
     pub term: Term,
     pub unanswered: u32,
-    pub hops: u32,
-    /// Whom to try if there is none: by turns.
+    pub redirects: u32,
+    /// The voters to ask in turn if no leader is known.
     voters: Vec<Name>,
-    pub turn: usize,
-    pub taken: Option<Held>,
-    /// Newer than what is acted on: its texts are still being checked.
-    pub fresh: Option<Held>,
-    pub first: Option<Ms>,
-    texts: BTreeMap<RevisionNo, Text>,
+    pub next_voter: usize,
+    pub active: Option<HeldLease>,
+    /// A lease for a newer stage than the one acted on: the texts of its revisions are still being checked.
+    pub pending: Option<HeldLease>,
+    pub first_lease_at: Option<Ms>,
+    texts: BTreeMap<RevisionNo, CheckedText>,
     settled: Option<StageNo>,
-    /// A stage that the chair told of, and no answer since: one may be under way that was given before it.
-    heeded: Option<StageNo>,
-    turned: Option<Turned>,
-    pub told: Option<(u8, Stage, Ms)>,
+    /// A stage that the leader announced and that no answer has brought yet; an answer that is under way may
+    /// be older than it.
+    announced_stage: Option<StageNo>,
+    last_refusal: Option<Turned>,
+    pub reported: Option<(u8, Stage, Ms)>,
 }
 
+/// A lease that this controller was granted, with its ends by its own clock.
 #[derive(Clone, Debug, Hash)]
-pub(crate) struct Held {
+pub(crate) struct HeldLease {
     stage: Stage,
-    pub until: Ms,
-    pub knows: Ms,
+    pub acts_until: Ms,
+    pub knows_until: Ms,
 }
 
+/// The text of a revision, and the result of its check once there is one.
 #[derive(Clone, Debug, Hash)]
-struct Text {
+struct CheckedText {
     revision: Revision,
     verdict: Option<Result<(), Arc<str>>>,
 }
 
-/// Questions are counted from another number in each run: an answer to the run before, that comes late, names none of
-/// this run's. It would else count a lease from a question that its chair never had.
-fn first_asked(boot: Boot) -> u64 {
+/// Each run counts its requests from a different number, so that a late answer to a request of the previous
+/// run matches no request of this run. Otherwise a lease would be counted from the send time of a request
+/// that the leader never received.
+fn first_request_no(boot: Boot) -> u64 {
     let mut hasher = DefaultHasher::new();
     boot.hash(&mut hasher);
     hasher.finish() >> 1
 }
 
-impl Holder {
-    pub fn new(now: Ms, facts: &Facts) -> Holder {
-        Holder {
-            asked: first_asked(facts.boot),
-            open: BTreeMap::new(),
-            last: Ms::LONG_AGO,
-            next: now,
-            chair: None,
+impl LeaseHolder {
+    pub fn new(now: Ms, settings: &Facts) -> LeaseHolder {
+        LeaseHolder {
+            request_no: first_request_no(settings.boot),
+            open_requests: BTreeMap::new(),
+            last_sent: Ms::LONG_AGO,
+            next_due: now,
+            leader: None,
             term: Term(0),
             unanswered: 0,
-            hops: 0,
-            voters: facts.voters.clone(),
-            turn: 0,
-            taken: None,
-            fresh: None,
-            first: None,
+            redirects: 0,
+            voters: settings.voters.clone(),
+            next_voter: 0,
+            active: None,
+            pending: None,
+            first_lease_at: None,
             texts: BTreeMap::new(),
             settled: None,
-            heeded: None,
-            turned: None,
-            told: None,
+            announced_stage: None,
+            last_refusal: None,
+            reported: None,
         }
     }
 
-    pub fn chair(&self) -> Option<&Name> {
-        self.chair.as_ref()
+    pub fn leader(&self) -> Option<&Name> {
+        self.leader.as_ref()
     }
 
     pub fn newest_stage(&self) -> Stage {
-        self.fresh.as_ref().or(self.taken.as_ref()).map_or_else(Stage::default, |held| held.stage)
+        self.pending.as_ref().or(self.active.as_ref()).map_or_else(Stage::default, |held| held.stage)
     }
 
     fn usable(&self, no: RevisionNo) -> bool {
         self.texts.get(&no).is_some_and(|text| text.verdict == Some(Ok(())))
     }
 
-    /// All that the stage says may be ordered by is here and was checked.
+    /// Whether the texts of all revisions in force under the stage are here and passed their check.
     fn can_act_on(&self, stage: &Stage) -> bool {
         stage.revisions().filter(|no| Some(*no) != stage.staged).all(|no| self.usable(no))
     }
 
-    /// Something that holds was checked and can't be used here.
+    /// Whether a revision in force failed its check here.
     fn barred(&self) -> bool {
         let stage = self.newest_stage();
         stage
@@ -122,115 +129,116 @@
             .any(|no| self.texts.get(&no).is_some_and(|text| matches!(text.verdict, Some(Err(_)))))
     }
 
-    /// True: it acts on another stage than before.
-    fn take_up(&mut self) -> bool {
-        if !self.fresh.as_ref().is_some_and(|fresh| self.can_act_on(&fresh.stage)) {
+    /// Activates the pending lease if its stage can be acted on; returns whether the stage acted on has
+    /// changed.
+    fn activate_pending(&mut self) -> bool {
+        if !self.pending.as_ref().is_some_and(|pending| self.can_act_on(&pending.stage)) {
             return false;
         }
-        let before = self.taken.as_ref().map(|taken| taken.stage);
-        self.taken = self.fresh.take();
-        before != self.taken.as_ref().map(|taken| taken.stage)
+        let before = self.active.as_ref().map(|active| active.stage);
+        self.active = self.pending.take();
+        before != self.active.as_ref().map(|active| active.stage)
     }
 
-    /// As many questions are open as may still be answered.
-    pub fn trim(&mut self) {
-        while self.open.len() > OPEN_KEPT {
-            self.open.pop_first();
+    /// Forgets the oldest unanswered requests above the limit.
+    pub fn trim_open_requests(&mut self) {
+        while self.open_requests.len() > MAX_OPEN_REQUESTS {
+            self.open_requests.pop_first();
         }
     }
 
-    pub fn question(&self, now: Ms, facts: &Facts) -> AskLease {
-        let taken = self.taken.as_ref().map_or_else(Stage::default, |taken| taken.stage);
+    pub fn lease_request(&self, now: Ms, settings: &Facts) -> AskLease {
+        let active = self.active.as_ref().map_or_else(Stage::default, |active| active.stage);
         let newest = self.newest_stage();
-        let under_way = newest.staged.or(match newest.holds {
+        let pending_no = newest.staged.or(match newest.holds {
             crate::Holds::Joint { new, .. } => Some(new),
             _ => None,
         });
-        let verdict = under_way
+        let verdict = pending_no
             .and_then(|no| self.texts.get(&no))
             .and_then(|text| Some((text.revision.no, text.revision.digest, text.verdict.clone()?)));
         AskLease {
-            asked: self.asked,
-            boot: facts.boot,
-            disk: facts.disk,
-            stage: taken.no,
-            settled: self.taken.is_some() && self.settled == Some(taken.no),
+            asked: self.request_no,
+            boot: settings.boot,
+            disk: settings.disk,
+            stage: active.no,
+            settled: self.active.is_some() && self.settled == Some(active.no),
             verdict,
             barred: self.barred(),
             has: self.texts.values().map(|text| (text.revision.no, text.revision.digest)).collect(),
-            leased: self.first.map_or(0.0, |first| now.0 - first.0),
-            lengths: facts.lengths(),
+            leased: self.first_lease_at.map_or(0.0, |first| now.0 - first.0),
+            lengths: settings.lengths(),
         }
     }
 }
 
 impl Accord {
-    fn pace(&self) -> f64 {
-        self.facts.length.acts / QUESTIONS_A_LEASE
+    fn renewal_interval(&self) -> f64 {
+        self.settings.length.acts / REQUESTS_PER_LEASE
     }
 
-    pub(crate) fn again_within(&self) -> f64 {
-        (self.facts.length.acts * AGAIN_WITHIN).max(self.facts.beat)
+    pub(crate) fn retry_interval(&self) -> f64 {
+        (self.settings.length.acts * RETRY_FRACTION).max(self.settings.beat)
     }
 
-    /// The chair that a question or a wish would go to now.
-    pub(crate) fn to_chair(&self) -> Option<Name> {
+    /// The leader that a lease request or a proposal would be sent to now.
+    pub(crate) fn leader_to_ask(&self) -> Option<Name> {
         match &self.role {
-            Role::Chairs(_) => Some(self.facts.me.clone()),
-            // One that votes no more hears of no new chair by the log.
-            Role::Follows { chair: Some(chair) } if self.hears_a_chair() => Some(chair.clone()),
-            _ => self.holder.chair.clone().filter(|chair| *chair != self.facts.me),
+            Role::Leader(_) => Some(self.settings.me.clone()),
+            // A member that does not vote any more learns of no new leader from the log.
+            Role::Follower { leader: Some(leader) } if self.has_leader_contact() => Some(leader.clone()),
+            _ => self.lease_holder.leader.clone().filter(|leader| *leader != self.settings.me),
         }
     }
 
-    /// The term that a wish to this chair is for.
-    pub(crate) fn chair_term(&self) -> Term {
+    /// The term that a proposal to this leader is addressed to.
+    pub(crate) fn leader_term(&self) -> Term {
         match &self.role {
-            Role::Chairs(_) => self.term,
-            Role::Follows { chair: Some(_) } if self.hears_a_chair() => self.term,
-            _ => self.holder.term,
+            Role::Leader(_) => self.term,
+            Role::Follower { leader: Some(_) } if self.has_leader_contact() => self.term,
+            _ => self.lease_holder.term,
         }
     }
 
-    pub(crate) fn ask_on(&mut self, out: &mut Out) {
-        if self.now < self.holder.next {
+    pub(crate) fn renew_lease(&mut self, out: &mut Outputs) {
+        if self.now < self.lease_holder.next_due {
             return;
         }
-        if self.ending.is_some() {
-            return self.let_go_on(out);
+        if self.shutdown.is_some() {
+            return self.send_release(out);
         }
-        self.holder.next = self.now.plus(self.again_within());
-        let Some(target) = self.next_asked() else { return };
-        let holder = &mut self.holder;
+        self.lease_holder.next_due = self.now.plus(self.retry_interval());
+        let Some(target) = self.next_target() else { return };
+        let holder = &mut self.lease_holder;
         let barred = holder.barred();
-        holder.open.insert(holder.asked, (!barred).then_some(self.now));
-        holder.trim();
-        let question = holder.question(self.now, &self.facts);
-        self.say(&target, Said::AskLease(question), out);
+        holder.open_requests.insert(holder.request_no, (!barred).then_some(self.now));
+        holder.trim_open_requests();
+        let request = holder.lease_request(self.now, &self.settings);
+        self.send(&target, Said::AskLease(request), out);
     }
 
-    /// Whom to ask, and one more question counted.
-    pub(crate) fn next_asked(&mut self) -> Option<Name> {
-        let target = self.to_chair().or_else(|| {
+    /// Chooses the member to ask, and counts one more request.
+    pub(crate) fn next_target(&mut self) -> Option<Name> {
+        let target = self.leader_to_ask().or_else(|| {
             let others: Vec<&Name> =
-                self.holder.voters.iter().filter(|name| **name != self.facts.me).collect();
-            others.get(self.holder.turn % others.len().max(1)).map(|name| Name::clone(name))
+                self.lease_holder.voters.iter().filter(|name| **name != self.settings.me).collect();
+            others.get(self.lease_holder.next_voter % others.len().max(1)).map(|name| Name::clone(name))
         });
         let target = target?;
-        let holder = &mut self.holder;
+        let holder = &mut self.lease_holder;
         holder.unanswered += 1;
-        if holder.unanswered > UNANSWERED {
-            // This question still goes to it; the next to another.
-            (holder.chair, holder.unanswered) = (None, 0);
-            holder.turn = holder.turn.wrapping_add(1);
+        if holder.unanswered > MAX_UNANSWERED {
+            // This request still goes to it; the next one goes to another member.
+            (holder.leader, holder.unanswered) = (None, 0);
+            holder.next_voter = holder.next_voter.wrapping_add(1);
         }
-        holder.asked += 1;
-        holder.last = self.now;
+        holder.request_no += 1;
+        holder.last_sent = self.now;
         Some(target)
     }
 
     #[allow(clippy::too_many_arguments)] // The parts of one message.
-    pub(crate) fn leased(
+    pub(crate) fn on_lease(
         &mut self,
         from: Name,
         (asked, term): (u64, Term),
@@ -238,24 +246,27 @@
         length: Length,
         texts: Vec<Revision>,
         voters: Vec<Name>,
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
         let sane = length.acts >= 0.0 && length.knows >= length.acts && length.knows.is_finite();
-        let spoilt = texts.iter().any(|text| Digest::of(&text.text) != text.digest);
-        if !sane || spoilt {
+        let corrupted = texts.iter().any(|text| Digest::of(&text.text) != text.digest);
+        if !sane || corrupted {
             return self.refuse("spoilt");
         }
-        // Only questions after the last one answered are open: an old answer brings no old stage back.
-        let Some(since) = self.holder.open.remove(&asked) else { return self.refuse("old answer") };
-        let chance = self.chance();
-        let pace = self.pace() * (1.0 - SPREAD * chance);
-        let holder = &mut self.holder;
-        holder.open.retain(|question, _| *question > asked);
-        holder.first.get_or_insert(self.now);
-        if holder.chair.as_ref() != Some(&from) || holder.term != term {
-            self.mine.values_mut().for_each(|mine| mine.next = mine.next.min(self.now));
+        // Only requests sent after the last answered one are open, so a late answer does not bring an old
+        // stage back.
+        let Some(since) = self.lease_holder.open_requests.remove(&asked) else {
+            return self.refuse("old answer");
+        };
+        let random_fraction = self.random_fraction();
+        let interval = self.renewal_interval() * (1.0 - RENEWAL_JITTER * random_fraction);
+        let holder = &mut self.lease_holder;
+        holder.open_requests.retain(|request, _| *request > asked);
+        holder.first_lease_at.get_or_insert(self.now);
+        if holder.leader.as_ref() != Some(&from) || holder.term != term {
+            self.own_proposals.values_mut().for_each(|own| own.next_due = own.next_due.min(self.now));
         }
-        (holder.chair, holder.unanswered, holder.hops, holder.turned) = (Some(from), 0, 0, None);
+        (holder.leader, holder.unanswered, holder.redirects, holder.last_refusal) = (Some(from), 0, 0, None);
         holder.term = term;
         if !voters.is_empty() {
             holder.voters = voters;
@@ -263,155 +274,161 @@
         for revision in texts.into_iter().filter(|text| stage.speaks_of(text.no)) {
             let known = holder.texts.get(&revision.no);
             if known.is_none_or(|text| text.revision.digest != revision.digest) {
-                out.all.push(Output::Check(revision.clone()));
-                holder.texts.insert(revision.no, Text { revision, verdict: None });
+                out.outputs.push(Output::Check(revision.clone()));
+                holder.texts.insert(revision.no, CheckedText { revision, verdict: None });
             }
         }
         let end = |length: f64| since.map_or(Ms::LONG_AGO, |since| since.plus(length));
-        holder.fresh = Some(Held { stage, until: end(length.acts), knows: end(length.knows) });
-        holder.next = self.now.plus(pace);
-        // Something else holds by now, and a lease of it is wanted; or it was told of a stage later than this, once.
-        let newer = holder.heeded.take().is_some_and(|heeded| heeded > stage.no);
-        if newer || (since.is_none() && !holder.barred()) {
-            holder.next = self.now;
+        holder.pending =
+            Some(HeldLease { stage, acts_until: end(length.acts), knows_until: end(length.knows) });
+        holder.next_due = self.now.plus(interval);
+        // The stage has changed and a lease for it is needed, or the leader has announced a later stage than
+        // this one: request again at once (once for an announcement).
+        let newer_announced = holder.announced_stage.take().is_some_and(|announced| announced > stage.no);
+        if newer_announced || (since.is_none() && !holder.barred()) {
+            holder.next_due = self.now;
         }
-        self.took_up();
+        self.activate_lease();
     }
 
-    /// If what is newest can be acted on by now it is, and the chair is told so at once.
-    fn took_up(&mut self) {
-        let holder = &mut self.holder;
-        if holder.take_up() {
-            holder.next = self.now;
+    /// Activates the newest lease if its stage can be acted on, and reports that to the leader at once.
+    fn activate_lease(&mut self) {
+        let holder = &mut self.lease_holder;
+        if holder.activate_pending() {
+            holder.next_due = self.now;
         }
-        let (taken, fresh) = (holder.taken.as_ref(), holder.fresh.as_ref());
-        let named = |no: &RevisionNo| taken.iter().chain(&fresh).any(|held| held.stage.speaks_of(*no));
+        let (active, pending) = (holder.active.as_ref(), holder.pending.as_ref());
+        let named = |no: &RevisionNo| active.iter().chain(&pending).any(|held| held.stage.speaks_of(*no));
         holder.texts.retain(|no, _| named(no));
     }
 
-    pub(crate) fn checked(
+    pub(crate) fn on_checked(
         &mut self,
         no: RevisionNo,
         digest: Digest,
         verdict: Result<(), Arc<str>>,
-        out: &mut Out,
+        out: &mut Outputs,
     ) {
-        let text = self.holder.texts.get_mut(&no).filter(|text| text.revision.digest == digest);
+        let text = self.lease_holder.texts.get_mut(&no).filter(|text| text.revision.digest == digest);
         let Some(text) = text else { return };
         if text.verdict.as_ref() == Some(&verdict) {
             return;
         }
         if let Err(why) = &verdict {
-            out.all.push(Output::Log(format!(
-                "revision {} can't be used here: {why}; until it is replaced or this steward can, governed products \
-                 are declined under it",
+            out.outputs.push(Output::Log(format!(
+                "revision {} can't be used on this controller: {why}; requests of governed classes are \
+                 rejected under it until it is replaced or becomes usable",
                 no.0
             )));
         }
         text.verdict = Some(verdict);
-        self.holder.next = self.now;
-        self.took_up();
+        self.lease_holder.next_due = self.now;
+        self.activate_lease();
     }
 
-    pub(crate) fn settled(&mut self, stage: StageNo, settled: bool) {
-        // What proxies confirmed of a stage before this one is of no use, and comes late.
-        if self.holder.taken.as_ref().is_none_or(|taken| taken.stage.no != stage) {
+    pub(crate) fn on_settled(&mut self, stage: StageNo, settled: bool) {
+        // A late confirmation of an earlier stage is ignored.
+        if self.lease_holder.active.as_ref().is_none_or(|active| active.stage.no != stage) {
             return;
         }
-        let now = settled.then_some(stage);
-        if now != std::mem::replace(&mut self.holder.settled, now) {
-            self.holder.next = self.now;
+        let confirmed = settled.then_some(stage);
+        if confirmed != std::mem::replace(&mut self.lease_holder.settled, confirmed) {
+            self.lease_holder.next_due = self.now;
         }
     }
 
-    pub(crate) fn not_chair(&mut self, from: Name, asked: u64, chair: Option<Name>) {
-        let holder = &mut self.holder;
-        if holder.open.remove(&asked).is_none() || asked != holder.asked {
+    pub(crate) fn on_not_leader(&mut self, from: Name, asked: u64, leader: Option<Name>) {
+        let holder = &mut self.lease_holder;
+        if holder.open_requests.remove(&asked).is_none() || asked != holder.request_no {
             return;
         }
-        match chair.filter(|chair| *chair != from && *chair != self.facts.me) {
-            Some(chair) => {
-                (holder.chair, holder.unanswered) = (Some(chair), 0);
-                holder.hops += 1;
-                if holder.hops <= HOPS {
-                    holder.next = self.now;
+        match leader.filter(|leader| *leader != from && *leader != self.settings.me) {
+            Some(leader) => {
+                (holder.leader, holder.unanswered) = (Some(leader), 0);
+                holder.redirects += 1;
+                if holder.redirects <= MAX_REDIRECTS {
+                    holder.next_due = self.now;
                 }
             }
             None => {
-                holder.chair = None;
-                holder.turn = holder.turn.wrapping_add(1);
+                holder.leader = None;
+                holder.next_voter = holder.next_voter.wrapping_add(1);
             }
         }
     }
 
-    pub(crate) fn turned(&mut self, asked: u64, boot: Boot, why: Turned, out: &mut Out) {
-        if boot != self.facts.boot || self.holder.open.remove(&asked).is_none() {
+    pub(crate) fn on_lease_refused(&mut self, asked: u64, boot: Boot, why: Turned, out: &mut Outputs) {
+        if boot != self.settings.boot || self.lease_holder.open_requests.remove(&asked).is_none() {
             return;
         }
-        self.holder.next = self.now.plus(self.pace());
+        self.lease_holder.next_due = self.now.plus(self.renewal_interval());
         self.refuse("turned away");
-        if self.holder.turned.as_ref() != Some(&why) {
-            out.all.push(Output::Log(format!("this steward gets no lease: {why}; {}", why.advice())));
-            self.holder.turned = Some(why);
+        if self.lease_holder.last_refusal.as_ref() != Some(&why) {
+            out.outputs.push(Output::Log(format!(
+                "the leader refuses a lease to this controller: {why}; {}",
+                why.advice()
+            )));
+            self.lease_holder.last_refusal = Some(why);
         }
     }
 
-    pub(crate) fn heed(&mut self, from: Name, term: Term, stage: StageNo) {
-        let holder = &mut self.holder;
-        // A later chair than the one of the last lease: that one was ended, and won't answer.
-        let later = term > holder.term && holder.chair.as_ref() != Some(&from);
+    pub(crate) fn on_stage_notice(&mut self, from: Name, term: Term, stage: StageNo) {
+        let holder = &mut self.lease_holder;
+        // The sender is a leader of a later term than the one that granted the last lease; the earlier leader
+        // was stopped and won't answer.
+        let later = term > holder.term && holder.leader.as_ref() != Some(&from);
         if later {
-            (holder.chair, holder.unanswered) = (Some(from.clone()), 0);
+            (holder.leader, holder.unanswered) = (Some(from.clone()), 0);
         }
         if stage > holder.newest_stage().no {
-            holder.heeded = Some(stage);
+            holder.announced_stage = Some(stage);
         } else if !later {
             return;
         }
-        // One that tells it again and again gets no more than a question a quarter beat.
-        let soon = self.now.max(self.holder.last.plus(self.facts.beat / 4.0));
-        self.holder.next = self.holder.next.min(soon);
-        if self.holder.chair.is_none() {
-            self.holder.chair = Some(from);
+        // Repeated announcements cause at most one request per quarter of a heartbeat interval.
+        let soon = self.now.max(self.lease_holder.last_sent.plus(self.settings.beat / 4.0));
+        self.lease_holder.next_due = self.lease_holder.next_due.min(soon);
+        if self.lease_holder.leader.is_none() {
+            self.lease_holder.leader = Some(from);
         }
     }
 
     pub(crate) fn act_at(&self, now: Ms) -> Act {
-        let held = self.holder.taken.as_ref().filter(|_| self.orders());
+        let held = self.lease_holder.active.as_ref().filter(|_| self.may_order());
         let Some(held) = held else { return Act::Unknown };
         let stage = held.stage;
-        if now < held.until || self.has(Bug::ActsAfterLease) {
-            return Act::On { stage, until: held.until.0 };
+        if now < held.acts_until || self.has_bug(Bug::ActsAfterLease) {
+            return Act::On { stage, until: held.acts_until.0 };
         }
-        let knows_staged = stage.staged.is_none_or(|no| self.holder.usable(no));
-        match now < held.knows && knows_staged {
-            true => Act::Within { stage, until: held.knows.0 },
+        let knows_staged = stage.staged.is_none_or(|no| self.lease_holder.usable(no));
+        match now < held.knows_until && knows_staged {
+            true => Act::Within { stage, until: held.knows_until.0 },
             false => Act::Unknown,
         }
     }
 
-    /// What holds now, if it is another than was told.
-    pub(crate) fn tell_act(&mut self, out: &mut Out) {
+    /// Returns an [`Output::Act`] if what this controller may act on has changed since the last report.
+    pub(crate) fn report_act(&mut self, out: &mut Outputs) {
         let act = self.act_at(self.now);
-        let told = match &act {
+        let reported = match &act {
             Act::On { stage, until } => (0, *stage, Ms(*until)),
             Act::Within { stage, until } => (1, *stage, Ms(*until)),
             Act::Unknown => (2, Stage::default(), Ms::NEVER),
         };
-        if self.holder.told == Some(told) {
+        if self.lease_holder.reported == Some(reported) {
             return;
         }
-        let texts = self.holder.texts.values().filter(|text| told.1.speaks_of(text.revision.no));
+        let texts = self.lease_holder.texts.values().filter(|text| reported.1.speaks_of(text.revision.no));
         let texts = texts.map(|text| text.revision.clone()).collect();
-        self.holder.told = Some(told);
-        out.all.push(Output::Act { act, texts });
+        self.lease_holder.reported = Some(reported);
+        out.outputs.push(Output::Act { act, texts });
     }
 
-    pub(crate) fn holder_due(&self) -> Ms {
-        if self.ending.is_some() {
-            return self.holder.next;
+    pub(crate) fn lease_due(&self) -> Ms {
+        if self.shutdown.is_some() {
+            return self.lease_holder.next_due;
         }
-        let ends = self.holder.taken.iter().flat_map(|held| [held.until, held.knows]);
-        ends.filter(|end| *end > self.now).fold(self.holder.next, Ms::min)
+        let ends = self.lease_holder.active.iter().flat_map(|held| [held.acts_until, held.knows_until]);
+        ends.filter(|end| *end > self.now).fold(self.lease_holder.next_due, Ms::min)
     }
 }
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,9 +1,11 @@
-//! One change of policy, everywhere or nowhere. What members say to each other and the time go in; what must last,
-//! what is to be said, and what this steward may act on come out, to be carried out in that order. After Raft
-//! (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, and Ongaro's dissertation
-//! for single-server changes of members), with stages and leases on top; `docs/fleet-policy.md` has the proof.
+//! Consensus on the fleet's policy: a change of policy takes effect on every controller or on none. The crate
+//! is sans-I/O: incoming messages and the time are passed in; records to persist, messages to send and what
+//! this controller may act on are returned, to be carried out in that order. The protocol follows Raft
+//! (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, and Ongaro's
+//! dissertation for single-server membership changes), with staged changes and leases on top;
+//! `docs/fleet-policy.md` has the proof.
 //!
-//! What it never does: read a clock, touch a socket or a disk, or let a steward act past its lease.
+//! It never reads a clock, never touches a socket or a disk, and never lets a controller act past its lease.
 
 mod bugs;
 mod chair;
@@ -33,66 +35,71 @@
 pub use status::{Part, Status, Wait, WaitFor};
 pub use types::*;
 
-use chair::Chair;
-use ending::{Ending, Handed};
-use holder::Holder;
+use chair::Leader;
+use ending::{Shutdown, Transfer};
+use holder::LeaseHolder;
 use log::Log;
-use time::{chance, Ms};
+use time::{random_fraction, Ms};
 use voters::Voters;
-use wishes::Mine;
+use wishes::OwnProposal;
 
-/// One steward's part in the agreement. The same inputs at the same times give the same outputs.
+/// The consensus state machine of one member. It is deterministic: the same inputs at the same times give the
+/// same outputs.
 #[derive(Clone, Debug, Hash)]
 pub struct Accord {
-    facts: Facts,
-    /// The latest time heard of: time does not go back.
+    settings: Facts,
+    /// The latest time passed in; it never goes backwards.
     now: Ms,
     term: Term,
-    voted: Option<Name>,
+    voted_for: Option<Name>,
     log: Log,
-    /// Up to here the log can't change any more, and this is what it amounts to.
-    stands: Place,
-    standing: Base,
+    /// Index up to which the log is committed; `committed` is the state that results from applying the log up
+    /// to this index.
+    commit_index: Place,
+    committed: Base,
     voters: Voters,
     role: Role,
-    /// When a chair last spoke; at the start it may just have.
-    heard: Ms,
-    /// When a voter that hears no chair asks for votes.
-    patience: Ms,
-    /// Counts what was left to chance.
-    drawn: u64,
-    /// Nothing is left to chance.
-    even: bool,
-    holder: Holder,
-    mine: BTreeMap<u64, Mine>,
+    /// When a message of a leader last arrived. Initialized to the start time, since a leader may have sent
+    /// one just before.
+    last_leader_contact: Ms,
+    /// When this voter starts an election unless a leader contacts it before.
+    election_deadline: Ms,
+    /// Number of random values drawn so far; input of the deterministic generator.
+    random_draws: u64,
+    /// Replaces each random value by the middle of its range.
+    fixed_jitter: bool,
+    lease_holder: LeaseHolder,
+    own_proposals: BTreeMap<u64, OwnProposal>,
     refused: BTreeMap<&'static str, u64>,
-    /// Set once, and for good: this run is being ended in good order.
-    ending: Option<Ending>,
-    /// From a chair that told this voter to stand.
-    handed: Option<Handed>,
+    /// Set once and never cleared: this run is shutting down gracefully.
+    shutdown: Option<Shutdown>,
+    /// Received from a leader that asked this voter to take over leadership.
+    transfer: Option<Transfer>,
     bug: Option<Bug>,
 }
 
+/// The Raft role of this member.
 #[derive(Clone, Debug, Hash)]
 enum Role {
-    Follows { chair: Option<Name> },
-    Asks { trial: bool, given: BTreeMap<Name, Disk> },
-    Chairs(Box<Chair>),
+    Follower { leader: Option<Name> },
+    Candidate { trial: bool, votes: BTreeMap<Name, Disk> },
+    Leader(Box<Leader>),
 }
 
-/// What a call brings forth, in order; what a steward says to itself stays inside.
+/// Outputs of one call, in order; messages of this member to itself are processed inside the call.
 #[derive(Default)]
-struct Out {
-    all: Vec<Output>,
-    own: VecDeque<Said>,
+struct Outputs {
+    outputs: Vec<Output>,
+    to_self: VecDeque<Said>,
 }
 
 impl Accord {
-    /// A steward at its start: with what its disk kept if it is or was a voter, with `Kept::default()` otherwise.
+    /// Creates the state machine at process start. `kept` is what the disk held if this member is or was a
+    /// voter, `Kept::default()` otherwise.
     pub fn new(now: f64, facts: Facts, kept: Kept) -> Result<Accord, Unfit> {
         facts.check()?;
-        facts.check_kept(&kept)?;
-        let (base, standing) = kept.base.unwrap_or_else(|| {
+        facts.check_stored(&kept)?;
+        let (base, committed) = kept.base.unwrap_or_else(|| {
             let voters = facts.voters.iter().map(|name| (name.clone(), None)).collect();
             let followers = facts.followers.clone();
             (Default::default(), Base { voters, followers, ..Base::default() })
@@ -101,217 +108,226 @@
         let mut accord = Accord {
             now,
             term: kept.term.max(base.0),
-            voted: kept.voted,
+            voted_for: kept.voted,
             log: Log::new(base, kept.entries),
-            stands: base.1,
-            standing,
+            commit_index: base.1,
+            committed,
             voters: Voters::default(),
-            role: Role::Follows { chair: None },
-            heard: now,
-            patience: now,
-            drawn: 0,
-            even: false,
-            holder: Holder::new(now, &facts),
-            mine: BTreeMap::new(),
+            role: Role::Follower { leader: None },
+            last_leader_contact: now,
+            election_deadline: now,
+            random_draws: 0,
+            fixed_jitter: false,
+            lease_holder: LeaseHolder::new(now, &facts),
+            own_proposals: BTreeMap::new(),
             refused: BTreeMap::new(),
-            ending: None,
-            handed: None,
+            shutdown: None,
+            transfer: None,
             bug: None,
-            facts,
+            settings: facts,
         };
-        accord.count_voters();
-        accord.wait_anew();
+        accord.recompute_voters();
+        accord.reset_election_timer();
         Ok(accord)
     }
 
     #[cfg(feature = "seeded-bugs")]
-    /// The same with one line of it wrong, for an explorer to find.
+    /// The same state machine with one seeded fault, for a test explorer to find.
     pub fn with_bug(mut self, bug: Bug) -> Accord {
         self.bug = Some(bug);
         self
     }
 
-    /// The same with the middle of whatever is left to chance: for an explorer, which tries timers that are due at one
-    /// time in every order itself.
+    /// The same state machine without randomness: each random value is the middle of its range. Used by the
+    /// explorer, which itself tries timers that are due at the same time in every order.
     pub fn evenly(mut self) -> Accord {
-        self.even = true;
-        self.wait_anew();
+        self.fixed_jitter = true;
+        self.reset_election_timer();
         self
     }
 
-    /// The chair that a voter hears, as long as nothing makes it ask for votes: all that it says of itself goes there.
+    /// The leader that this voter follows, as long as nothing makes it start an election: its lease requests
+    /// and proposals go to that leader.
     pub fn keeps_to(&self, now: f64) -> Option<&Name> {
         match &self.role {
-            Role::Follows { chair }
-                if Ms(now) < self.heard.plus(self.facts.election) && Ms(now) < self.patience =>
+            Role::Follower { leader }
+                if Ms(now) < self.last_leader_contact.plus(self.settings.election)
+                    && Ms(now) < self.election_deadline =>
             {
-                chair.as_ref()
+                leader.as_ref()
             }
             _ => None,
         }
     }
 
-    fn has(&self, bug: Bug) -> bool {
+    /// Whether a fault is seeded; always false without the feature `seeded-bugs`.
+    fn has_bug(&self, bug: Bug) -> bool {
         cfg!(feature = "seeded-bugs") && self.bug == Some(bug)
     }
 
-    /// What was heard, or that time has come. The outputs are to be carried out in their order, and nothing is to
-    /// be said before what stands above it has lasted.
+    /// Processes one input. The outputs have to be carried out in their order: no message may be sent before
+    /// the records ahead of it in the list are persisted.
     pub fn handle(&mut self, now: f64, input: Input) -> Vec<Output> {
         if now.is_finite() {
             let before = self.now;
             self.now = before.max(Ms(now));
-            self.stood_still(before);
+            self.discount_clock_gap(before);
         }
-        let mut out = Out::default();
+        let mut out = Outputs::default();
         match input {
             Input::Tick => {}
-            // Its own name from outside: another run under it, or an echo.
-            Input::Heard { from, .. } if from == self.facts.me => self.refuse("own name"),
-            Input::Heard { from, said } => self.hear(from, said, &mut out),
-            Input::Wish { id, wish } => self.wish(id, wish, &mut out),
-            Input::Checked { no, digest, verdict } => self.checked(no, digest, verdict, &mut out),
-            Input::Settled { stage, settled } => self.settled(stage, settled),
-            Input::LetGo => self.let_go(&mut out),
+            // A message from outside that carries this member's own name: another process under the same
+            // name, or an echo.
+            Input::Heard { from, .. } if from == self.settings.me => self.refuse("own name"),
+            Input::Heard { from, said } => self.receive(from, said, &mut out),
+            Input::Wish { id, wish } => self.propose(id, wish, &mut out),
+            Input::Checked { no, digest, verdict } => self.on_checked(no, digest, verdict, &mut out),
+            Input::Settled { stage, settled } => self.on_settled(stage, settled),
+            Input::LetGo => self.begin_shutdown(&mut out),
         }
-        self.go_on(&mut out);
-        while let Some(said) = out.own.pop_front() {
-            self.hear(self.facts.me.clone(), said, &mut out);
-            self.go_on(&mut out);
+        self.advance(&mut out);
+        while let Some(said) = out.to_self.pop_front() {
+            self.receive(self.settings.me.clone(), said, &mut out);
+            self.advance(&mut out);
         }
-        self.tell_act(&mut out);
-        out.all
+        self.report_act(&mut out);
+        out.outputs
     }
 
-    /// Brings about whatever is due by the time and by what has changed; nothing if nothing is.
-    fn go_on(&mut self, out: &mut Out) {
-        self.elect(out);
-        self.preside(out);
-        self.send_wishes(out);
-        self.ask_on(out);
+    /// Performs everything that is due at the current time or because of a state change; does nothing
+    /// otherwise.
+    fn advance(&mut self, out: &mut Outputs) {
+        self.check_election(out);
+        self.run_leader(out);
+        self.send_proposals(out);
+        self.renew_lease(out);
     }
 
-    fn hear(&mut self, from: Name, said: Said, out: &mut Out) {
+    fn receive(&mut self, from: Name, said: Said, out: &mut Outputs) {
         match said {
             Said::AskVote { term, last, trial, disk: _, lengths, told } => {
-                if self.facts.same_lengths(lengths).is_err() {
+                if self.settings.check_lengths(lengths).is_err() {
                     return self.refuse("other lengths");
                 }
-                self.asked_vote(from, term, last, (trial, told), out)
+                self.on_vote_request(from, term, last, (trial, told), out)
             }
-            Said::Vote { term, given, trial, disk } => self.got_vote(from, term, given, trial, disk, out),
+            Said::Vote { term, given, trial, disk } => self.on_vote(from, term, given, trial, disk, out),
             Said::Append { term, round, after, entries, stands } => {
-                self.append(from, (term, round), after, entries, stands, out)
+                self.on_append(from, (term, round), after, entries, stands, out)
             }
             Said::Appended { term, round, agrees, disk } => {
-                self.appended(from, (term, round), agrees, disk, out)
+                self.on_appended(from, (term, round), agrees, disk, out)
             }
-            Said::Base { term, round, at, base } => self.take_base(from, (term, round), at, *base, out),
-            Said::AskLease(question) => self.asked_lease(from, question, out),
+            Said::Base { term, round, at, base } => self.on_snapshot(from, (term, round), at, *base, out),
+            Said::AskLease(question) => self.on_lease_request(from, question, out),
             Said::Lease { asked, term, stage, length, texts, voters } => {
-                self.leased(from, (asked, term), stage, length, texts, voters, out)
+                self.on_lease(from, (asked, term), stage, length, texts, voters, out)
             }
-            Said::NotChair { asked, chair } => self.not_chair(from, asked, chair),
-            Said::Turned { asked, boot, why } => self.turned(asked, boot, why, out),
-            Said::Heed { term, stage } => self.heed(from, term, stage),
-            Said::LetGo { term, last } => self.heard_let_go(from, term, last, out),
-            Said::LetGone { asked, boot, term, taken } if boot == self.facts.boot => {
-                self.let_gone(from, (asked, term), taken, out)
+            Said::NotChair { asked, chair } => self.on_not_leader(from, asked, chair),
+            Said::Turned { asked, boot, why } => self.on_lease_refused(asked, boot, why, out),
+            Said::Heed { term, stage } => self.on_stage_notice(from, term, stage),
+            Said::LetGo { term, last } => self.on_release(from, term, last, out),
+            Said::LetGone { asked, boot, term, taken } if boot == self.settings.boot => {
+                self.on_release_ack(from, (asked, term), taken, out)
             }
             Said::LetGone { .. } => self.refuse("old answer"),
-            Said::Stand { term, leases } => self.stand(from, term, leases, out),
-            Said::Wish { id, boot, term, wish } => self.asked_wish(from, (id, boot), term, wish, out),
-            Said::Answer { id, boot, outcome } => self.answered(id, boot, outcome, out),
+            Said::Stand { term, leases } => self.on_transfer(from, term, leases, out),
+            Said::Wish { id, boot, term, wish } => self.on_proposal(from, (id, boot), term, wish, out),
+            Said::Answer { id, boot, outcome } => self.on_proposal_result(id, boot, outcome, out),
         }
     }
 
-    /// When [`Input::Tick`] has to come at the latest, in ms of this steward's clock.
+    /// When [`Input::Tick`] has to be passed in at the latest, in ms of this member's clock.
     pub fn due(&self) -> f64 {
         let election = match self.role {
-            Role::Chairs(_) => Ms::NEVER,
-            _ if self.votes() && self.ending.is_none() => self.patience,
+            Role::Leader(_) => Ms::NEVER,
+            _ if self.is_voting() && self.shutdown.is_none() => self.election_deadline,
             _ => Ms::NEVER,
         };
-        election.min(self.presiding_due()).min(self.holder_due()).min(self.wishes_due()).0
+        election.min(self.leader_due()).min(self.lease_due()).min(self.proposals_due()).0
     }
 
-    /// What this steward may do at this time: the look before each order.
+    /// What this controller may act on at this time; checked before each order.
     pub fn act(&self, now: f64) -> Act {
         self.act_at(self.now.max(Ms(if now.is_nan() { f64::INFINITY } else { now })))
     }
 
+    /// The settings that this member was created with.
     pub fn facts(&self) -> &Facts {
-        &self.facts
+        &self.settings
     }
 
-    /// The term and, if it has one, the chair of it that this member goes by.
+    /// The current term and the leader of that term, if this member knows it.
     pub fn chair(&self) -> (Term, Option<&Name>) {
-        let chair = match &self.role {
-            Role::Chairs(_) => Some(&self.facts.me),
-            Role::Follows { chair } => chair.as_ref(),
-            Role::Asks { .. } => None,
+        let leader = match &self.role {
+            Role::Leader(_) => Some(&self.settings.me),
+            Role::Follower { leader } => leader.as_ref(),
+            Role::Candidate { .. } => None,
         };
-        (self.term, chair)
+        (self.term, leader)
     }
 
-    /// An entry of this voter's log that can't change any more and is not folded into its base yet.
+    /// The entry at `place` if it is committed and not yet compacted into the snapshot.
     pub fn stood(&self, place: Place) -> Option<&Logged> {
-        self.log.get(place).filter(|_| place <= self.stands)
+        self.log.get(place).filter(|_| place <= self.commit_index)
     }
 
-    /// How far this voter's log can't change any more, and what it amounts to.
+    /// The commit index of this voter's log, and the committed state at that index.
     pub fn standing(&self) -> (Place, &Base) {
-        (self.stands, &self.standing)
+        (self.commit_index, &self.committed)
     }
 
+    /// The state of this member at a time of its clock, for operators.
     pub fn status(&self, now: f64) -> Status {
         let part = match &self.role {
-            Role::Chairs(_) => Part::Chair,
-            Role::Asks { .. } => Part::Candidate,
-            Role::Follows { .. } if self.votes() => Part::Voter,
-            Role::Follows { .. } => Part::Follower,
+            Role::Leader(_) => Part::Chair,
+            Role::Candidate { .. } => Part::Candidate,
+            Role::Follower { .. } if self.is_voting() => Part::Voter,
+            Role::Follower { .. } => Part::Follower,
         };
-        let held = self.holder.newest_stage();
-        let logs = self.facts.disk.is_some();
+        let held = self.lease_holder.newest_stage();
+        let logs = self.settings.disk.is_some();
         let waits = match &self.role {
-            Role::Chairs(chair) => self.all_waits(chair),
+            Role::Leader(leader) => self.leader_waits(leader),
             _ => vec![],
         };
         Status {
             part,
             term: self.term,
-            chair: self.chair().1.or(self.holder.chair()).cloned(),
+            chair: self.chair().1.or(self.lease_holder.leader()).cloned(),
             act: self.act(now),
-            stage: if logs { self.standing.stage } else { held },
+            stage: if logs { self.committed.stage } else { held },
             known: match logs {
-                true => self.standing.known,
+                true => self.committed.known,
                 false => held.revisions().max().unwrap_or_default(),
             },
             waits,
             last: self.log.last().1,
-            stands: self.stands,
-            voters: self.standing.voters.clone(),
-            followers: self.standing.followers.len(),
+            stands: self.commit_index,
+            voters: self.committed.voters.clone(),
+            followers: self.committed.followers.len(),
             refused: self.refused.clone(),
         }
     }
 
+    /// Counts a refused message by its cause.
     fn refuse(&mut self, cause: &'static str) {
         *self.refused.entry(cause).or_default() += 1;
     }
 
-    fn chance(&mut self) -> f64 {
-        if self.even {
+    fn random_fraction(&mut self) -> f64 {
+        if self.fixed_jitter {
             return 0.5;
         }
-        self.drawn += 1;
-        chance(self.facts.seed, &self.facts.me, self.drawn)
+        self.random_draws += 1;
+        random_fraction(self.settings.seed, &self.settings.me, self.random_draws)
     }
 
-    fn say(&self, to: &Name, said: Said, out: &mut Out) {
-        match *to == self.facts.me {
-            true => out.own.push_back(said),
-            false => out.all.push(Output::Send { to: to.clone(), said }),
+    /// Sends a message; a message to this member itself is processed within the same call.
+    fn send(&self, to: &Name, said: Said, out: &mut Outputs) {
+        match *to == self.settings.me {
+            true => out.to_self.push_back(said),
+            false => out.outputs.push(Output::Send { to: to.clone(), said }),
         }
     }
 }
--- a/crates/accord/src/log.rs
+++ b/crates/accord/src/log.rs
@@ -1,30 +1,30 @@
-//! A voter's log: entries after a base, in one piece.
+//! A voter's log: consecutive entries that follow a snapshot.
 
 use crate::{Logged, Place, Term};
 
 #[derive(Clone, Debug, Default, PartialEq, Hash)]
 pub(crate) struct Log {
-    base: (Term, Place),
-    /// The first stands at the place after the base.
+    snapshot: (Term, Place),
+    /// The first entry has the index after the snapshot's.
     entries: Vec<Logged>,
 }
 
 impl Log {
-    pub fn new(base: (Term, Place), entries: Vec<Logged>) -> Log {
-        Log { base, entries }
+    pub fn new(snapshot: (Term, Place), entries: Vec<Logged>) -> Log {
+        Log { snapshot, entries }
     }
 
-    pub fn base(&self) -> Place {
-        self.base.1
+    pub fn snapshot_index(&self) -> Place {
+        self.snapshot.1
     }
 
     pub fn last(&self) -> (Term, Place) {
-        let place = Place(self.base.1 .0 + self.entries.len() as u64);
-        (self.entries.last().map_or(self.base.0, |logged| logged.term), place)
+        let place = Place(self.snapshot.1 .0 + self.entries.len() as u64);
+        (self.entries.last().map_or(self.snapshot.0, |logged| logged.term), place)
     }
 
     fn index(&self, place: Place) -> Option<usize> {
-        let index = place.0.checked_sub(self.base.1 .0)?.checked_sub(1)?;
+        let index = place.0.checked_sub(self.snapshot.1 .0)?.checked_sub(1)?;
         usize::try_from(index).ok()
     }
 
@@ -32,37 +32,39 @@
         self.entries.get(self.index(place)?)
     }
 
-    /// Of the base too; none before it and after the last.
+    /// The term of the entry at this index, or of the snapshot at its own index; `None` before the snapshot
+    /// and after the last entry.
     pub fn term_at(&self, place: Place) -> Option<Term> {
-        match place == self.base.1 {
-            true => Some(self.base.0),
+        match place == self.snapshot.1 {
+            true => Some(self.snapshot.0),
             false => self.get(place).map(|logged| logged.term),
         }
     }
 
-    /// No more than `most` after a place that is not before the base.
-    pub fn after(&self, place: Place, most: usize) -> &[Logged] {
+    /// At most `limit` entries that follow an index, which must not be before the snapshot's.
+    pub fn after(&self, place: Place, limit: usize) -> &[Logged] {
         let from = self.index(Place(place.0 + 1)).unwrap_or(0).min(self.entries.len());
-        &self.entries[from..from.saturating_add(most).min(self.entries.len())]
+        &self.entries[from..from.saturating_add(limit).min(self.entries.len())]
     }
 
     pub fn push(&mut self, logged: Logged) {
         self.entries.push(logged);
     }
 
-    /// Everything from this place on is gone.
-    pub fn cut_from(&mut self, place: Place) {
+    /// Removes all entries from this index on.
+    pub fn truncate_from(&mut self, place: Place) {
         let keep = self.index(place).unwrap_or(0);
         self.entries.truncate(keep);
     }
 
-    /// Everything up to here is a base from now on. What comes after stays if it was written after the same entry.
-    pub fn rebase(&mut self, base: (Term, Place)) {
-        match (self.term_at(base.1) == Some(base.0), self.index(base.1)) {
+    /// Replaces the log up to this index by a snapshot. Later entries stay only if the log has the snapshot's
+    /// last entry, that is, the same term at its index.
+    pub fn compact(&mut self, snapshot: (Term, Place)) {
+        match (self.term_at(snapshot.1) == Some(snapshot.0), self.index(snapshot.1)) {
             (true, Some(index)) => drop(self.entries.drain(..=index)),
             (true, None) => {}
             (false, _) => self.entries.clear(),
         }
-        self.base = base;
+        self.snapshot = snapshot;
     }
 }
--- a/crates/accord/src/members.rs
+++ b/crates/accord/src/members.rs
@@ -1,109 +1,119 @@
-//! Members added, removed, and voters taken in anew, after Ongaro's dissertation, chapter 4: one change at a time,
-//! and none before the first entry of the chair's term stands.
+//! Membership changes: members are added and removed, and voters with a new disk are admitted, after Ongaro's
+//! dissertation, chapter 4. There is one change at a time, and none before the first entry of the leader's
+//! term is committed.
 
-use crate::chair::Chair;
+use crate::chair::Leader;
 use crate::copying::Peer;
 use crate::{Accord, Disk, Entry, MemberChange, Name, Wait};
 
 impl Accord {
-    /// The next change of members towards what operators want; nothing while one does not stand yet.
-    pub(crate) fn next_member(&self, chair: &Chair) -> Option<Entry> {
+    /// The next membership change towards the membership that operators want; `None` while an earlier change
+    /// is not committed yet.
+    pub(crate) fn next_member_change(&self, leader: &Leader) -> Option<Entry> {
         let in_flight = |entry: &Entry| matches!(entry, Entry::Members(_) | Entry::Founded { .. });
-        if self.log.after(self.stands, usize::MAX).iter().any(|logged| in_flight(&logged.entry)) {
+        if self.log.after(self.commit_index, usize::MAX).iter().any(|logged| in_flight(&logged.entry)) {
             return None;
         }
-        self.gone_back(chair)
-            .or_else(|| self.taken_in(chair))
-            .or_else(|| self.towards_wanted(chair))
+        self.rolled_back_voter(leader)
+            .or_else(|| self.voter_to_admit(leader))
+            .or_else(|| self.change_toward_wanted(leader))
             .map(Entry::Members)
     }
 
-    /// A voter that has less than it once had. Its word is to count for nothing at any member, and it to be taken in
-    /// as if its disk were new.
-    fn gone_back(&self, chair: &Chair) -> Option<MemberChange> {
-        let gone = |(name, known): &&(Name, Option<Disk>)| {
-            *known != Some(Disk::NONE) && chair.peers.get(name).is_some_and(|peer| peer.went_back)
+    /// A voter whose log is shorter than what it acknowledged before. The change makes every member ignore
+    /// its acknowledgements, so that it is admitted like a voter with a new disk.
+    fn rolled_back_voter(&self, leader: &Leader) -> Option<MemberChange> {
+        let rolled_back = |(name, known): &&(Name, Option<Disk>)| {
+            *known != Some(Disk::NONE) && leader.peers.get(name).is_some_and(|peer| peer.rolled_back)
         };
-        let (name, _) = self.standing.voters.iter().find(gone)?;
+        let (name, _) = self.committed.voters.iter().find(rolled_back)?;
         Some(MemberChange::Votes { name: name.clone(), disk: Disk::NONE })
     }
 
-    /// A voter on a disk that is not known: at the beginning, or since it lost the known one. It has caught up, and
-    /// the run that asks for leases is on the same disk, so that two under one name don't take turns.
-    fn taken_in(&self, chair: &Chair) -> Option<MemberChange> {
-        let voters = self.standing.voters.iter();
-        voters.filter_map(|(name, known)| self.caught_up(chair, name, *known)).next()
+    /// A voter on an unknown disk: when the fleet starts, or after it lost the known disk. It has to have
+    /// caught up, and the run that requests leases has to use the same disk, so that two processes under one
+    /// name don't replace each other in turns.
+    fn voter_to_admit(&self, leader: &Leader) -> Option<MemberChange> {
+        let voters = self.committed.voters.iter();
+        voters.filter_map(|(name, known)| self.admit_if_caught_up(leader, name, *known)).next()
     }
 
-    fn caught_up(&self, chair: &Chair, name: &Name, known: Option<Disk>) -> Option<MemberChange> {
-        let disk = match *name == self.facts.me {
-            true => self.facts.disk,
+    fn admit_if_caught_up(&self, leader: &Leader, name: &Name, known: Option<Disk>) -> Option<MemberChange> {
+        let disk = match *name == self.settings.me {
+            true => self.settings.disk,
             false => {
-                let peer =
-                    chair.peers.get(name).filter(|peer| !peer.went_back && peer.agrees >= self.stands)?;
-                peer.disk.filter(|disk| chair.grants.disk(name) == Some(*disk))
+                let peer = leader
+                    .peers
+                    .get(name)
+                    .filter(|peer| !peer.rolled_back && peer.match_index >= self.commit_index)?;
+                peer.disk.filter(|disk| leader.leases.disk(name) == Some(*disk))
             }
         }?;
         (known != Some(disk)).then(|| MemberChange::Votes { name: name.clone(), disk })
     }
 
-    fn towards_wanted(&self, chair: &Chair) -> Option<MemberChange> {
-        let standing = &self.standing;
-        let wanted = standing.wanted.as_ref().filter(|_| !chair.as_wanted)?;
+    fn change_toward_wanted(&self, leader: &Leader) -> Option<MemberChange> {
+        let committed = &self.committed;
+        let wanted = committed.wanted.as_ref().filter(|_| !leader.members_as_wanted)?;
         let follows = |name: &Name| MemberChange::Follows { name: name.clone() };
-        // Whoever is to vote follows first, and is told the log.
-        if let Some(name) = wanted.names().find(|name| !standing.is_member(name)) {
+        // A member that is to vote is added as a follower first, and then receives the log.
+        if let Some(name) = wanted.names().find(|name| !committed.is_member(name)) {
             return Some(follows(name));
         }
-        let votes = wanted.voters.iter().filter(|name| !standing.is_voter(name));
-        if let Some(change) = votes.filter_map(|name| self.caught_up(chair, name, None)).next() {
+        let votes = wanted.voters.iter().filter(|name| !committed.is_voter(name));
+        if let Some(change) = votes.filter_map(|name| self.admit_if_caught_up(leader, name, None)).next() {
             return Some(change);
         }
-        // Those that are to vote do so before others stop; this chair stops last.
-        if !wanted.voters.iter().all(|name| standing.is_voter(name)) {
+        // New voters are added before others are removed; this leader is removed last.
+        if !wanted.voters.iter().all(|name| committed.is_voter(name)) {
             return None;
         }
-        let rests = |name: &&Name| {
-            wanted.followers.contains(name) && standing.is_voter(name) && self.goes_on_without(chair, name)
+        let demotable = |name: &&Name| {
+            wanted.followers.contains(name)
+                && committed.is_voter(name)
+                && self.keeps_quorum_without(leader, name)
         };
-        if let Some(name) = self.chair_last(standing.names().filter(rests)) {
+        if let Some(name) = self.leader_last(committed.member_names().filter(demotable)) {
             return Some(follows(name));
         }
-        let gone = |name: &&Name| {
-            chair.leaving.contains(*name)
-                && chair.grants.leaving(self.now, name, self.facts.lingers()).is_none()
-                && self.goes_on_without(chair, name)
+        let removable = |name: &&Name| {
+            leader.leaving.contains(*name)
+                && leader.leases.leave_wait(self.now, name, self.settings.linger_bound()).is_none()
+                && self.keeps_quorum_without(leader, name)
         };
-        let name = self.chair_last(standing.names().filter(gone))?;
-        let others_leave = *name == self.facts.me && chair.leaving.iter().any(|other| other != name);
+        let name = self.leader_last(committed.member_names().filter(removable))?;
+        let others_leave = *name == self.settings.me && leader.leaving.iter().any(|other| other != name);
         (!others_leave).then(|| MemberChange::Leaves { name: name.clone() })
     }
 
-    /// A voter stops only while most of those that are left speak, on the disks that are known: the change counts from
-    /// when it is written, and where one of two that are left is on a new disk nobody could be chair ever again.
-    fn goes_on_without(&self, chair: &Chair, name: &Name) -> bool {
-        let left = self.standing.voters.iter().filter(|(voter, _)| voter != name);
-        let proven = |(voter, known): &&(Name, Option<Disk>)| {
-            let word = match *voter == self.facts.me {
-                true => self.facts.disk,
-                false => {
-                    chair.peers.get(voter).filter(|peer| peer.heard >= self.of_late()).and_then(Peer::word)
-                }
+    /// A voter is removed only while a majority of the remaining voters is reachable, on known disks. The
+    /// change counts from the moment it is appended: if one of two remaining voters were on a new disk, no
+    /// leader could ever be elected again.
+    fn keeps_quorum_without(&self, leader: &Leader, name: &Name) -> bool {
+        let left = self.committed.voters.iter().filter(|(voter, _)| voter != name);
+        let reachable = |(voter, known): &&(Name, Option<Disk>)| {
+            let disk = match *voter == self.settings.me {
+                true => self.settings.disk,
+                false => leader
+                    .peers
+                    .get(voter)
+                    .filter(|peer| peer.last_contact >= self.recent_contact_cutoff())
+                    .and_then(Peer::counted_disk),
             };
-            known.is_some() && word == *known
+            known.is_some() && disk == *known
         };
-        !self.standing.is_voter(name) || 2 * left.clone().filter(proven).count() > left.count()
+        !self.committed.is_voter(name) || 2 * left.clone().filter(reachable).count() > left.count()
     }
 
-    fn chair_last<'a>(&self, names: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
-        names.min_by_key(|name| **name == self.facts.me)
+    fn leader_last<'a>(&self, names: impl Iterator<Item = &'a Name>) -> Option<&'a Name> {
+        names.min_by_key(|name| **name == self.settings.me)
     }
 
-    pub(crate) fn leave_waits(&self, chair: &Chair) -> Vec<Wait> {
-        chair
+    pub(crate) fn leave_waits(&self, leader: &Leader) -> Vec<Wait> {
+        leader
             .leaving
             .iter()
-            .filter_map(|name| chair.grants.leaving(self.now, name, self.facts.lingers()))
+            .filter_map(|name| leader.leases.leave_wait(self.now, name, self.settings.linger_bound()))
             .collect()
     }
 }
--- a/crates/accord/src/questions.rs
+++ b/crates/accord/src/questions.rs
@@ -1,125 +1,133 @@
-//! A chair's answers to those that ask for a lease. None before a majority has said, in a round begun after the
-//! question, that this is still the chair (dissertation, 6.4).
+//! The leader's answers to lease requests. None is sent before a majority has confirmed, in a round begun
+//! after the request, that this member is still the leader (dissertation, 6.4).
 
-use crate::{Accord, AskLease, Boot, Bug, Digest, Disk, Name, Out, Revision, RevisionNo, Role, Said, Turned};
+use crate::{
+    Accord, AskLease, Boot, Bug, Digest, Disk, Name, Outputs, Revision, RevisionNo, Role, Said, Turned,
+};
 
-/// A member's questions that wait at once: those it asked again because the round takes longer than its patience.
-const QUESTIONS_A_MEMBER: usize = 4;
+/// Limit of waiting requests per member: a member sends its request again if the round takes longer than its
+/// retry interval.
+const MAX_REQUESTS_PER_MEMBER: usize = 4;
 
+/// A member's lease request that waits for a round to be confirmed.
 #[derive(Clone, Debug, Hash)]
-pub(crate) struct Question {
+pub(crate) struct LeaseRequest {
     pub boot: Boot,
-    /// The round that has to be answered by a majority.
+    /// The round that a majority has to answer before the request is answered.
     pub round: u64,
     barred: bool,
     has: Vec<(RevisionNo, Digest)>,
 }
 
 impl Accord {
-    pub(crate) fn asked_lease(&mut self, from: Name, said: AskLease, out: &mut Out) {
-        let (asked, boot) = (said.asked, said.boot);
-        let by_bug = self.has(Bug::GrantsWithoutMajority);
-        let standing = self.first_stands();
-        if !self.presides_for(&from, asked, out) {
+    pub(crate) fn on_lease_request(&mut self, from: Name, request: AskLease, out: &mut Outputs) {
+        let (asked, boot) = (request.asked, request.boot);
+        let by_bug = self.has_bug(Bug::GrantsWithoutMajority);
+        let first_committed = self.first_entry_committed();
+        if !self.redirect_unless_leader(&from, asked, out) {
             return;
         }
-        let Role::Chairs(chair) = &mut self.role else { return };
-        // A chair that ends gives no lease any more: what it knows of leases is what it hands on.
-        if self.ending.is_some() {
+        let Role::Leader(leader) = &mut self.role else { return };
+        // A leader that is shutting down grants no leases any more: it passes on what it knows of leases.
+        if self.shutdown.is_some() {
             return;
         }
-        // And none goes to a run that said it lets go: its questions are late.
-        if chair.grants.is_gone(&from, boot) {
+        // A run that has released its lease gets no other: its requests arrived late.
+        if leader.leases.is_released(&from, boot) {
             return self.refuse("let go");
         }
-        if let Err(why) = self.facts.same_lengths(said.lengths) {
+        if let Err(why) = self.settings.check_lengths(request.lengths) {
             self.refuse("other lengths");
-            return self.say(&from, Said::Turned { asked, boot, why }, out);
+            return self.send(&from, Said::Turned { asked, boot, why }, out);
         }
-        let joined = chair.grants.disk(&from).is_none();
-        match chair.grants.heard(self.now, &from, &said, &self.standing, &self.facts) {
-            // Who the members are is known once the first entry stands; it asks again.
-            Err(Turned::NotMember { .. }) if !standing => return,
+        let joined = leader.leases.disk(&from).is_none();
+        match leader.leases.record_request(self.now, &from, &request, &self.committed, &self.settings) {
+            // The members are known once the first entry of the term is committed; the member sends its
+            // request again.
+            Err(Turned::NotMember { .. }) if !first_committed => return,
             Err(why) => {
                 self.refuse(match why {
                     Turned::NameTwice { .. } => "name twice",
                     _ => "not a member",
                 });
-                return self.say(&from, Said::Turned { asked, boot, why }, out);
+                return self.send(&from, Said::Turned { asked, boot, why }, out);
             }
             Ok(()) => {}
         }
-        let waiting = chair.questions.range((from.clone(), 0)..=(from.clone(), u64::MAX)).count();
-        if waiting < QUESTIONS_A_MEMBER {
-            let round = if by_bug { 0 } else { chair.round + 1 };
-            chair
-                .questions
-                .insert((from, asked), Question { boot, round, barred: said.barred, has: said.has });
+        let waiting = leader.lease_requests.range((from.clone(), 0)..=(from.clone(), u64::MAX)).count();
+        if waiting < MAX_REQUESTS_PER_MEMBER {
+            let round = if by_bug { 0 } else { leader.round + 1 };
+            leader.lease_requests.insert(
+                (from, asked),
+                LeaseRequest { boot, round, barred: request.barred, has: request.has },
+            );
         }
-        if joined && said.disk.is_some() {
+        if joined && request.disk.is_some() {
             self.sync_members();
         }
     }
 
-    pub(crate) fn answer_questions(&mut self, out: &mut Out) {
-        if !self.first_stands() {
+    pub(crate) fn answer_lease_requests(&mut self, out: &mut Outputs) {
+        if !self.first_entry_committed() {
             return;
         }
-        let Role::Chairs(chair) = &self.role else { return };
-        if chair.questions.is_empty() {
+        let Role::Leader(leader) = &self.role else { return };
+        if leader.lease_requests.is_empty() {
             return;
         }
-        let confirmed = self.round_confirmed();
-        let Role::Chairs(chair) = &mut self.role else { return };
+        let confirmed = self.confirmed_round();
+        let Role::Leader(leader) = &mut self.role else { return };
         let mut ready = vec![];
-        chair.questions.retain(|by, question| {
-            let wait = question.round > confirmed;
+        leader.lease_requests.retain(|by, request| {
+            let wait = request.round > confirmed;
             if !wait {
-                ready.push((by.clone(), question.clone()));
+                ready.push((by.clone(), request.clone()));
             }
             wait
         });
-        for ((name, asked), question) in ready {
-            self.answer_question(name, asked, question, out);
+        for ((name, asked), request) in ready {
+            self.answer_lease_request(name, asked, request, out);
         }
     }
 
-    /// The last round that enough have answered.
-    fn round_confirmed(&self) -> u64 {
-        let Role::Chairs(chair) = &self.role else { return 0 };
-        let mut rounds: Vec<u64> = chair.peers.values().map(|peer| peer.round).collect();
-        rounds.push(chair.round);
+    /// The last round that a quorum has answered.
+    fn confirmed_round(&self) -> u64 {
+        let Role::Leader(leader) = &self.role else { return 0 };
+        let mut rounds: Vec<u64> = leader.peers.values().map(|peer| peer.answered_round).collect();
+        rounds.push(leader.round);
         rounds.sort_unstable_by(|a, b| b.cmp(a));
-        let enough = |round: &u64| {
-            self.enough(|name| -> Option<Disk> {
-                match *name == self.facts.me {
-                    true => self.facts.disk,
-                    false => chair.peers.get(name).filter(|peer| peer.round >= *round)?.word(),
+        let has_quorum = |round: &u64| {
+            self.has_quorum(|name| -> Option<Disk> {
+                match *name == self.settings.me {
+                    true => self.settings.disk,
+                    false => {
+                        leader.peers.get(name).filter(|peer| peer.answered_round >= *round)?.counted_disk()
+                    }
                 }
             })
         };
-        rounds.into_iter().find(enough).unwrap_or(0)
+        rounds.into_iter().find(has_quorum).unwrap_or(0)
     }
 
-    fn answer_question(&mut self, name: Name, asked: u64, question: Question, out: &mut Out) {
-        let boot = question.boot;
-        if !self.standing.is_member(&name) || self.standing.leaves(&name) {
+    fn answer_lease_request(&mut self, name: Name, asked: u64, request: LeaseRequest, out: &mut Outputs) {
+        let boot = request.boot;
+        if !self.committed.is_member(&name) || self.committed.is_leaving(&name) {
             let why = Turned::NotMember { name: name.clone() };
-            return self.say(&name, Said::Turned { asked, boot, why }, out);
+            return self.send(&name, Said::Turned { asked, boot, why }, out);
         }
-        let Role::Chairs(chair) = &mut self.role else { return };
-        if !question.barred && !chair.grants.give(self.now, &name, boot, &self.facts) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        if !request.barred && !leader.leases.grant(self.now, &name, boot, &self.settings) {
             return;
         }
-        let lacks = |revision: &&Revision| !question.has.contains(&(revision.no, revision.digest));
+        let lacks = |revision: &&Revision| !request.has.contains(&(revision.no, revision.digest));
         let lease = Said::Lease {
             asked,
             term: self.term,
-            stage: self.standing.stage,
-            length: self.facts.length,
-            texts: self.standing.texts.iter().filter(lacks).cloned().collect(),
-            voters: self.standing.voters.iter().map(|(name, _)| name.clone()).collect(),
+            stage: self.committed.stage,
+            length: self.settings.length,
+            texts: self.committed.texts.iter().filter(lacks).cloned().collect(),
+            voters: self.committed.voters.iter().map(|(name, _)| name.clone()).collect(),
         };
-        self.say(&name, lease, out);
+        self.send(&name, lease, out);
     }
 }
--- a/crates/accord/src/standing.rs
+++ b/crates/accord/src/standing.rs
@@ -1,5 +1,6 @@
-//! What a log amounts to: entry after entry folded into a base. The same on every voter, whatever order messages
-//! came in: an entry that does not fit where it stands changes nothing.
+//! The replicated state machine: applies committed log entries one by one to a [`Base`]. The result is the
+//! same on every voter, whatever order messages arrived in; an entry that is not valid in the current state
+//! changes nothing.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +8,16 @@
     Base, Digest, Ended, Entry, Holds, MemberChange, Name, Place, Refusal, Revision, RevisionNo, StageNo,
 };
 
-/// Of how many that have ended the outcome is still told: an operator asks again within minutes.
-const ENDED_KEPT: usize = 32;
+/// Outcomes of this many ended revisions are kept: an operator repeats a proposal within minutes.
+const MAX_ENDED_KEPT: usize = 32;
 
 impl Base {
     pub(crate) fn revision(&self, no: RevisionNo) -> Option<&Revision> {
         self.texts.iter().find(|revision| revision.no == no)
     }
 
-    /// Proposed, and neither in force nor withdrawn.
-    pub(crate) fn under_way(&self) -> Option<&Revision> {
+    /// The revision that is proposed, and neither in force nor withdrawn.
+    pub(crate) fn pending_revision(&self) -> Option<&Revision> {
         let no = match (self.stage.staged, self.stage.holds) {
             (Some(no), _) | (None, Holds::Joint { new: no, .. }) => no,
             _ => return None,
@@ -24,7 +25,7 @@
         self.revision(no)
     }
 
-    pub(crate) fn names(&self) -> impl Iterator<Item = &Name> {
+    pub(crate) fn member_names(&self) -> impl Iterator<Item = &Name> {
         self.voters.iter().map(|(name, _)| name).chain(&self.followers)
     }
 
@@ -33,27 +34,27 @@
     }
 
     pub(crate) fn is_member(&self, name: &Name) -> bool {
-        self.names().any(|member| member == name)
+        self.member_names().any(|member| member == name)
     }
 
-    /// It is a member and the operators' file no longer names it.
-    pub(crate) fn leaves(&self, name: &Name) -> bool {
+    /// Whether the operators' file does not name this member any more.
+    pub(crate) fn is_leaving(&self, name: &Name) -> bool {
         self.wanted.as_ref().is_some_and(|wanted| !wanted.names().any(|kept| kept == name))
     }
 
-    /// Nothing is missing to what operators want of the members.
-    pub(crate) fn as_wanted(&self) -> bool {
+    /// Whether the membership is the one that operators want.
+    pub(crate) fn members_as_wanted(&self) -> bool {
         let Some(wanted) = &self.wanted else { return true };
         let voters: BTreeSet<&Name> = self.voters.iter().map(|(name, _)| name).collect();
         let followers: BTreeSet<&Name> = self.followers.iter().collect();
         voters == wanted.voters.iter().collect() && followers == wanted.followers.iter().collect()
     }
 
-    pub(crate) fn ended(&self, no: RevisionNo, digest: Digest) -> Option<&Ended> {
+    pub(crate) fn outcome_of(&self, no: RevisionNo, digest: Digest) -> Option<&Ended> {
         self.ended.iter().rev().find(|ended| ended.no == no && ended.digest == digest)
     }
 
-    /// Whether the stage is another than before.
+    /// Applies one entry; returns whether it changed the stage.
     pub(crate) fn apply(&mut self, place: Place, entry: &Entry) -> bool {
         let before = self.stage;
         match entry {
@@ -73,12 +74,12 @@
             }
             Entry::InForce(no) if matches!(self.stage.holds, Holds::Joint { new, .. } if new == *no) => {
                 self.stage.holds = Holds::Alone(*no);
-                self.end(*no, Ok(StageNo(place.0)));
+                self.finish(*no, Ok(StageNo(place.0)));
             }
             Entry::Withdrawn { no, why } => self.withdraw(*no, why),
             Entry::Wanted(wanted) => self.wanted = Some(wanted.clone()),
-            Entry::Members(change) => self.change(change),
-            // What was withdrawn, or holds already.
+            Entry::Members(change) => self.apply_member_change(change),
+            // The revision was withdrawn before, or is in force already.
             Entry::Joint(_) | Entry::InForce(_) => {}
         }
         let changed = (before.holds, before.staged) != (self.stage.holds, self.stage.staged);
@@ -92,7 +93,7 @@
     }
 
     fn propose(&mut self, revision: &Revision) {
-        if self.under_way().is_some() || revision.no <= self.known {
+        if self.pending_revision().is_some() || revision.no <= self.known {
             return;
         }
         self.known = revision.no;
@@ -108,20 +109,20 @@
             }
             _ => return,
         }
-        self.end(no, Err(why.clone()));
+        self.finish(no, Err(why.clone()));
     }
 
-    fn end(&mut self, no: RevisionNo, outcome: Result<StageNo, Refusal>) {
+    fn finish(&mut self, no: RevisionNo, outcome: Result<StageNo, Refusal>) {
         if let Some(digest) = self.revision(no).map(|revision| revision.digest) {
             self.ended.push(Ended { no, digest, outcome });
-            let over = self.ended.len().saturating_sub(ENDED_KEPT);
-            self.ended.drain(..over);
+            let excess = self.ended.len().saturating_sub(MAX_ENDED_KEPT);
+            self.ended.drain(..excess);
         }
         let stage = self.stage;
         self.texts.retain(|revision| stage.speaks_of(revision.no));
     }
 
-    pub(crate) fn change(&mut self, change: &MemberChange) {
+    pub(crate) fn apply_member_change(&mut self, change: &MemberChange) {
         let name = match change {
             MemberChange::Follows { name } | MemberChange::Leaves { name } => name,
             MemberChange::Votes { name, disk } => {
@@ -133,7 +134,7 @@
                 return;
             }
         };
-        // The last voter stays: a fleet without any could never change again.
+        // The last voter is never removed: without a voter a fleet could never change again.
         if self.voters.len() == 1 && self.is_voter(name) {
             return;
         }
@@ -146,7 +147,7 @@
 }
 
 impl crate::Stage {
-    /// Those that hold, and the one staged.
+    /// The revisions in force, and the staged one.
     pub fn revisions(&self) -> impl Iterator<Item = RevisionNo> {
         let (old, new) = match self.holds {
             Holds::Nothing => (None, None),
--- a/crates/accord/src/time.rs
+++ b/crates/accord/src/time.rs
@@ -1,4 +1,4 @@
-//! Times that a whole state can be hashed with.
+//! Time values that can be hashed as part of the whole state.
 
 use std::cmp::Ordering;
 use std::collections::hash_map::DefaultHasher;
@@ -6,13 +6,13 @@
 
 use crate::Name;
 
-/// A time of this steward's clock, in ms; never NaN.
+/// A time of this member's clock, in ms; never NaN.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ms(pub f64);
 
 impl Ms {
     pub const NEVER: Ms = Ms(f64::INFINITY);
-    /// Before all: what ended then is over.
+    /// Earlier than every other time: whatever ended then is over.
     pub const LONG_AGO: Ms = Ms(f64::NEG_INFINITY);
 
     pub fn plus(self, ms: f64) -> Ms {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Chance in [0, 1): the same for the same seed, name and count.
-pub(crate) fn chance(seed: u64, name: &Name, count: u64) -> f64 {
+/// A pseudo-random value in [0, 1); the same for the same seed, name and count.
+pub(crate) fn random_fraction(seed: u64, name: &Name, count: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, name, count).hash(&mut hasher);
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
