--- a/crates/accord/src/types.rs
+++ b/crates/accord/src/types.rs
@@ -1,4 +1,4 @@
-//! What the agreement speaks of: members, revisions, stages, leases, and every message between members.
+//! The types of the protocol: members, revisions, stages, leases, and every message between members.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// A member's name, as the operator's file gives it; the same after a restart.
+/// A member's name from the operator's file; it is the same after a restart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Name(pub Arc<str>);
 
@@ -14,28 +14,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FleetId(pub Arc<str>);
 
-/// One run of a member's process, drawn at its start. Two that live under one name are told apart by it.
+/// Identifies one run of a member's process (its incarnation); drawn at random at process start.
+/// Distinguishes two processes that run under the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Boot(pub u64);
 
-/// A voter's disk, drawn when its folder was made empty. A voter whose disk is another than the one the fleet
-/// knows has lost what it promised: it may not vote until it has been taken in anew.
+/// Identifies a voter's disk; drawn at random when its empty folder is first used. A voter on a disk other
+/// than the one the fleet knows has lost the votes and entries that it acknowledged: it may not vote until a
+/// membership change admits the new disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Disk(pub u64);
 
 impl Disk {
-    /// Never drawn: known of a voter whose own disk went back, until it has been taken in anew.
+    /// A value that is never drawn. The fleet records it for a voter whose disk was rolled back to an older
+    /// copy, until that voter is admitted again.
     pub const NONE: Disk = Disk(0);
 }
 
+/// A Raft term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// A place in the log, from 1; zero is before the first.
+/// An index in the log, starting at 1; 0 is the position before the first entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Place(pub u64);
 
-/// The number an operator gives a revision; the next has to be higher.
+/// The number that an operator assigns to a revision; it must be higher than every number proposed before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RevisionNo(pub u64);
 
@@ -73,7 +77,7 @@
     }
 }
 
-/// One whole policy, as it was proposed.
+/// One complete policy as it was proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
     pub no: RevisionNo,
@@ -81,95 +85,100 @@
     pub text: Arc<str>,
 }
 
-/// Counts what holds: each change of it has the place in the log that brought it. Zero: nothing was ever staged.
+/// Number of a stage: the log index of the entry that created it. Zero means that nothing was ever staged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StageNo(pub u64);
 
-/// What every steward with a lease under this stage orders by.
+/// The revisions that every controller with a lease under this stage has to comply with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Holds {
     /// No revision was ever in force: nothing is governed.
     #[default]
     Nothing,
     Alone(RevisionNo),
-    /// What satisfies both; without an old one, what satisfies the new.
+    /// Orders have to satisfy both revisions; if there is no old one, only the new one.
     Joint {
         old: Option<RevisionNo>,
         new: RevisionNo,
     },
 }
 
-/// How far the fleet has come.
+/// The revisions in force in the fleet, and the one proposed next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stage {
     pub no: StageNo,
     pub holds: Holds,
-    /// Proposed and not joint yet: it may become joint, never more, while a lease of this stage runs.
+    /// Proposed and not joint yet. While a lease of this stage runs it may become joint, but it does not come
+    /// into force alone.
     pub staged: Option<RevisionNo>,
 }
 
-/// How long a steward may act on a stage after it asked, by its own clock, in ms. `knows` is the longer: until then
-/// the fleet goes no further than this stage and the one staged beside it, so what satisfies both is still safe.
+/// Length of a lease: how long a controller may act on a stage after it requested the lease, in ms of its own
+/// clock. `knows` is the longer period: until it ends the fleet goes no further than this stage and the
+/// revision staged in it, so orders that satisfy both are still safe.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Length {
     pub acts: f64,
     pub knows: f64,
 }
 
-/// Why a revision is not, or no longer, on its way.
+/// Why a proposal was refused, or a revision withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    #[error("revision {asked:?} is not above {known:?}, the last known")]
+    #[error("the number of revision {asked:?} is not above the last known one, {known:?}")]
     NotAbove { asked: RevisionNo, known: RevisionNo },
-    #[error("revision {winner:?} ({digest}) is under way")]
+    #[error("another change is in progress: revision {winner:?} ({digest})")]
     Taken { winner: RevisionNo, digest: Digest },
-    #[error("steward {by} can't use it: {why}")]
+    #[error("controller {by} can't use the revision: {why}")]
     Unfit { by: Name, why: Arc<str> },
-    #[error("not all stewards had checked it in time: {missing}")]
+    #[error("not all controllers checked the revision in time; missing: {missing}")]
     Unchecked { missing: Arc<str> },
-    #[error("no chair could be reached in time; it may still be taken")]
+    #[error("no leader could be reached in time; the proposal may still be accepted")]
     Unsure,
-    #[error("an operator withdrew it")]
+    #[error("an operator withdrew the revision")]
     Withdrawn,
-    #[error("revision {no:?} is not under way, or holds already")]
+    #[error("revision {no:?} is not in progress, or is already in force")]
     Past { no: RevisionNo },
-    #[error("the text of revision {no:?} is not the one that its digest names")]
+    #[error("the text of revision {no:?} does not match its digest")]
     Spoilt { no: RevisionNo },
-    #[error("the text of revision {no:?} has {bytes} bytes, more than {most}")]
+    #[error("the text of revision {no:?} has {bytes} bytes, more than the limit of {most}")]
     Huge { no: RevisionNo, bytes: usize, most: usize },
-    #[error("the fleet can't have these members: {why}")]
+    #[error("invalid list of fleet members: {why}")]
     Misnamed { why: Arc<str> },
-    #[error("{name} is no member of the fleet")]
+    #[error("{name} is not a member of the fleet")]
     Outside { name: Name },
 }
 
 impl Refusal {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            Refusal::NotAbove { .. } => "give it a number above the last known one and propose it again",
-            Refusal::Taken { .. } => "wait until the one under way holds or is withdrawn, then propose again",
-            Refusal::Unfit { .. } => "mend what the steward names; `amberarch check` finds the place",
-            Refusal::Unchecked { .. } => "start or remove the stewards that are named, then propose it again",
-            Refusal::Unsure => "look at the stage in the counters before proposing it again",
-            Refusal::Withdrawn => "propose it again under a higher number if it is wanted after all",
+            Refusal::NotAbove { .. } => "propose it again under a number above the last known one",
+            Refusal::Taken { .. } => "wait until that change is in force or withdrawn, then propose again",
+            Refusal::Unfit { .. } => "fix what the controller reports; `amberarch check` finds the place",
+            Refusal::Unchecked { .. } => {
+                "start or remove the controllers listed as missing, then propose it again"
+            }
+            Refusal::Unsure => "check the stage in the counters before proposing it again",
+            Refusal::Withdrawn => "propose it again under a higher number if it is still wanted",
             Refusal::Past { .. } => {
-                "look at the stage in the counters; to go back, propose the old policy anew"
+                "check the stage in the counters; to go back, propose the old policy under a new number"
             }
             Refusal::Spoilt { .. } => {
-                "propose it again; if it comes back, look at the network between the stewards"
+                "propose it again; if the error repeats, check the network between the controllers"
             }
-            Refusal::Huge { .. } => "make the policy shorter: name groups instead of each one",
-            Refusal::Misnamed { .. } => "mend the members in the operator's file, then reload it",
+            Refusal::Huge { .. } => "shorten the policy: name groups instead of individual entries",
+            Refusal::Misnamed { .. } => "correct the members in the operator's file, then reload it",
             Refusal::Outside { .. } => {
-                "name this steward in the members of the fleet, at a steward that is in it"
+                "add this controller to the fleet's members, in the file of a controller that is a member"
             }
         }
     }
 }
 
-/// A digest of all that a lease's end is counted by: what it acts and knows, drift, slack and linger. Members whose
-/// lengths differ can't rely on each other's ends. Zero is never one.
+/// A digest of all settings from which the end of a lease is computed: `acts`, `knows`, drift, slack and
+/// linger. Members with different settings can't rely on each other's lease ends. Zero is never a valid
+/// digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Lengths(pub u64);
 
@@ -179,71 +188,71 @@
     }
 }
 
-/// Why a steward gets no lease at all.
+/// Why a controller is refused a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Turned {
-    #[error("{name} is no member of the fleet, or is being taken out of it")]
+    #[error("{name} is not a member of the fleet, or is being removed from it")]
     NotMember { name: Name },
-    #[error("another run under the name {name} has spoken since this one")]
+    #[error("another process under the name {name} has sent messages since this one")]
     NameTwice { name: Name },
-    #[error("it belongs to the fleet {theirs:?}, this one is {ours:?}")]
+    #[error("it belongs to the fleet {theirs:?}, but this fleet is {ours:?}")]
     OtherFleet { theirs: FleetId, ours: FleetId },
-    #[error("it counts leases by other lengths ({theirs}) than its chair ({ours})")]
+    #[error("its lease settings ({theirs}) differ from the leader's ({ours})")]
     OtherLengths { theirs: Lengths, ours: Lengths },
 }
 
 impl Turned {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            Turned::NotMember { .. } => {
-                "name it in the members of the fleet and reload that file, or stop it"
-            }
+            Turned::NotMember { .. } => "add it to the fleet's members and reload that file, or stop it",
             Turned::NameTwice { .. } => {
-                "two stewards run under one name: stop one, or give it a name of its own"
+                "two controllers run under one name: stop one, or give it a name of its own"
             }
             Turned::OtherFleet { .. } => {
-                "set the same fleet in both files, or take the peer's address out of one"
+                "set the same fleet in both files, or remove the peer's address from one of them"
             }
             Turned::OtherLengths { .. } => {
-                "set the same lease, drift, slack and linger in all members' files, and change nothing until the \
-                 longer leases are over"
+                "set the same lease, drift, slack and linger in all members' files, and make no change \
+                 until the longer leases have ended"
             }
         }
     }
 }
 
-/// One entry of the log, after Raft: what it changes once a majority has it.
+/// An entry of the Raft log; it takes effect once it is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// The very first of the log: with whom the fleet begins, by the file of its first chair. Their disks are not
-    /// known yet, so all of them have to agree to it.
+    /// The first entry of the log: the initial members, from the settings of the first leader. Their disks
+    /// are not known yet, so all voters have to acknowledge the entry.
     Founded {
         voters: Vec<Name>,
         followers: Vec<Name>,
     },
-    /// The first of a chair's term, so that what earlier terms left is known to stand.
+    /// The no-op entry at the start of a leader's term; committing it commits the entries of earlier terms
+    /// too.
     Begun,
-    /// A revision is proposed; every steward is asked for its verdict.
+    /// A revision is proposed; every controller is asked for its verdict.
     Proposed {
         revision: Revision,
         by: Name,
     },
-    /// All that hold a lease have it and can use it.
+    /// All controllers that hold a lease have received the revision and can use it.
     Joint(RevisionNo),
-    /// Nobody can act on the old one alone any more.
+    /// No controller can act on the old revision alone any more.
     InForce(RevisionNo),
     Withdrawn {
         no: RevisionNo,
         why: Refusal,
     },
-    /// Whom an operator wants in the fleet; what is missing to it is brought about one change after the other.
+    /// The membership that an operator wants; the leader reaches it by one membership change after the other.
     Wanted(Wanted),
-    /// One member is added, removed, or takes another part: never more than one at a time.
+    /// One member is added, removed, or changes between voter and follower; never more than one member at a
+    /// time.
     Members(MemberChange),
 }
 
-/// The members that an operator's file names.
+/// The members named in an operator's file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Wanted {
     pub voters: Vec<Name>,
@@ -252,11 +261,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberChange {
-    /// It is told the log and holds leases; it votes on nothing.
+    /// The member holds leases and does not vote; a member that is to become a voter also receives the log.
     Follows {
         name: Name,
     },
-    /// It has caught up and votes from here on, on this disk.
+    /// The member has caught up and votes from now on, with this disk.
     Votes {
         name: Name,
         disk: Disk,
@@ -266,24 +275,27 @@
     },
 }
 
+/// A log entry with the term of the leader that appended it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Logged {
     pub term: Term,
     pub entry: Entry,
 }
 
-/// What a member says to another. `from` and fleet come with the envelope.
+/// A message from one member to another. The sender (`from`) and the fleet are part of the envelope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Said {
-    /// A trial asks whether a vote would be given, and binds nobody: one that was cut off disturbs no chair.
+    /// A request for a vote. With `trial` it is a pre-vote: it asks whether a vote would be granted and binds
+    /// nobody, so a member that was partitioned does not disturb a working leader.
     AskVote {
         term: Term,
         last: (Term, Place),
         trial: bool,
         disk: Disk,
-        /// No vote goes to one that counts leases by other lengths than the voter does.
+        /// A voter refuses its vote to a candidate whose lease settings differ from its own.
         lengths: Lengths,
-        /// The chair of the term before told it to: those that hear that chair vote all the same.
+        /// The leader of the previous term asked the candidate to take over: voters that still have contact
+        /// with that leader grant their vote all the same.
         told: bool,
     },
     Vote {
@@ -292,7 +304,7 @@
         trial: bool,
         disk: Disk,
     },
-    /// Entries after `after`; the first of a run of empty ones is a sign of life.
+    /// Log entries that follow `after`; without entries it serves as a heartbeat.
     Append {
         term: Term,
         round: u64,
@@ -300,74 +312,78 @@
         entries: Vec<Logged>,
         stands: Place,
     },
-    /// How far the log now agrees; on a refusal, where to try next.
+    /// Answer to `Append` and `Base`: the index up to which the logs match, or on a mismatch the index to
+    /// retry at.
     Appended {
         term: Term,
         round: u64,
         agrees: Result<Place, Place>,
-        /// A word given on another disk than the known one counts only where all voters agree.
+        /// An acknowledgement from a disk other than the known one counts only if all voters acknowledge.
         disk: Disk,
     },
-    /// All that stood at a place, for one whose log is too far behind.
+    /// The committed state at an index (a snapshot), for a member whose log is too far behind.
     Base {
         term: Term,
         round: u64,
         at: (Term, Place),
         base: Box<Base>,
     },
-    /// A steward wants to go on acting: what it acts on, whether its proxies have confirmed that, and its verdict
-    /// on what is staged.
+    /// A controller requests a lease; it reports the stage it acts on, whether its proxies have confirmed
+    /// that stage, and its verdict on the staged revision.
     AskLease(AskLease),
     Lease {
         asked: u64,
         term: Term,
         stage: Stage,
         length: Length,
-        /// Those of the stage that the asker does not have.
+        /// Texts of revisions of the stage that the requester does not have.
         texts: Vec<Revision>,
-        /// Whom to ask if this chair is gone.
+        /// The voters, to be asked if this leader does not answer any more.
         voters: Vec<Name>,
     },
-    /// The one asked is not the chair; it names the one it knows.
+    /// The receiver of a request is not the leader; it names the leader it knows.
     NotChair {
         asked: u64,
         chair: Option<Name>,
     },
-    /// This run gets no lease.
+    /// The request is refused: this run gets no lease.
     Turned {
         asked: u64,
         boot: Boot,
         why: Turned,
     },
-    /// The stage has changed: ask now, not at the next turn.
+    /// The stage has changed: request a lease now instead of at the next regular time.
     Heed {
         term: Term,
         stage: StageNo,
     },
-    /// This run orders nothing any more, and never will again: it is being ended in good order. Only for the chair of
-    /// that term: what a run says of runs before it holds at a chair that was elected before it was said.
+    /// This run is shutting down gracefully: it issues no orders any more and never will again. Addressed to
+    /// the leader of that term only: what a run states about earlier runs is valid only at a leader that was
+    /// elected before the statement was made.
     LetGo {
         term: Term,
-        /// As with a question, and counted like one; `stage` and `settled` are those of its last order.
+        /// The same data as in a lease request, from the same counter; `stage` and `settled` are those of the
+        /// run's last order.
         last: AskLease,
     },
-    /// It was heard. Not taken: the chair is of another term, and wants to be told anew by that.
+    /// Answer to `LetGo`. With `taken` false the leader is of another term, and the run has to send it again
+    /// for that term.
     LetGone {
         asked: u64,
         boot: Boot,
         term: Term,
         taken: bool,
     },
-    /// The chair of this term is being ended in good order and gives no lease any more; one that has all of its log is
-    /// to ask for votes at once (Raft's leadership transfer; dissertation, 3.10).
+    /// The leader of this term is shutting down gracefully and grants no leases any more; the receiver, whose
+    /// log is complete, has to start an election at once (Raft's leadership transfer; dissertation, 3.10).
     Stand {
         term: Term,
-        /// Who may still hold a lease, of all that were ever given up to this chair's end.
+        /// The members that may still hold a lease, of all leases granted until this leader stopped granting.
         leases: Vec<Ends>,
     },
-    /// What an operator wants, from the steward that was told to its chair; `id` counts this run's wishes.
-    /// Only for the chair of that term: one that was answered and comes once more to another chair, or late, must not
-    /// be taken for a new one.
+    /// An operator's proposal, forwarded to the leader by the controller that received it; `id` counts the
+    /// proposals of this run. Addressed to the leader of that term only: a proposal that was already answered
+    /// and arrives again late, or at another leader, must not be taken for a new one.
     Wish {
         id: u64,
         boot: Boot,
@@ -381,68 +397,71 @@
     },
 }
 
-/// In how many ms of its clock a chair takes the leases of one run of a member to be over; below zero, since when they
-/// are. Of each member there is one without a run: all that the chair never heard. The run heard last is the last.
+/// When the leader considers the leases of one run of a member to be over, in ms from now by its own clock;
+/// negative if they are over already. Each member has one record without a run, which covers all runs that
+/// the leader has received nothing from. The run heard last comes last.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ends {
     pub name: Name,
     pub boot: Option<Boot>,
     pub acts: f64,
     pub knows: f64,
-    /// It has let go.
+    /// The run has stated that it issues no orders any more.
     pub gone: bool,
 }
 
-/// What an operator may want of the fleet.
+/// A proposal of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Wish {
     Revision(Revision),
-    /// As long as it is not in force.
+    /// Withdraws a revision that is not in force yet.
     Withdraw(RevisionNo),
     Members(Wanted),
 }
 
+/// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AskLease {
-    /// Counts this run's questions; an answer names the one that it answers.
+    /// Counts the requests of this run; an answer carries the number of the request that it answers.
     pub asked: u64,
     pub boot: Boot,
     pub disk: Option<Disk>,
-    /// What it has taken up.
+    /// The stage that the requester acts on.
     pub stage: StageNo,
-    /// Nothing that it ordered and that this stage forbids is with any proxy any more, nor with one that left it
-    /// less than the stated linger ago.
+    /// True if no proxy has any order of this run that the stage forbids, and no proxy that may have had one
+    /// left this controller less than the linger ago.
     pub settled: bool,
     pub verdict: Option<(RevisionNo, Digest, Result<(), Arc<str>>)>,
-    /// It can't use what holds, so it acts on nothing: it wants to be told the stage and no lease. Else all would
-    /// wait for it to settle on what it can't.
+    /// The requester can't use a revision in force, so it acts on nothing. It asks for the stage only and
+    /// gets no lease: with a lease, every change would wait for it to settle on a stage that it can't use.
     pub barred: bool,
-    /// The texts that it has and need not be sent.
+    /// The revisions whose text the requester already has.
     pub has: Vec<(RevisionNo, Digest)>,
-    /// How long ago, in ms, this run had its first lease; zero if never. A run before this one was over by then, so
-    /// a new chair need not wait for leases of such a one.
+    /// How long ago, in ms, this run got its first lease; zero if it never had one. Earlier runs of the
+    /// member had ended by then, so a new leader counts their leases from that time at the latest.
     pub leased: f64,
     pub lengths: Lengths,
 }
 
-/// Everything that a log up to some place amounts to.
+/// The state that results from applying the log up to an index; the content of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Base {
     pub stage: Stage,
-    /// The highest number ever proposed.
+    /// The highest revision number ever proposed.
     pub known: RevisionNo,
-    /// The texts that the stage speaks of.
+    /// The revisions that the stage refers to.
     pub texts: Vec<Revision>,
     pub voters: Vec<(Name, Option<Disk>)>,
     pub followers: Vec<Name>,
     pub wanted: Option<Wanted>,
-    /// The stage at which the one under way, or else the last one, was proposed. Who has taken up this stage or a
-    /// later one knows of it.
+    /// The stage at which the pending revision, or else the last one, was proposed. A controller that has
+    /// taken up this stage or a later one knows of that revision.
     pub proposed: StageNo,
-    /// What became of the last ones, oldest first, for an operator that asks again.
+    /// Outcomes of the last revisions, oldest first, for an operator that sends a proposal again.
     pub ended: Vec<Ended>,
 }
 
+/// The outcome of a revision: the stage at which it came into force, or why it did not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ended {
     pub no: RevisionNo,
@@ -450,18 +469,18 @@
     pub outcome: Result<StageNo, Refusal>,
 }
 
-/// What a front has to make last, in order, before it carries out any output after it.
+/// A record that the embedding process has to persist, in order, before it carries out any output after it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Lasting {
-    /// The term and whom the voter gave its vote in it.
+    /// The current term and the candidate that this voter voted for in it.
     Vote { term: Term, voted: Option<Name> },
-    /// Entries from this place on; what stood there before is gone.
+    /// Log entries from this index on; they replace any entries from there on.
     Entries { from: Place, entries: Vec<Logged> },
-    /// The log up to here is now this base.
+    /// A snapshot that replaces the log up to this index.
     Base { at: (Term, Place), base: Box<Base> },
 }
 
-/// What a voter's disk held at the start.
+/// The persisted state that a voter's disk held at process start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kept {
     pub disk: Option<Disk>,
@@ -471,14 +490,15 @@
     pub entries: Vec<Logged>,
 }
 
-/// What a steward may do right now.
+/// What a controller may act on right now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
-    /// On this stage, until that time of its own clock.
+    /// Act on this stage, until that time of its own clock.
     On { stage: Stage, until: f64 },
-    /// The lease is over, and it is still known what may hold: what satisfies all of it, until that time.
+    /// The lease is over, but what may be in force is still known: until that time, orders have to satisfy
+    /// every revision of the stage.
     Within { stage: Stage, until: f64 },
-    /// It can't be known what holds: governed products are declined at once.
+    /// It is not known what is in force: requests of governed request classes are rejected at once.
     Unknown,
 }
 
@@ -488,32 +508,33 @@
         from: Name,
         said: Said,
     },
-    /// Nothing else came; due when [`crate::Accord::due`] says so.
+    /// Only time has passed; to be passed in when [`crate::Accord::due`] says so.
     Tick,
-    /// An operator wants something here: a revision, a withdrawal, other members. Answered with the same `id`, at
-    /// the latest when it can't be known any more what becomes of it.
+    /// An operator's proposal made at this member: a revision, a withdrawal, or a membership. It is answered
+    /// under the same `id`, at the latest when its outcome can't be determined any more.
     Wish {
         id: u64,
         wish: Wish,
     },
-    /// The front has checked what [`Output::Check`] gave it.
+    /// The embedding process has checked the revision of an [`Output::Check`].
     Checked {
         no: RevisionNo,
         digest: Digest,
         verdict: Result<(), Arc<str>>,
     },
-    /// Whether all proxies have confirmed that nothing outside this stage is in their hands: told when it changes.
+    /// Whether all proxies have confirmed that they hold nothing outside this stage; passed in when it
+    /// changes.
     Settled {
         stage: StageNo,
         settled: bool,
     },
-    /// The process is being ended in good order, and the front has seen to it that no order leaves any more: only then
-    /// may this be said. Answered by [`Output::Gone`] once nothing waits for this run; a front that can't wait for
-    /// that ends all the same.
+    /// The process is shutting down gracefully, and the embedding process guarantees that no order leaves any
+    /// more; only then may this be passed in. Answered by [`Output::Gone`] once nothing waits for this run; a
+    /// process that can't wait for that exits all the same.
     LetGo,
 }
 
-/// To be carried out in this order.
+/// The outputs have to be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Last(Lasting),
@@ -521,19 +542,20 @@
         to: Name,
         said: Said,
     },
-    /// Compile it and tell.
+    /// Compile the revision and report the result with [`Input::Checked`].
     Check(Revision),
-    /// This holds now. The texts are those that the stage speaks of.
+    /// What this controller may act on has changed. `texts` has the revisions that the stage refers to.
     Act {
         act: Act,
         texts: Vec<Revision>,
     },
-    /// What became of a wish told here: a revision is in force or refused.
+    /// The outcome of a proposal made at this member: success, or the reason why it was refused.
     Answer {
         id: u64,
         outcome: Result<StageNo, Refusal>,
     },
-    /// After [`Input::LetGo`]: the chair knows, and another is chair if this one was.
+    /// Follows [`Input::LetGo`]: the leader has acknowledged it, or leadership was handed over if this member
+    /// was the leader.
     Gone,
     /// A line for the operators' log.
     Log(String),
--- a/crates/accord/src/voters.rs
+++ b/crates/accord/src/voters.rs
@@ -1,87 +1,91 @@
-//! Who votes, and when enough of them have said a thing.
+//! The set of voters, and the quorum rule.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Base, Disk, Entry, MemberChange, Name};
 
-/// The voters by the whole log, as Raft has it: a change of members counts from the moment it is written. The disk
-/// beside each is the one whose word counts: a voter on another disk is another voter, which the fleet knows nothing of.
+/// The voters according to the whole log: as in Raft, a membership change counts from the moment it is
+/// appended. Each voter has the disk whose acknowledgements count; a voter on another disk is treated as a
+/// different voter that the fleet knows nothing about.
 #[derive(Clone, Debug, Default, PartialEq, Hash)]
 pub(crate) struct Voters {
-    known: BTreeMap<Name, Option<Disk>>,
-    /// Disks of voters that had none known, by entries that are written and need not stand.
-    first: BTreeMap<Name, Disk>,
-    /// These and those that vote by what stands, or by any change that is written after it.
+    disks: BTreeMap<Name, Option<Disk>>,
+    /// Disks of voters that had no known disk, from entries that are appended and may not be committed yet.
+    pending_disks: BTreeMap<Name, Disk>,
+    /// All voters of the committed configuration and of every configuration appended after it.
     everyone: BTreeSet<Name>,
 }
 
 impl Voters {
-    /// `stands` with what is written after it.
+    /// Computes the voters from the committed state and the entries after it.
     ///
-    /// A new disk of one that votes already counts only once that change stands: the fleet has to have agreed
-    /// without it, because it may have voted, on the disk it lost, for a chair that this log knows nothing of. One
-    /// that did not vote has promised nothing.
-    pub fn new<'a>(stands: &Base, after: impl Iterator<Item = &'a Entry>) -> Voters {
-        let mut all = stands.clone_members();
+    /// A new disk of an existing voter counts only once the change is committed: a quorum must have been
+    /// reached without it, because on the lost disk the voter may have voted for a leader that this log knows
+    /// nothing of. A member that did not vote before has acknowledged nothing.
+    pub fn new<'a>(committed: &Base, after: impl Iterator<Item = &'a Entry>) -> Voters {
+        let mut members = committed.membership_only();
         let mut everyone: BTreeSet<Name> = BTreeSet::new();
-        let mut first = BTreeMap::new();
-        let mut join = |all: &Base| everyone.extend(all.voters.iter().map(|(name, _)| name.clone()));
-        join(&all);
+        let mut pending_disks = BTreeMap::new();
+        let mut join = |members: &Base| everyone.extend(members.voters.iter().map(|(name, _)| name.clone()));
+        join(&members);
         for entry in after {
             match entry {
-                Entry::Founded { .. } => drop(all.apply(Default::default(), entry)),
-                Entry::Members(MemberChange::Votes { name, disk }) if all.is_voter(name) => {
-                    first.entry(name.clone()).or_insert(*disk);
+                Entry::Founded { .. } => drop(members.apply(Default::default(), entry)),
+                Entry::Members(MemberChange::Votes { name, disk }) if members.is_voter(name) => {
+                    pending_disks.entry(name.clone()).or_insert(*disk);
                 }
-                Entry::Members(change) => all.change(change),
+                Entry::Members(change) => members.apply_member_change(change),
                 _ => continue,
             }
-            join(&all);
+            join(&members);
         }
-        Voters { known: all.voters.into_iter().collect(), first, everyone }
+        Voters { disks: members.voters.into_iter().collect(), pending_disks, everyone }
     }
 
     pub fn contains(&self, name: &Name) -> bool {
-        self.known.contains_key(name)
+        self.disks.contains_key(name)
     }
 
     pub fn names(&self) -> impl Iterator<Item = &Name> {
-        self.known.keys()
+        self.disks.keys()
     }
 
     pub fn everyone(&self) -> impl Iterator<Item = &Name> {
         self.everyone.iter()
     }
 
-    /// Enough have said it: a majority on the disks that are known. A voter on another disk has lost what it promised,
-    /// and its word is worth nothing, however many agree with it: one that goes by an older set of voters can't know
-    /// how many others have written something down without it, and lost it.
+    /// Whether a quorum has confirmed: a majority of voters on their known disks. `confirmed_on` gives the
+    /// disk on which a voter has confirmed. A voter on another disk has lost what it acknowledged, and its
+    /// confirmation does not count, however many others agree: a member with an older set of voters can't
+    /// know how many others have stored something without it, and lost it.
     ///
-    /// While a fleet is founded, the disk of some is not known yet. Then every single one has to have said it, and
-    /// more than half of them without having lost, as far as that can be known, what they promised.
-    pub fn enough(&self, said: impl Fn(&Name) -> Option<Disk>) -> bool {
-        let majority = |count: usize| 2 * count > self.known.len();
-        let proven = |(name, known): &(&Name, &Option<Disk>)| known.is_some() && said(name) == **known;
-        if majority(self.known.iter().filter(proven).count()) {
+    /// While a fleet is founded the disks of some voters are not known yet. Then every single voter has to
+    /// confirm, and more than half of them must not have lost, as far as that can be known, what they
+    /// acknowledged.
+    pub fn has_quorum(&self, confirmed_on: impl Fn(&Name) -> Option<Disk>) -> bool {
+        let majority = |count: usize| 2 * count > self.disks.len();
+        let proven =
+            |(name, known): &(&Name, &Option<Disk>)| known.is_some() && confirmed_on(name) == **known;
+        if majority(self.disks.iter().filter(proven).count()) {
             return true;
         }
         let kept = |(name, known): &(&Name, &Option<Disk>)| {
-            let disk = known.as_ref().or_else(|| self.first.get(*name));
-            disk.is_none_or(|disk| said(name) == Some(*disk))
+            let disk = known.as_ref().or_else(|| self.pending_disks.get(*name));
+            disk.is_none_or(|disk| confirmed_on(name) == Some(*disk))
         };
-        self.known.values().any(Option::is_none)
-            && majority(self.known.iter().filter(kept).count())
-            && self.all(said)
+        self.disks.values().any(Option::is_none)
+            && majority(self.disks.iter().filter(kept).count())
+            && self.is_unanimous(confirmed_on)
     }
 
-    /// Every single one has said it, on whatever disk.
-    pub fn all(&self, said: impl Fn(&Name) -> Option<Disk>) -> bool {
-        !self.known.is_empty() && self.everyone.iter().all(|name| said(name).is_some())
+    /// Whether every voter has confirmed, on whatever disk.
+    pub fn is_unanimous(&self, confirmed_on: impl Fn(&Name) -> Option<Disk>) -> bool {
+        !self.disks.is_empty() && self.everyone.iter().all(|name| confirmed_on(name).is_some())
     }
 }
 
 impl Base {
-    fn clone_members(&self) -> Base {
+    fn membership_only(&self) -> Base {
         Base { voters: self.voters.clone(), followers: self.followers.clone(), ..Base::default() }
     }
 }
--- a/crates/accord/tests/changes/main.rs
+++ b/crates/accord/tests/changes/main.rs
@@ -1,4 +1,5 @@
-//! Changes of policy in whole fleets, in virtual time, each under the failure that the test is named after.
+//! Changes of policy in whole simulated fleets, in virtual time; each test is named after the failure that it
+//! covers.
 
 mod bugs;
 mod ending;
--- a/crates/accord/tests/changes/refusals.rs
+++ b/crates/accord/tests/changes/refusals.rs
@@ -1,4 +1,4 @@
-//! Each error says what an operator can do, and each contradiction in the facts is refused.
+//! Each error states what an operator can do, and contradictory settings are refused.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
     Wish,
 };
 
-fn facts() -> Facts {
+fn settings() -> Facts {
     Facts {
         fleet: FleetId("one".into()),
         me: "a".into(),
@@ -28,37 +28,37 @@
 }
 
 fn with(change: impl FnOnce(&mut Facts)) -> Facts {
-    let mut facts = facts();
-    change(&mut facts);
-    facts
+    let mut settings = settings();
+    change(&mut settings);
+    settings
 }
 
-/// One of each; the match below names the variants, so that a new one is not forgotten here.
-fn every_unfit() -> Vec<(Facts, Kept)> {
+/// One case of each variant; the match below names the variants, so that a new one is not forgotten here.
+fn invalid_settings() -> Vec<(Facts, Kept)> {
     let name = Name::from;
-    let kept = Kept::default;
+    let stored = Kept::default;
     let torn =
         vec![Logged { term: Term(2), entry: Entry::Begun }, Logged { term: Term(1), entry: Entry::Begun }];
     vec![
-        (with(|facts| facts.voters.clear()), kept()),
-        (with(|facts| facts.voters = (0..8).map(|n| Name::from(n.to_string().as_str())).collect()), kept()),
-        (with(|facts| facts.me = name("c")), kept()),
-        (with(|facts| facts.followers.push(name(""))), kept()),
-        (with(|facts| facts.followers.push(name("a"))), kept()),
-        (with(|facts| facts.disk = None), kept()),
-        (facts(), Kept { disk: Some(Disk(2)), ..kept() }),
-        (facts(), Kept { term: Term(2), entries: torn, ..kept() }),
-        (with(|facts| facts.slack = f64::NAN), kept()),
-        (with(|facts| facts.linger = -1.0), kept()),
-        (with(|facts| facts.check_within = f64::INFINITY), kept()),
-        (with(|facts| facts.drift = 0.2), kept()),
-        (with(|facts| facts.beat = 400.0), kept()),
-        (with(|facts| facts.length.acts = 900.0), kept()),
-        (with(|facts| facts.length.knows = 2_000.0), kept()),
+        (with(|facts| facts.voters.clear()), stored()),
+        (with(|facts| facts.voters = (0..8).map(|n| Name::from(n.to_string().as_str())).collect()), stored()),
+        (with(|facts| facts.me = name("c")), stored()),
+        (with(|facts| facts.followers.push(name(""))), stored()),
+        (with(|facts| facts.followers.push(name("a"))), stored()),
+        (with(|facts| facts.disk = None), stored()),
+        (settings(), Kept { disk: Some(Disk(2)), ..stored() }),
+        (settings(), Kept { term: Term(2), entries: torn, ..stored() }),
+        (with(|facts| facts.slack = f64::NAN), stored()),
+        (with(|facts| facts.linger = -1.0), stored()),
+        (with(|facts| facts.check_within = f64::INFINITY), stored()),
+        (with(|facts| facts.drift = 0.2), stored()),
+        (with(|facts| facts.beat = 400.0), stored()),
+        (with(|facts| facts.length.acts = 900.0), stored()),
+        (with(|facts| facts.length.knows = 2_000.0), stored()),
     ]
 }
 
-fn number(unfit: &Unfit) -> usize {
+fn variant_number(unfit: &Unfit) -> usize {
     match unfit {
         Unfit::NoVoters => 0,
         Unfit::TooManyVoters(_) => 1,
@@ -78,12 +78,12 @@
 
 #[test]
 fn facts_contradict_each_other() {
-    assert!(Accord::new(0.0, facts(), Kept::default()).is_ok());
+    assert!(Accord::new(0.0, settings(), Kept::default()).is_ok());
     let mut seen = BTreeSet::new();
-    for (facts, kept) in every_unfit() {
-        let unfit = Accord::new(0.0, facts, kept).expect_err("taken all the same");
+    for (facts, kept) in invalid_settings() {
+        let unfit = Accord::new(0.0, facts, kept).expect_err("invalid settings were accepted");
         assert!(!unfit.to_string().is_empty() && unfit.advice().len() > 10, "{unfit}");
-        seen.insert(number(&unfit));
+        seen.insert(variant_number(&unfit));
     }
     assert_eq!(seen, (0..=12).collect());
 }
@@ -109,28 +109,28 @@
         assert!(!refusal.to_string().is_empty());
         advice.insert(refusal.advice());
     }
-    assert_eq!(advice.len(), refusals.len(), "two with the same advice");
+    assert_eq!(advice.len(), refusals.len(), "two refusals have the same advice");
     let turned = [
         Turned::NotMember { name: "a".into() },
         Turned::NameTwice { name: "a".into() },
-        facts().same_fleet(&FleetId("other".into())).unwrap_err(),
-        Turned::OtherLengths { theirs: Lengths(1), ours: facts().lengths() },
+        settings().same_fleet(&FleetId("other".into())).unwrap_err(),
+        Turned::OtherLengths { theirs: Lengths(1), ours: settings().lengths() },
     ];
     let advice: BTreeSet<&str> = turned.iter().map(Turned::advice).collect();
     assert_eq!(advice.len(), turned.len());
-    assert_eq!(facts().same_fleet(&FleetId("one".into())), Ok(()));
+    assert_eq!(settings().same_fleet(&FleetId("one".into())), Ok(()));
 }
 
-/// The only voter of its fleet, as chair, after that many ms.
-fn chair() -> (Accord, f64) {
-    let mut accord = Accord::new(0.0, facts(), Kept::default()).unwrap();
+/// The only voter of its fleet, as leader, and the time at which it became one.
+fn single_voter_leader() -> (Accord, f64) {
+    let mut accord = Accord::new(0.0, settings(), Kept::default()).unwrap();
     let now = accord.due().max(1_500.0);
     accord.handle(now, Input::Tick);
     assert_eq!(accord.chair().1, Some(&Name::from("a")));
     (accord, now)
 }
 
-fn asks(boot: u64, asked: u64) -> Input {
+fn lease_request(boot: u64, asked: u64) -> Input {
     let said = Said::AskLease(AskLease {
         asked,
         boot: Boot(boot),
@@ -141,12 +141,12 @@
         barred: false,
         has: vec![],
         leased: 0.0,
-        lengths: facts().lengths(),
+        lengths: settings().lengths(),
     });
     Input::Heard { from: "b".into(), said }
 }
 
-fn said_to_b(outputs: Vec<Output>) -> Vec<Said> {
+fn sent_to_b(outputs: Vec<Output>) -> Vec<Said> {
     let to_b = |output| match output {
         Output::Send { to, said } if to == Name::from("b") => Some(said),
         _ => None,
@@ -156,35 +156,35 @@
 
 #[test]
 fn two_run_under_one_name() {
-    let (mut accord, now) = chair();
-    // Questions share a round, which begins a little later.
+    let (mut accord, now) = single_voter_leader();
+    // Requests share a round, which begins a little later.
     let mut now = now;
     let mut ask = |after: f64, boot, asked| {
-        let mut outputs = accord.handle(now + after, asks(boot, asked));
+        let mut outputs = accord.handle(now + after, lease_request(boot, asked));
         now += after + 20.0;
         outputs.extend(accord.handle(now, Input::Tick));
-        said_to_b(outputs)
+        sent_to_b(outputs)
     };
     assert!(matches!(ask(0.0, 1, 1)[..], [Said::Lease { .. }]));
     // A restart: the new run gets its lease at once.
     assert!(matches!(ask(0.0, 2, 1)[..], [Said::Lease { .. }]));
-    // The first one lives all the same.
+    // The first run is in fact still alive.
     let turned = ask(0.0, 1, 2);
     let [Said::Turned { why: why @ Turned::NameTwice { .. }, .. }] = &turned[..] else {
         panic!("{turned:?}")
     };
     assert!(why.advice().contains("stop one"), "{}", why.advice());
-    // It only seemed so: the one that came later is silent for longer than its lease.
+    // The newer run has been silent for longer than its lease, so the first run is accepted again.
     assert!(matches!(ask(4_000.0, 1, 3)[..], [Said::Lease { .. }]));
 }
 
 #[test]
 fn a_text_is_not_the_one_that_its_digest_names_or_too_long() {
-    let (mut accord, now) = chair();
+    let (mut accord, now) = single_voter_leader();
     let long: std::sync::Arc<str> = "x".repeat((1 << 20) + 1).into();
-    let spoilt = Revision { no: RevisionNo(1), digest: Digest::of("y"), text: "x".into() };
+    let corrupted = Revision { no: RevisionNo(1), digest: Digest::of("y"), text: "x".into() };
     let huge = Revision { no: RevisionNo(1), digest: Digest::of(&long), text: long };
-    for (id, revision) in [(1, spoilt.clone()), (2, huge)] {
+    for (id, revision) in [(1, corrupted.clone()), (2, huge)] {
         let outputs = accord.handle(now, Input::Wish { id, wish: Wish::Revision(revision) });
         let refused = |output: &Output| {
             let refused = Err(Refusal::Spoilt { no: RevisionNo(1) });
@@ -193,9 +193,9 @@
         };
         assert!(outputs.iter().any(refused), "{outputs:?}");
     }
-    // Also if another steward lets it pass.
-    let said = Said::Wish { id: 1, boot: Boot(1), term: accord.chair().0, wish: Wish::Revision(spoilt) };
-    let answers = said_to_b(accord.handle(now, Input::Heard { from: "b".into(), said }));
+    // The leader refuses it too if another controller forwards it unchecked.
+    let said = Said::Wish { id: 1, boot: Boot(1), term: accord.chair().0, wish: Wish::Revision(corrupted) };
+    let answers = sent_to_b(accord.handle(now, Input::Heard { from: "b".into(), said }));
     assert!(
         matches!(answers[..], [Said::Answer { outcome: Err(Refusal::Spoilt { .. }), .. }]),
         "{answers:?}"
@@ -212,7 +212,7 @@
     };
     let at = (Term(3), Place(40));
     let kept = Kept { disk: Some(Disk(1)), term: Term(3), base: Some((at, base.clone())), ..Kept::default() };
-    let accord = Accord::new(0.0, facts(), kept).unwrap();
+    let accord = Accord::new(0.0, settings(), kept).unwrap();
     assert_eq!(accord.standing(), (Place(40), &base));
 }
 
@@ -227,12 +227,12 @@
     ];
     let digests: BTreeSet<Lengths> = changes.into_iter().map(|change| with(change).lengths()).collect();
     assert_eq!(digests.len(), 5);
-    assert!(!digests.contains(&facts().lengths()));
-    assert_eq!(with(|facts| facts.beat = 50.0).lengths(), facts().lengths());
+    assert!(!digests.contains(&settings().lengths()));
+    assert_eq!(with(|facts| facts.beat = 50.0).lengths(), settings().lengths());
 }
 
-/// The outbox of a chair may hold an answer while the one that asked restarts. Counted from the new run's question
-/// it would make a lease that its chair never gave.
+/// A leader's outbox may hold an answer while the requester restarts. If the lease in it were counted from a
+/// request of the new run, it would be a lease that the leader never granted.
 #[test]
 fn a_lease_that_was_given_to_the_run_before_comes_after_a_restart() {
     let b = |boot| with(|facts| (facts.me, facts.boot, facts.disk) = ("b".into(), Boot(boot), None));
@@ -241,13 +241,13 @@
             Output::Send { said: Said::AskLease(question), .. } => Some(question.asked),
             _ => None,
         });
-        sent.expect("it asks at its start")
+        sent.expect("it requests a lease at its start")
     };
     let lease = |asked| Said::Lease {
         asked,
         term: Term(1),
         stage: Stage { no: StageNo(2), ..Stage::default() },
-        length: facts().length,
+        length: settings().length,
         texts: vec![],
         voters: vec![],
     };
--- a/crates/accord/tests/changes/storms.rs
+++ b/crates/accord/tests/changes/storms.rs
@@ -3,8 +3,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, max_shrink_iters: 40, ..ProptestConfig::default() })]
-    /// One chair a term, one log, stages in order, no two revisions acted on that exclude each other, and each change
-    /// everywhere or nowhere within a bound after the faults.
+    /// At most one leader per term, one log, stages in order, no two conflicting revisions acted on at once,
+    /// and after the faults each change is applied everywhere or nowhere within a bound.
     #[test]
     fn any_faults_come_in_any_order(
         seed: u64,
@@ -17,9 +17,9 @@
         let mut shape = Shape::of(voters, followers);
         (shape.linger, shape.length.knows) = (linger, knows);
         let mut world = World::new(seed, shape);
-        let stormed = storm(&mut world, &Storm { lasts: 30_000.0, faults_every, ..Storm::of(&shape) });
-        prop_assert!(stormed.breaches.is_empty(), "{:#?}", stormed.breaches);
-        prop_assert!(stormed.ended.is_ok(), "{stormed:#?}\n{}", world.show());
+        let outcome = storm(&mut world, &Storm { lasts: 30_000.0, faults_every, ..Storm::of(&shape) });
+        prop_assert!(outcome.breaches.is_empty(), "{:#?}", outcome.breaches);
+        prop_assert!(outcome.ended.is_ok(), "{outcome:#?}\n{}", world.show());
     }
 }
 
@@ -27,8 +27,8 @@
 fn the_same_seed_brings_the_same_world() {
     let run = |seed| {
         let mut world = World::new(seed, Shape::of(3, 2));
-        let stormed = storm(&mut world, &Storm::of(&Shape::of(3, 2)));
-        (format!("{stormed:?}"), world.talk().clone())
+        let outcome = storm(&mut world, &Storm::of(&Shape::of(3, 2)));
+        (format!("{outcome:?}"), world.talk().clone())
     };
     assert_eq!(run(11), run(11));
     assert_ne!(run(11), run(12));
