--- a/crates/accord/src/chair.rs
+++ b/crates/accord/src/chair.rs
@@ -69,7 +69,7 @@
             staged_at: self.now,
         };
         self.role = Role::Leader(Box::new(leader));
-        self.sync_members();
+        self.update_peers();
         if let (true, Role::Leader(leader)) = (self.has_bug(Bug::ForgetsEarlierLeases), &mut self.role) {
             leader.leases.forget_earlier();
         }
@@ -97,14 +97,14 @@
         out.outputs.push(Output::Last(Lasting::Entries { from, entries: vec![logged] }));
         if members {
             self.recompute_voters();
-            self.sync_members();
+            self.update_peers();
         }
         self.begin_round(out);
     }
 
     /// Updates the set of members that receive the log: the voters, and the members that are to become
     /// voters.
-    pub(crate) fn sync_members(&mut self) {
+    pub(crate) fn update_peers(&mut self) {
         let last = self.log.last().1;
         let Role::Leader(leader) = &mut self.role else { return };
         leader.leases.set_members(&self.committed);
--- a/crates/accord/src/copying.rs
+++ b/crates/accord/src/copying.rs
@@ -345,7 +345,7 @@
             self.recompute_voters();
         }
         if members || wanted {
-            self.sync_members();
+            self.update_peers();
         }
         if stage {
             self.announce_stage(out);
--- a/crates/accord/src/holder.rs
+++ b/crates/accord/src/holder.rs
@@ -121,7 +121,7 @@
     }
 
     /// Whether a revision in force failed its check here.
-    fn barred(&self) -> bool {
+    fn has_unusable_stage(&self) -> bool {
         let stage = self.newest_stage();
         stage
             .revisions()
@@ -164,7 +164,7 @@
             stage: active.no,
             settled: self.active.is_some() && self.settled == Some(active.no),
             verdict,
-            barred: self.barred(),
+            barred: self.has_unusable_stage(),
             has: self.texts.values().map(|text| (text.revision.no, text.revision.digest)).collect(),
             leased: self.first_lease_at.map_or(0.0, |first| now.0 - first.0),
             lengths: settings.lengths(),
@@ -210,8 +210,8 @@
         self.lease_holder.next_due = self.now.plus(self.retry_interval());
         let Some(target) = self.next_target() else { return };
         let holder = &mut self.lease_holder;
-        let barred = holder.barred();
-        holder.open_requests.insert(holder.request_no, (!barred).then_some(self.now));
+        let stage_unusable = holder.has_unusable_stage();
+        holder.open_requests.insert(holder.request_no, (!stage_unusable).then_some(self.now));
         holder.trim_open_requests();
         let request = holder.lease_request(self.now, &self.settings);
         self.send(&target, Said::AskLease(request), out);
@@ -285,7 +285,7 @@
         // The stage has changed and a lease for it is needed, or the leader has announced a later stage than
         // this one: request again at once (once for an announcement).
         let newer_announced = holder.announced_stage.take().is_some_and(|announced| announced > stage.no);
-        if newer_announced || (since.is_none() && !holder.barred()) {
+        if newer_announced || (since.is_none() && !holder.has_unusable_stage()) {
             holder.next_due = self.now;
         }
         self.activate_lease();
--- a/crates/accord/src/questions.rs
+++ b/crates/accord/src/questions.rs
@@ -63,7 +63,7 @@
             );
         }
         if joined && request.disk.is_some() {
-            self.sync_members();
+            self.update_peers();
         }
     }
 
