--- a/crates/books/src/asked.rs
+++ b/crates/books/src/asked.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{Product, ProductId, ProxyId, ZoneId};
+use amberarch_core::{ClassId, ProxyId, RequestClass, ZoneId};
 
 use crate::ring::BUCKET_COUNT;
 use crate::{Node, Reach, SlidingWindow, TryStats, BUCKET_MS};
@@ -17,7 +17,7 @@
     pub zone: ZoneId,
     /// Txns per second of all request classes, as stated when the proxy joined.
     pub stated_rate: f64,
-    reports: BTreeMap<ProductId, SlidingWindow>,
+    reports: BTreeMap<ClassId, SlidingWindow>,
 }
 
 impl ProxyDemand {
@@ -26,7 +26,7 @@
         ProxyDemand { zone, stated_rate, reports: BTreeMap::new() }
     }
 
-    pub fn add_report(&mut self, now: f64, class: ProductId, report: TryStats) {
+    pub fn add_report(&mut self, now: f64, class: ClassId, report: TryStats) {
         self.reports.entry(class).or_default().add(now, report);
     }
 
@@ -39,7 +39,7 @@
     /// none arrived within the window, the longest window is used, and where all reports are older than that,
     /// the rate stated at joining. Guards against proxies that seem to have no demand while reports are rare:
     /// a table of one cold host then seemed to have room for three of them.
-    pub fn rate(&self, now: f64, window: f64, class: ProductId, classes: usize) -> f64 {
+    pub fn rate(&self, now: f64, window: f64, class: ClassId, classes: usize) -> f64 {
         let reported_within =
             |window: f64| self.reports.values().any(|recent| recent.sum_last(now, window).covered > 0.0);
         let window = if reported_within(window) { window } else { MAX_WINDOW };
@@ -83,8 +83,8 @@
 /// The demand of a zone for one request class, by proxy and in total; the latency target stands for the work
 /// of a txn.
 pub struct ClassDemand {
-    pub id: ProductId,
-    pub class: Product,
+    pub id: ClassId,
+    pub class: RequestClass,
     /// Txns per second, in the order of the proxies.
     pub rates: Vec<f64>,
     pub total: f64,
@@ -94,7 +94,7 @@
 impl ClassDemand {
     /// The demand for each request class in each zone, over the last `window` ms.
     pub fn by_zone(
-        classes: &[Product],
+        classes: &[RequestClass],
         zones: impl Iterator<Item = ZoneId>,
         proxies: &BTreeMap<ProxyId, Proxy>,
         now: f64,
@@ -103,12 +103,12 @@
         let class_demands = |zone| {
             let in_zone: Vec<&ProxyDemand> =
                 proxies.values().map(|p| &p.demand).filter(|p| p.zone == zone).collect();
-            let class_demand = |(place, class): (usize, &Product)| {
-                let id = ProductId(place as u16);
+            let class_demand = |(place, class): (usize, &RequestClass)| {
+                let id = ClassId(place as u16);
                 let rates = in_zone.iter().map(|demand| demand.rate(now, window, id, classes.len()));
                 let rates: Vec<f64> = rates.collect();
                 let total = rates.iter().sum::<f64>();
-                ClassDemand { id, class: class.clone(), rates, total, work: total * class.sla }
+                ClassDemand { id, class: class.clone(), rates, total, work: total * class.latency_target }
             };
             (zone, classes.iter().enumerate().map(class_demand).collect())
         };
--- a/crates/books/src/plan.rs
+++ b/crates/books/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{HostId, Products, ProxyId, Tries, ZoneId};
+use amberarch_core::{ClassSet, HostId, ProxyId, RetryPolicy, ZoneId};
 
 use crate::{tables_at_level, Proxy, PublishedState, Reach, ReachRules, TableEntry, TableKey};
 
@@ -10,7 +10,7 @@
 pub type EntriesByReach = BTreeMap<(ZoneId, Reach), Vec<TableEntry>>;
 
 /// Binds a proxy to a table for a set of request classes.
-pub type Bind = ((ProxyId, TableKey), Products);
+pub type Bind = ((ProxyId, TableKey), ClassSet);
 
 /// The withdrawn hosts, the entries of tables, which proxy uses which table for which request classes, and
 /// the admission levels.
@@ -21,7 +21,7 @@
     /// In the order of proxies and tables.
     pub binds: Vec<Bind>,
     /// By table and request classes: the admission level and how often a txn may be tried.
-    pub levels: BTreeMap<(TableKey, Products), (f64, Tries)>,
+    pub levels: BTreeMap<(TableKey, ClassSet), (f64, RetryPolicy)>,
 }
 
 impl DesiredState {
--- a/crates/books/src/present.rs
+++ b/crates/books/src/present.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{HostId, Products, ProxyId, TblId, Tries, ZoneId};
+use amberarch_core::{ClassSet, HostId, ProxyId, RetryPolicy, TableId, ZoneId};
 
 use crate::{Bind, DesiredState, Proxy, Reach, ReachRules, TableKey};
 
@@ -16,19 +16,19 @@
 #[derive(Clone, Default)]
 pub struct PublishedState {
     pub withdrawn: BTreeSet<HostId>,
-    pub levels: BTreeMap<(TableKey, Products), (f64, Tries)>,
+    pub levels: BTreeMap<(TableKey, ClassSet), (f64, RetryPolicy)>,
     tables: BTreeMap<TableKey, BTreeMap<HostId, f64>>,
-    binds: BTreeMap<(ProxyId, TableKey), Products>,
+    binds: BTreeMap<(ProxyId, TableKey), ClassSet>,
     /// By table that some proxy uses.
     users: BTreeMap<TableKey, BTreeSet<ProxyId>>,
     /// By host that some table names.
     tables_naming: BTreeMap<HostId, BTreeSet<TableKey>>,
     /// Tables that a proxy may still use: it left and joined again within one batch of events, so it may
     /// never have left. By proxy, and by table.
-    lingering: BTreeMap<ProxyId, BTreeMap<TableKey, Products>>,
+    lingering: BTreeMap<ProxyId, BTreeMap<TableKey, ClassSet>>,
     possible_users: BTreeMap<TableKey, BTreeSet<ProxyId>>,
     /// The tables that proxies which left in this batch of events used or may have used.
-    just_left: BTreeMap<ProxyId, BTreeMap<TableKey, Products>>,
+    just_left: BTreeMap<ProxyId, BTreeMap<TableKey, ClassSet>>,
     /// The number of proxies that use some table.
     bound_proxies: usize,
     zones: u16,
@@ -56,13 +56,13 @@
 
     /// The id of the table. A table of a reach [`Reach::Only`] has none before
     /// [`PublishedState::ensure_table`].
-    pub fn table_id(&self, table: TableKey) -> TblId {
+    pub fn table_id(&self, table: TableKey) -> TableId {
         let ((ZoneId(zone), reach, node), zones) = (table, self.zones);
         let place = |own: u16| zone + zones * (2 * (node.max(1) as u16 - 1) + own);
         match reach {
-            Reach::AnyZone => TblId(place(0)),
-            Reach::HomeZone => TblId(place(1)),
-            Reach::Only(_) => self.allocated_ids.get(&table).map_or(TblId::ALL, |id| TblId(*id)),
+            Reach::AnyZone => TableId(place(0)),
+            Reach::HomeZone => TableId(place(1)),
+            Reach::Only(_) => self.allocated_ids.get(&table).map_or(TableId::ALL, |id| TableId(*id)),
         }
     }
 
@@ -90,7 +90,7 @@
 
     /// Drops the tables of a reach [`Reach::Only`] that no proxy uses now or in the desired state; returns
     /// their ids.
-    pub fn remove_unused_tables(&mut self, desired: &DesiredState) -> Vec<TblId> {
+    pub fn remove_unused_tables(&mut self, desired: &DesiredState) -> Vec<TableId> {
         if self.allocated_ids.is_empty() {
             return vec![];
         }
@@ -118,14 +118,14 @@
     }
 
     /// The tables that a proxy is bound to, and for which request classes.
-    pub fn binds_of(&self, proxy: ProxyId) -> impl Iterator<Item = (TableKey, Products)> + '_ {
+    pub fn binds_of(&self, proxy: ProxyId) -> impl Iterator<Item = (TableKey, ClassSet)> + '_ {
         let first = (proxy, (ZoneId(0), Reach::AnyZone, 0));
         let own_binds = self.binds.range(first..).take_while(move |bind| bind.0 .0 == proxy);
         own_binds.map(|((_, table), classes)| (*table, *classes))
     }
 
     /// The tables that a proxy uses for these request classes.
-    pub fn tables_used_for(&self, proxy: ProxyId, classes: Products) -> Vec<TableKey> {
+    pub fn tables_used_for(&self, proxy: ProxyId, classes: ClassSet) -> Vec<TableKey> {
         self.binds_of(proxy)
             .filter(|(_, bound_classes)| bound_classes.0 & classes.0 != 0)
             .map(|bound| bound.0)
@@ -142,7 +142,7 @@
             }
             let has = in_force.peek().filter(|has| has.0 == key).map_or(0, |has| has.1 .0);
             if classes.0 & !has != 0 {
-                missing_binds.push((*key, Products(classes.0 & !has)));
+                missing_binds.push((*key, ClassSet(classes.0 & !has)));
             }
         }
         missing_binds
@@ -176,16 +176,16 @@
     }
 
     /// Binds the proxy to the table for these request classes, instead of any other table.
-    pub fn bind(&mut self, proxy: ProxyId, table: TableKey, classes: Products) {
-        let had: Vec<(TableKey, Products)> = self.binds_of(proxy).collect();
+    pub fn bind(&mut self, proxy: ProxyId, table: TableKey, classes: ClassSet) {
+        let had: Vec<(TableKey, ClassSet)> = self.binds_of(proxy).collect();
         for (other, had) in had.iter().filter(|bound| bound.0 != table) {
-            match Products(had.0 & !classes.0) {
-                Products(0) => self.unbind(proxy, *other),
+            match ClassSet(had.0 & !classes.0) {
+                ClassSet(0) => self.unbind(proxy, *other),
                 left => drop(self.binds.insert((proxy, *other), left)),
             }
         }
         self.end_lingering(proxy, classes);
-        self.binds.entry((proxy, table)).or_insert(Products(0)).0 |= classes.0;
+        self.binds.entry((proxy, table)).or_insert(ClassSet(0)).0 |= classes.0;
         self.users.entry(table).or_default().insert(proxy);
         self.bound_proxies += usize::from(had.is_empty());
     }
@@ -202,7 +202,7 @@
 
     /// The proxy left: it holds nothing any more, unless it joins again within the same batch of events.
     pub fn proxy_left(&mut self, proxy: ProxyId) {
-        let had: Vec<(TableKey, Products)> = self.binds_of(proxy).collect();
+        let had: Vec<(TableKey, ClassSet)> = self.binds_of(proxy).collect();
         had.iter().for_each(|(table, _)| self.unbind(proxy, *table));
         self.bound_proxies -= usize::from(!had.is_empty());
         let mut used = self.lingering.remove(&proxy).unwrap_or_default();
@@ -210,7 +210,7 @@
             self.remove_possible_user(proxy, *table);
         }
         for (table, classes) in had {
-            used.entry(table).or_insert(Products(0)).0 |= classes.0;
+            used.entry(table).or_insert(ClassSet(0)).0 |= classes.0;
         }
         if !used.is_empty() {
             self.just_left.insert(proxy, used);
@@ -234,7 +234,7 @@
     }
 
     /// The proxy uses another table for these request classes now.
-    fn end_lingering(&mut self, proxy: ProxyId, classes: Products) {
+    fn end_lingering(&mut self, proxy: ProxyId, classes: ClassSet) {
         let Some(mut used) = self.lingering.remove(&proxy) else { return };
         for (table, still_used) in &mut used {
             still_used.0 &= !classes.0;
@@ -292,7 +292,7 @@
 
     /// Whether some table that the proxy uses for these request classes has no usable host; none: it uses no
     /// table for them.
-    pub fn lacks_usable_host_for(&self, proxy: ProxyId, classes: Products) -> Option<bool> {
+    pub fn lacks_usable_host_for(&self, proxy: ProxyId, classes: ClassSet) -> Option<bool> {
         let tables = self.tables_used_for(proxy, classes);
         (!tables.is_empty()).then(|| tables.iter().any(|table| self.lacks_usable_host(table)))
     }
@@ -324,7 +324,7 @@
         let narrows = |((proxy, table), wanted_classes): Bind| {
             let keeps = self.binds_of(proxy).filter(|(has, _)| has.1.is_within(table.1, table.0));
             let keeps = keeps.fold(0, |all, (_, kept)| all | kept.0);
-            let leaves = Products(rules.governed(table.0, wanted_classes).0 & !keeps);
+            let leaves = ClassSet(rules.governed(table.0, wanted_classes).0 & !keeps);
             (leaves.0 != 0 && table.1 != Reach::AnyZone).then_some(((proxy, table), leaves))
         };
         self.missing_binds(desired).into_iter().filter_map(narrows).collect()
--- a/crates/books/src/reach.rs
+++ b/crates/books/src/reach.rs
@@ -23,7 +23,7 @@
     pub fn new(allowed: Option<Zones>, own_zone: bool, home: ZoneId, all_zones: Zones) -> Reach {
         let Some(allowed) = allowed else { return if own_zone { Reach::HomeZone } else { Reach::AnyZone } };
         let possible = if own_zone { Zones::one(home) } else { all_zones };
-        match allowed.and(possible) {
+        match allowed.intersection(possible) {
             all if all == all_zones && !own_zone => Reach::AnyZone,
             own if own == Zones::one(home) => Reach::HomeZone,
             zones => Reach::Only(zones),
@@ -35,7 +35,7 @@
         match self {
             Reach::AnyZone => true,
             Reach::HomeZone => home == zone,
-            Reach::Only(zones) => zones.has(zone),
+            Reach::Only(zones) => zones.contains(zone),
         }
     }
 
@@ -46,7 +46,7 @@
             Reach::HomeZone => Zones::one(home),
             Reach::Only(zones) => zones,
         };
-        self == other || zones(self).less(zones(other)).is_empty()
+        self == other || zones(self).difference(zones(other)).is_empty()
     }
 
     /// The tree whose table assignment is used: a request class that must not leave its zone uses the
--- a/crates/books/src/told.rs
+++ b/crates/books/src/told.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{Product, ProductId, Products, ZoneId, Zones};
+use amberarch_core::{ClassId, ClassSet, RequestClass, ZoneId, Zones};
 
 use crate::{ClassDemand, Reach, TableKey};
 
@@ -12,13 +12,13 @@
     all_zones: Zones,
     /// By request class: whether it must not leave its zone.
     own_zone: Vec<bool>,
-    rules: BTreeMap<(ZoneId, ProductId), Zones>,
+    rules: BTreeMap<(ZoneId, ClassId), Zones>,
 }
 
 impl ReachRules {
     /// There is no residency rule yet for these request classes in so many zones.
-    pub fn new(classes: &[Product], zones: u16) -> ReachRules {
-        let own_zone = classes.iter().map(|class| class.own_zone).collect();
+    pub fn new(classes: &[RequestClass], zones: u16) -> ReachRules {
+        let own_zone = classes.iter().map(|class| class.home_zone_only).collect();
         let all_zones = (0..zones).map(ZoneId).collect();
         ReachRules { zones, all_zones, own_zone, rules: BTreeMap::new() }
     }
@@ -28,7 +28,7 @@
     }
 
     /// Sets a residency rule; returns whether that changes anything. [`Zones::ALL`] removes the rule.
-    pub fn set(&mut self, zone: ZoneId, class: ProductId, zones: Zones) -> bool {
+    pub fn set(&mut self, zone: ZoneId, class: ClassId, zones: Zones) -> bool {
         match zones {
             Zones::ALL => self.rules.remove(&(zone, class)).is_some(),
             zones => self.rules.insert((zone, class), zones) != Some(zones),
@@ -41,21 +41,21 @@
     }
 
     /// The given request classes that have a residency rule in the zone.
-    pub fn governed(&self, zone: ZoneId, classes: Products) -> Products {
-        let rules = self.rules.range((zone, ProductId(0))..=(zone, ProductId(u16::MAX)));
-        Products(rules.fold(0, |all, ((_, id), _)| all | Products::one(*id).0) & classes.0)
+    pub fn governed(&self, zone: ZoneId, classes: ClassSet) -> ClassSet {
+        let rules = self.rules.range((zone, ClassId(0))..=(zone, ClassId(u16::MAX)));
+        ClassSet(rules.fold(0, |all, ((_, id), _)| all | ClassSet::one(*id).0) & classes.0)
     }
 
-    pub fn reach(&self, home: ZoneId, class: ProductId) -> Reach {
+    pub fn reach(&self, home: ZoneId, class: ClassId) -> Reach {
         let own_zone = self.own_zone.get(usize::from(class.0)).copied().unwrap_or_default();
         Reach::new(self.rules.get(&(home, class)).copied(), own_zone, home, self.all_zones)
     }
 
     /// The request classes of the home zone, grouped by their reach.
-    pub fn classes_by_reach(&self, home: ZoneId) -> BTreeMap<Reach, Products> {
+    pub fn classes_by_reach(&self, home: ZoneId) -> BTreeMap<Reach, ClassSet> {
         let mut classes = BTreeMap::new();
-        for id in (0..self.own_zone.len() as u16).map(ProductId) {
-            classes.entry(self.reach(home, id)).or_insert(Products(0)).0 |= Products::one(id).0;
+        for id in (0..self.own_zone.len() as u16).map(ClassId) {
+            classes.entry(self.reach(home, id)).or_insert(ClassSet(0)).0 |= ClassSet::one(id).0;
         }
         classes
     }
@@ -70,7 +70,7 @@
     /// Whether hosts of the zone are forbidden in the table because a request class with a residency rule may
     /// use it.
     pub fn forbids(&self, table: &TableKey, zone: ZoneId) -> bool {
-        let governed = || self.governed(table.0, Products(u64::MAX)).0 != 0;
+        let governed = || self.governed(table.0, ClassSet(u64::MAX)).0 != 0;
         !table.1.contains(table.0, zone) && (table.1 != Reach::HomeZone || governed())
     }
 
--- a/crates/books/tests/books.rs
+++ b/crates/books/tests/books.rs
@@ -4,7 +4,7 @@
     includes_place, median, rate_cap, tables_at_level, ChannelBacklog, DesiredState, ProxyDemand,
     PublishedState, Reach, ReachRules, SlidingWindow, TableKey, TableLoads, TryStats, BUCKET_MS,
 };
-use amberarch_core::{MarkId, ProductId, Products, ProxyId, TblId, ZoneId, Zones};
+use amberarch_core::{ClassId, ClassSet, MarkId, ProxyId, TableId, ZoneId, Zones};
 use proptest::prelude::*;
 
 fn lines(of: &[(u16, f64)]) -> BTreeMap<ProxyId, f64> {
@@ -259,12 +259,12 @@
 #[test]
 fn a_rule_changes_something_once_and_can_be_removed() {
     let mut rules = ReachRules::new(&[], 3);
-    let (zone, id) = (ZoneId(0), ProductId(2));
+    let (zone, id) = (ZoneId(0), ClassId(2));
     assert!(rules.set(zone, id, Zones::one(zone)) && !rules.set(zone, id, Zones::one(zone)));
-    assert_eq!(rules.governed(zone, Products(0b111)), Products(0b100));
-    assert_eq!(rules.governed(ZoneId(1), Products(0b111)), Products(0));
+    assert_eq!(rules.governed(zone, ClassSet(0b111)), ClassSet(0b100));
+    assert_eq!(rules.governed(ZoneId(1), ClassSet(0b111)), ClassSet(0));
     assert!(rules.set(zone, id, Zones::ALL) && !rules.set(zone, id, Zones::ALL));
-    assert_eq!(rules.governed(zone, Products(0b111)), Products(0));
+    assert_eq!(rules.governed(zone, ClassSet(0b111)), ClassSet(0));
 }
 
 /// Ids are allocated in turn and freed; an id is never another table's, nor one that follows from a position.
@@ -275,7 +275,7 @@
     let deepest = 2 * PublishedState::max_groups(zones) - 1;
     let last = state.table_id((ZoneId(zones - 1), Reach::HomeZone, deepest));
     assert!(last.0 < 0x8000, "{last:?}");
-    let mut known: BTreeMap<TableKey, TblId> = BTreeMap::new();
+    let mut known: BTreeMap<TableKey, TableId> = BTreeMap::new();
     for round in 0..120u32 {
         let tables: Vec<TableKey> =
             (1..=300).map(|node| (ZoneId(0), only(&[(round % 100) as u16]), node)).collect();
@@ -284,13 +284,13 @@
             assert_eq!(new_id, !known.contains_key(table));
             known.insert(*table, state.table_id(*table));
         }
-        let numbers: std::collections::BTreeSet<TblId> = known.values().copied().collect();
+        let numbers: std::collections::BTreeSet<TableId> = known.values().copied().collect();
         assert_eq!(numbers.len(), known.len(), "two tables share an id in round {round}");
-        assert!(numbers.iter().all(|number| number.0 >= 0x8000 && *number != TblId::ALL));
+        assert!(numbers.iter().all(|number| number.0 >= 0x8000 && *number != TableId::ALL));
         // Two thirds of them are no longer used.
         let mut desired = DesiredState::with_withdrawn(Default::default());
         let kept = tables.iter().step_by(3);
-        desired.binds.extend(kept.enumerate().map(|(at, table)| ((ProxyId(at as u16), *table), Products(1))));
+        desired.binds.extend(kept.enumerate().map(|(at, table)| ((ProxyId(at as u16), *table), ClassSet(1))));
         let removed = state.remove_unused_tables(&desired);
         known.retain(|_, number| !removed.contains(number));
         assert_eq!(known.len(), 100);
@@ -300,7 +300,7 @@
 /// A state that is created again does not know the ids allocated before, which may still be in use.
 #[test]
 fn a_new_state_allocates_other_ids() {
-    let numbers = |now: f64| -> std::collections::BTreeSet<TblId> {
+    let numbers = |now: f64| -> std::collections::BTreeSet<TableId> {
         let mut state = PublishedState::new(3);
         let tables: Vec<TableKey> = (1..=500).map(|node| (ZoneId(0), only(&[1]), node)).collect();
         tables.iter().for_each(|table| assert!(state.ensure_table(now, *table)));
@@ -316,21 +316,21 @@
 fn a_request_class_that_moves_leaves_the_others_in_place() {
     let mut state = PublishedState::new(2);
     let (proxy, old, new) = (ProxyId(3), (ZoneId(0), Reach::AnyZone, 1), (ZoneId(0), Reach::HomeZone, 1));
-    let missing = |state: &PublishedState, table: TableKey, classes: Products| {
+    let missing = |state: &PublishedState, table: TableKey, classes: ClassSet| {
         state.missing_binds(&DesiredState {
             binds: vec![((proxy, table), classes)],
             ..DesiredState::default()
         })
     };
-    state.bind(proxy, old, Products(0b11));
-    assert_eq!(missing(&state, new, Products(0b10)), vec![((proxy, new), Products(0b10))]);
-    state.bind(proxy, new, Products(0b10));
+    state.bind(proxy, old, ClassSet(0b11));
+    assert_eq!(missing(&state, new, ClassSet(0b10)), vec![((proxy, new), ClassSet(0b10))]);
+    state.bind(proxy, new, ClassSet(0b10));
     assert_eq!(
-        (state.tables_used_for(proxy, Products(0b01)), state.tables_used_for(proxy, Products(0b10))),
+        (state.tables_used_for(proxy, ClassSet(0b01)), state.tables_used_for(proxy, ClassSet(0b10))),
         (vec![old], vec![new])
     );
-    state.bind(proxy, new, Products(0b01));
-    assert_eq!(state.binds_of(proxy).collect::<Vec<_>>(), [(new, Products(0b11))]);
+    state.bind(proxy, new, ClassSet(0b01));
+    assert_eq!(state.binds_of(proxy).collect::<Vec<_>>(), [(new, ClassSet(0b11))]);
 }
 
 /// Guards the cached sums against an assignment that has made them stale; nodes of a deeper tree are
@@ -364,9 +364,9 @@
 /// simulations).
 #[test]
 fn a_proxy_with_late_reports_is_not_taken_for_one_without_demand() {
-    let (first, other) = (ProductId(0), ProductId(1));
+    let (first, other) = (ClassId(0), ClassId(1));
     let mut demand = ProxyDemand::new(ZoneId(0), 12.0);
-    let rate = |demand: &ProxyDemand, now: f64, class: ProductId| demand.rate(now, 5_000.0, class, 2);
+    let rate = |demand: &ProxyDemand, now: f64, class: ClassId| demand.rate(now, 5_000.0, class, 2);
     assert_eq!([rate(&demand, 0.0, first), rate(&demand, 0.0, other)], [6.0, 6.0]);
     demand.add_report(2_000.0, first, TryStats::new(40, 0, 0.0, 2_000.0));
     assert_eq!([rate(&demand, 3_000.0, first), rate(&demand, 3_000.0, other)], [20.0, 0.0]);
--- a/crates/books/tests/lingering.rs
+++ b/crates/books/tests/lingering.rs
@@ -2,7 +2,7 @@
 //! stayed.
 
 use amberarch_books::{PublishedState, Reach, TableKey};
-use amberarch_core::{Products, ProxyId, ZoneId};
+use amberarch_core::{ClassSet, ProxyId, ZoneId};
 
 const ONE: ProxyId = ProxyId(1);
 const OTHER: ProxyId = ProxyId(2);
@@ -12,8 +12,8 @@
 /// Both proxies use the old table for two request classes; the first one left.
 fn left() -> PublishedState {
     let mut state = PublishedState::new(1);
-    state.bind(ONE, OLD, Products(0b11));
-    state.bind(OTHER, OLD, Products(0b11));
+    state.bind(ONE, OLD, ClassSet(0b11));
+    state.bind(OTHER, OLD, ClassSet(0b11));
     state.proxy_left(ONE);
     state
 }
@@ -45,9 +45,9 @@
 fn a_bind_ends_lingering_for_its_request_classes_only() {
     let mut state = left();
     state.proxy_joined(ONE, false);
-    state.bind(ONE, NEW, Products(0b01));
+    state.bind(ONE, NEW, ClassSet(0b01));
     assert_eq!(state.recipients(&OLD), [ONE, OTHER]);
-    state.bind(ONE, NEW, Products(0b10));
+    state.bind(ONE, NEW, ClassSet(0b10));
     assert_eq!((state.recipients(&OLD), state.recipients(&NEW)), (vec![OTHER], vec![ONE]));
 }
 
--- a/crates/books/tests/present.rs
+++ b/crates/books/tests/present.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_books::{Bind, DesiredState, Proxy, ProxyDemand, PublishedState, Reach, ReachRules, TableKey};
-use amberarch_core::{HostId, Product, ProductId, Products, ProxyId, ZoneId, Zones};
+use amberarch_core::{ClassId, ClassSet, HostId, ProxyId, RequestClass, ZoneId, Zones};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -15,12 +15,12 @@
 enum Step {
     Joined(ProxyId, ZoneId),
     Left(ProxyId),
-    Bind(ProxyId, TableKey, Products),
+    Bind(ProxyId, TableKey, ClassSet),
     SetEntries(TableKey, Vec<(HostId, f64)>),
     Withdrawn(HostId, bool),
     DropUnused(Vec<Bind>),
     ForgetHosts(Vec<HostId>),
-    SetRule(ZoneId, ProductId, Zones),
+    SetRule(ZoneId, ClassId, Zones),
 }
 
 fn proxy() -> impl Strategy<Value = ProxyId> {
@@ -41,7 +41,7 @@
 }
 
 fn binds() -> impl Strategy<Value = Vec<Bind>> {
-    let bind = ((proxy(), table()), (1u64..8).prop_map(Products));
+    let bind = ((proxy(), table()), (1u64..8).prop_map(ClassSet));
     prop::collection::btree_map(bind.0, bind.1, 0..6).prop_map(|binds| binds.into_iter().collect())
 }
 
@@ -52,7 +52,7 @@
         2 => (proxy(), zone()).prop_map(|(proxy, zone)| Step::Joined(proxy, zone)),
         1 => proxy().prop_map(Step::Left),
         6 => (proxy(), table(), 1u64..8)
-            .prop_map(|(proxy, table, of)| Step::Bind(proxy, table, Products(of))),
+            .prop_map(|(proxy, table, of)| Step::Bind(proxy, table, ClassSet(of))),
         6 => (
             table(),
             prop::collection::btree_map(host(), prop_oneof![Just(0.0), Just(1.0), Just(2.0)], 1..4),
@@ -61,7 +61,7 @@
         2 => (host(), any::<bool>()).prop_map(|(host, withdrawn)| Step::Withdrawn(host, withdrawn)),
         1 => binds().prop_map(Step::DropUnused),
         2 => prop::collection::vec(host(), 0..4).prop_map(Step::ForgetHosts),
-        1 => (zone(), 0u16..3, zones).prop_map(|(zone, id, zones)| Step::SetRule(zone, ProductId(id), zones)),
+        1 => (zone(), 0u16..3, zones).prop_map(|(zone, id, zones)| Step::SetRule(zone, ClassId(id), zones)),
     ]
 }
 
@@ -69,18 +69,18 @@
 struct Model {
     withdrawn: BTreeSet<HostId>,
     tables: BTreeMap<TableKey, BTreeMap<HostId, f64>>,
-    binds: BTreeMap<(ProxyId, TableKey), Products>,
+    binds: BTreeMap<(ProxyId, TableKey), ClassSet>,
 }
 
 impl Model {
-    fn binds_of(&self, proxy: ProxyId) -> Vec<(TableKey, Products)> {
+    fn binds_of(&self, proxy: ProxyId) -> Vec<(TableKey, ClassSet)> {
         let own_binds = self.binds.iter().filter(|bind| bind.0 .0 == proxy);
         own_binds.map(|((_, table), of)| (*table, *of)).collect()
     }
 
-    fn bind(&mut self, proxy: ProxyId, table: TableKey, classes: Products) {
+    fn bind(&mut self, proxy: ProxyId, table: TableKey, classes: ClassSet) {
         self.binds.iter_mut().filter(|bind| bind.0 .0 == proxy).for_each(|bind| bind.1 .0 &= !classes.0);
-        self.binds.entry((proxy, table)).or_insert(Products(0)).0 |= classes.0;
+        self.binds.entry((proxy, table)).or_insert(ClassSet(0)).0 |= classes.0;
         self.binds.retain(|_, of| of.0 != 0);
     }
 
@@ -121,7 +121,7 @@
         let narrows = |&((proxy, table), of): &Bind| {
             let keeps = self.binds_of(proxy).into_iter().filter(|(has, _)| has.1.is_within(table.1, table.0));
             let keeps = keeps.fold(0, |all, (_, of)| all | of.0);
-            let leaves = Products(rules.governed(table.0, of).0 & !keeps);
+            let leaves = ClassSet(rules.governed(table.0, of).0 & !keeps);
             (leaves.0 != 0 && table.1 != Reach::AnyZone).then_some(((proxy, table), leaves))
         };
         desired.iter().filter_map(narrows).collect()
@@ -147,7 +147,7 @@
     fn the_published_state_matches_a_model_that_scans_everything(
         steps in prop::collection::vec((step(), binds()), 1..60),
     ) {
-        let classes: Vec<Product> = vec![];
+        let classes: Vec<RequestClass> = vec![];
         let (mut state, mut model, mut rules) =
             (PublishedState::new(ZONES), Model::default(), ReachRules::new(&classes, ZONES));
         let (mut joined, mut tables) = (BTreeMap::new(), BTreeSet::new());
@@ -211,7 +211,7 @@
             }
             let missing = |(of, classes): &Bind| {
                 let missing = classes.0 & !model.binds.get(of).map_or(0, |has| has.0);
-                (missing != 0).then_some((*of, Products(missing)))
+                (missing != 0).then_some((*of, ClassSet(missing)))
             };
             let missing_binds: Vec<Bind> = binds.iter().filter_map(missing).collect();
             let narrowing_binds = model.narrowing_binds(&binds, &rules);
--- a/crates/emulator/src/arrivals.rs
+++ b/crates/emulator/src/arrivals.rs
@@ -68,10 +68,10 @@
 
 #[derive(Clone, Default)]
 struct Stand {
-    tables: BTreeMap<TblId, BTreeSet<HostId>>,
+    tables: BTreeMap<TableId, BTreeSet<HostId>>,
     out: BTreeSet<HostId>,
     /// By proxy and the session it was made in.
-    binds: BTreeMap<(ProxyId, u32, ProductId), TblId>,
+    binds: BTreeMap<(ProxyId, u32, ClassId), TableId>,
 }
 
 #[derive(Clone, Default)]
@@ -82,7 +82,7 @@
     /// How far it has read what was carried out.
     read: usize,
     /// What it holds of earlier stewards or sessions, until it is bound.
-    before: BTreeMap<ProductId, BTreeSet<HostId>>,
+    before: BTreeMap<ClassId, BTreeSet<HostId>>,
     left: f64,
 }
 
@@ -164,7 +164,7 @@
         let mut judge = Judge::new(PRODUCTS, GRACE);
         let mut plain = Plain { products: PRODUCTS, ..Plain::default() };
         for (host, (zone, ..)) in &places {
-            judge.listed(0.0, *host, *zone, Standing::On);
+            judge.listed(0.0, *host, *zone, Availability::InService);
             plain.hosts.insert(*host, *zone);
         }
         let mut world = Arrivals {
@@ -215,7 +215,7 @@
 
     fn some_reach(&mut self) -> InUse {
         let mut reach = InUse::new();
-        for product in (0..PRODUCTS).map(ProductId) {
+        for product in (0..PRODUCTS).map(ClassId) {
             for zone in (0..ZONES).map(ZoneId) {
                 // Nothing, either zone, both, or not governed.
                 let zones = Zones(self.chance.random_range(0..1 << ZONES));
@@ -274,7 +274,7 @@
     /// Hosts' places as they count now.
     fn within(&self, host: HostId, zones: Zones) -> bool {
         self.places.get(&host).is_some_and(|(zone, before, until)| {
-            zones == Zones::ALL || zones.has(*zone) || self.now < *until && zones.has(*before)
+            zones == Zones::ALL || zones.contains(*zone) || self.now < *until && zones.contains(*before)
         })
     }
 
@@ -287,7 +287,7 @@
         if place.0 != zone && self.now >= place.2 {
             *place = (zone, place.0, self.now + GRACE);
             match zone.0 < ZONES {
-                true => self.judge.listed(self.now, host, zone, Standing::On),
+                true => self.judge.listed(self.now, host, zone, Availability::InService),
                 false => self.judge.lost(self.now, host),
             }
             (self.holds, self.plain_fits) = (false, false);
@@ -298,21 +298,21 @@
     fn reply(&mut self) {
         let mut orders = Vec::new();
         for _ in 0..self.chance.random_range(1..4) {
-            let (tbl, host) = (TblId(self.one_of(TABLES)), HostId(u32::from(self.one_of(HOSTS as u16))));
+            let (table, host) = (TableId(self.one_of(TABLES)), HostId(u32::from(self.one_of(HOSTS as u16))));
             orders.push(match self.chance.random_range(0..10) {
-                0..3 => Order::Share { tbl, host, weight: 1.0 },
-                3..5 => Order::Share { tbl, host, weight: 0.0 },
-                5 => Order::Withdraw { host, out: true },
-                6 => Order::Withdraw { host, out: false },
-                7 if self.chance.random::<f64>() < 0.3 => Order::Clear { tbl },
+                0..3 => Order::SetEntry { table, host, weight: 1.0 },
+                3..5 => Order::SetEntry { table, host, weight: 0.0 },
+                5 => Order::Withdraw { host, withdrawn: true },
+                6 => Order::Withdraw { host, withdrawn: false },
+                7 if self.chance.random::<f64>() < 0.3 => Order::ClearTable { table },
                 _ => {
                     // The decisions hear the same news as the judge and bind nobody else.
                     let proxy = ProxyId(self.one_of(PROXIES));
                     if !self.heard.contains(&proxy) {
                         continue;
                     }
-                    let masks = [Products::ALL, Products(1), Products(2)];
-                    Order::Bind { proxy, tbl, products: masks[usize::from(self.one_of(3))] }
+                    let masks = [ClassSet::ALL, ClassSet(1), ClassSet(2)];
+                    Order::Bind { proxy, table, classes: masks[usize::from(self.one_of(3))] }
                 }
             });
         }
@@ -320,7 +320,7 @@
         self.next_mark = self.next_mark.wrapping_add(1);
         let marked = self.chance.random::<f64>() < 0.85;
         if marked {
-            orders.push(Order::Mark { mark, everyone: true });
+            orders.push(Order::Mark { mark, all_proxies: true });
         }
         self.found.replies += 1;
         let fine = self.plain_fits && self.plain.clone().judge(&orders);
@@ -422,25 +422,25 @@
         for order in orders {
             let mut stand = self.line.last().map_or_else(Stand::default, |last| last.1.clone());
             match &order {
-                Order::Share { tbl, host, weight } if *weight > 0.0 => {
-                    stand.tables.entry(*tbl).or_default().insert(*host);
+                Order::SetEntry { table, host, weight } if *weight > 0.0 => {
+                    stand.tables.entry(*table).or_default().insert(*host);
                 }
-                Order::Share { tbl, host, .. } => {
-                    stand.tables.entry(*tbl).or_default().remove(host);
+                Order::SetEntry { table, host, .. } => {
+                    stand.tables.entry(*table).or_default().remove(host);
                 }
-                Order::Clear { tbl } => drop(stand.tables.remove(tbl)),
-                Order::Withdraw { host, out: true } => {
+                Order::ClearTable { table } => drop(stand.tables.remove(table)),
+                Order::Withdraw { host, withdrawn: true } => {
                     stand.out.insert(*host);
                 }
-                Order::Withdraw { host, out: false } => {
+                Order::Withdraw { host, withdrawn: false } => {
                     stand.out.remove(host);
                 }
-                Order::Bind { proxy, tbl, products } => {
+                Order::Bind { proxy, table, classes } => {
                     // A proxy that is away is not bound; the relay takes the rest all the same.
                     if let Some(held) = self.proxies.get(proxy).filter(|held| held.joined) {
-                        for id in (0..PRODUCTS).map(ProductId) {
-                            if *products == Products::ALL || products.0 & Products::one(id).0 != 0 {
-                                stand.binds.insert((*proxy, held.session, id), *tbl);
+                        for id in (0..PRODUCTS).map(ClassId) {
+                            if *classes == ClassSet::ALL || classes.0 & ClassSet::one(id).0 != 0 {
+                                stand.binds.insert((*proxy, held.session, id), *table);
                             }
                         }
                     }
@@ -502,7 +502,7 @@
         if fresh || first {
             // A standing table, or another steward's.
             let all: BTreeSet<HostId> = (0..HOSTS).map(HostId).collect();
-            held.before = (0..PRODUCTS).map(|id| (ProductId(id), all.clone())).collect();
+            held.before = (0..PRODUCTS).map(|id| (ClassId(id), all.clone())).collect();
         }
         self.plain.zones.insert(proxy, zone);
         self.news.push_back((self.now, News::Joined { proxy, zone, fresh }));
@@ -511,7 +511,7 @@
     fn leave(&mut self, proxy: ProxyId) {
         let Some(held) = self.proxies.get(&proxy) else { return };
         let mut before = held.before.clone();
-        for id in (0..PRODUCTS).map(ProductId) {
+        for id in (0..PRODUCTS).map(ClassId) {
             if let Some(hosts) = self.bound(proxy, held, held.read, id) {
                 before.insert(id, hosts);
             }
@@ -524,14 +524,14 @@
     }
 
     /// The hosts that it may use by what was ordered, having read so far; none: it is not bound.
-    fn bound(&self, proxy: ProxyId, held: &Held, read: usize, id: ProductId) -> Option<BTreeSet<HostId>> {
+    fn bound(&self, proxy: ProxyId, held: &Held, read: usize, id: ClassId) -> Option<BTreeSet<HostId>> {
         let stand = &self.line[..read].last()?.1;
         let tbl = stand.binds.get(&(proxy, held.session, id))?;
         let lines = stand.tables.get(tbl).cloned().unwrap_or_default();
         Some(lines.into_iter().filter(|host| !stand.out.contains(host)).collect())
     }
 
-    fn breaks(&self, zone: ZoneId, id: ProductId, hosts: &BTreeSet<HostId>) -> bool {
+    fn breaks(&self, zone: ZoneId, id: ClassId, hosts: &BTreeSet<HostId>) -> bool {
         let zones = self.reach.get(&(id, zone)).copied().unwrap_or(Zones::ALL);
         hosts.iter().any(|host| !self.within(*host, zones))
     }
@@ -549,7 +549,7 @@
         let mut outside = false;
         for (proxy, held) in self.proxies.iter().filter(|(_, held)| held.joined) {
             for read in held.read..=self.line.len() {
-                for id in (0..PRODUCTS).map(ProductId) {
+                for id in (0..PRODUCTS).map(ClassId) {
                     let hosts = self.bound(*proxy, held, read, id);
                     outside |= hosts.is_some_and(|hosts| self.breaks(held.zone, id, &hosts));
                 }
@@ -577,7 +577,7 @@
             }
             let reads = if held.joined { held.read..=self.line.len() } else { held.read..=held.read };
             for read in reads {
-                for id in (0..PRODUCTS).map(ProductId) {
+                for id in (0..PRODUCTS).map(ClassId) {
                     let bound = held.joined.then(|| self.bound(*proxy, held, read, id)).flatten();
                     let hosts = bound.or(held.before.get(&id).cloned()).unwrap_or_default();
                     falsely |= self.breaks(held.zone, id, &hosts);
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{Listed, Standing};
+use amberarch_core::{Availability, HostEntry};
 
 /// What it can do, and for whom how late.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,7 +31,7 @@
 pub struct Discovery {
     asked: Asked,
     /// All that was ever listed, by when it was, and how far each watch has heard it.
-    log: Vec<(f64, Listed)>,
+    log: Vec<(f64, HostEntry)>,
     heard: BTreeMap<usize, usize>,
     /// Watches that are told at their turn.
     due: BTreeSet<usize>,
@@ -47,7 +47,7 @@
 }
 
 impl Discovery {
-    pub fn new(asked: Asked, listed: impl Iterator<Item = Listed>) -> Discovery {
+    pub fn new(asked: Asked, listed: impl Iterator<Item = HostEntry>) -> Discovery {
         let log = listed.map(|row| (f64::MIN, row)).collect();
         let (waiting, watches, due, heard) =
             (BTreeSet::new(), BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
@@ -76,7 +76,7 @@
 
     /// It is the caller's turn: the whole list, as old as this steward gets it, and when it hears more. None: it went
     /// down since, or the caller is gone.
-    pub fn answer(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<Listed>, Option<f64>)> {
+    pub fn answer(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
         if self.up != up || !self.waiting.remove(&steward) {
             return None;
         }
@@ -87,15 +87,15 @@
         for row in self.news(now, steward) {
             whole.insert(row.host, row);
         }
-        let whole = whole.into_values().filter(|row| row.standing != Standing::Gone).collect();
+        let whole = whole.into_values().filter(|row| row.availability != Availability::Removed).collect();
         Some((whole, self.next(now, steward)))
     }
 
     /// What the watch has not heard yet, as far as its age lets it.
-    fn news(&mut self, now: f64, steward: usize) -> Vec<Listed> {
+    fn news(&mut self, now: f64, steward: usize) -> Vec<HostEntry> {
         let from = self.heard.get(&steward).copied().unwrap_or(0);
         let until = now - self.age(steward);
-        let fresh: Vec<Listed> =
+        let fresh: Vec<HostEntry> =
             self.log[from..].iter().take_while(|row| row.0 <= until).map(|row| row.1.clone()).collect();
         self.heard.insert(steward, from + fresh.len());
         fresh
@@ -113,7 +113,7 @@
     }
 
     /// It is the watch's turn: what has changed since, all together, and its next turn. None: it ended.
-    pub fn tell(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<Listed>, Option<f64>)> {
+    pub fn tell(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
         if self.up != up || !self.watches.contains(&steward) || !self.due.remove(&steward) {
             return None;
         }
@@ -123,7 +123,7 @@
 
     /// The list changes: which watches hear of it, and when. That is work like a call is, so a discovery that is slow
     /// tells them late.
-    pub fn change(&mut self, now: f64, rows: &[Listed]) -> Vec<(usize, f64)> {
+    pub fn change(&mut self, now: f64, rows: &[HostEntry]) -> Vec<(usize, f64)> {
         self.log.extend(rows.iter().map(|row| (now, row.clone())));
         let watches: Vec<usize> = self.watches.iter().copied().collect();
         watches.into_iter().filter_map(|steward| Some((steward, self.next(now, steward)?))).collect()
--- a/crates/emulator/src/governed.rs
+++ b/crates/emulator/src/governed.rs
@@ -74,18 +74,20 @@
         for event in events {
             match event {
                 Event::List { entries, .. } => {
-                    for Listed { host, zone, standing, .. } in entries {
-                        self.judge.listed(now, *host, *zone, *standing);
+                    for HostEntry { host, zone, availability, .. } in entries {
+                        self.judge.listed(now, *host, *zone, *availability);
                         let places = self.places.entry(*host).or_default();
                         places.retain(|place| place.0 != *zone && place.1 > now);
                         places.iter_mut().for_each(|place| place.1 = place.1.min(now + GRACE));
                         places.push((*zone, f64::MAX));
                     }
                 }
-                Event::Joined { proxy, zone, fresh, .. } => self.judge.joined(now, *proxy, *zone, *fresh),
-                Event::Left { proxy } => self.judge.left(now, *proxy),
-                Event::Applied { proxy, mark, .. } => self.judge.applied(now, *proxy, *mark),
-                Event::Again { mark } => self.judge.unsure(*mark),
+                Event::ProxyJoined { proxy, zone, without_table, .. } => {
+                    self.judge.joined(now, *proxy, *zone, *without_table)
+                }
+                Event::ProxyLeft { proxy } => self.judge.left(now, *proxy),
+                Event::MarkApplied { proxy, mark, .. } => self.judge.applied(now, *proxy, *mark),
+                Event::CallDuplicated { mark } => self.judge.unsure(*mark),
                 _ => {}
             }
         }
@@ -140,10 +142,10 @@
     }
 
     /// A try at a host. One that has changed its zone in the list counts for both while a drain's grace lasts.
-    pub fn tried(&mut self, now: f64, pair: (ProductId, ZoneId), host: HostId) {
+    pub fn tried(&mut self, now: f64, pair: (ClassId, ZoneId), host: HostId) {
         let zones = self.in_use.get(&pair).copied().unwrap_or(Zones::ALL);
         let places = self.places.get(&host).into_iter().flatten();
-        let within = places.filter(|place| now < place.1).any(|place| zones.has(place.0));
+        let within = places.filter(|place| now < place.1).any(|place| zones.contains(place.0));
         if zones != Zones::ALL && !within {
             match self.unsettled {
                 None => self.ruled.outside += 1,
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use amberarch_core::{Listed, Warmup};
+use amberarch_core::{HostEntry, Warmup};
 
 use crate::TxnId;
 
@@ -10,7 +10,7 @@
 const LOAD_LOOK_BACK: f64 = 1_000.0;
 
 pub struct Host {
-    pub listed: Listed,
+    pub listed: HostEntry,
     pub cores: u32,
     /// Times the speed that its weight promises; faults turn it down.
     pub speed: f64,
@@ -38,7 +38,7 @@
 }
 
 impl Host {
-    pub fn new(listed: Listed, cores: u32, room: usize) -> Host {
+    pub fn new(listed: HostEntry, cores: u32, room: usize) -> Host {
         let (speed, up, queue, cold_since) = (1.0, true, VecDeque::new(), None);
         Host {
             listed,
@@ -96,13 +96,13 @@
 
     pub fn start(&mut self, now: f64) {
         (self.up, self.cold_since, self.load, self.load_at) = (true, Some(now), 0.0, now);
-        self.listed.born = Some(now);
+        self.listed.started_at = Some(now);
     }
 
     /// The part of the speed that its weight promises.
     pub fn pace(&self, now: f64, warmup: &Warmup) -> f64 {
-        let age = self.cold_since.map_or(1.0, |since| ((now - since) / warmup.within).min(1.0));
-        self.speed * (warmup.from + (1.0 - warmup.from) * age)
+        let age = self.cold_since.map_or(1.0, |since| ((now - since) / warmup.duration).min(1.0));
+        self.speed * (warmup.initial_capacity + (1.0 - warmup.initial_capacity) * age)
     }
 
     fn in_hand(&self) -> f64 {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -107,13 +107,13 @@
     pub room: usize,
     pub proxies: u16,
     /// With each product: its part of the txns, and the mean work of one in ms of a core.
-    pub products: Vec<(Product, f64, f64)>,
+    pub products: Vec<(RequestClass, f64, f64)>,
     /// The part of the fleet's cores that the usual txns need.
     pub use_of_cores: f64,
     pub levels: LevelKind,
     pub lasts: f64,
     pub warmup: Warmup,
-    pub sums: Sums,
+    pub sums: ReportSettings,
     /// From an order to the proxies.
     pub transit: f64,
     /// The part of those who are turned away or left without an answer that comes again, after that long, and
@@ -124,19 +124,19 @@
 impl Shape {
     /// 24 hosts in three zones, 12 proxies, pages and submits, at 55 % of the cores.
     pub fn usual() -> Shape {
-        let product = |effect, sla, revenue, writes| Product {
-            sla,
-            expiry: 3.0 * sla,
-            effect,
-            scope: Scope::All,
-            window: 5_000.0,
-            revenue,
-            late_part: 0.2,
-            own_zone: false,
+        let product = |idempotency, latency_target, value, writes| RequestClass {
+            latency_target,
+            deadline: 3.0 * latency_target,
+            idempotency,
+            scope: DedupScope::All,
+            dedup_window: 5_000.0,
+            value,
+            late_value_fraction: 0.2,
+            home_zone_only: false,
             writes,
         };
-        let pages = product(Effect::InquiryLike, 400.0, 1.0, false);
-        let submits = product(Effect::OnceOnly, 600.0, 3.0, true);
+        let pages = product(Idempotency::Idempotent, 400.0, 1.0, false);
+        let submits = product(Idempotency::NonIdempotent, 600.0, 3.0, true);
         Shape {
             zones: 3,
             hosts: 24,
@@ -147,8 +147,13 @@
             use_of_cores: 0.55,
             levels: LevelKind::Off,
             lasts: 90_000.0,
-            warmup: Warmup { from: 0.2, within: 15_000.0, multiple: 3.0, fall_after: 2_000.0 },
-            sums: Sums { every: 2_000.0, lines_per_s: 1_000.0 },
+            warmup: Warmup {
+                initial_capacity: 0.2,
+                duration: 15_000.0,
+                failure_load: 3.0,
+                failure_after: 2_000.0,
+            },
+            sums: ReportSettings { interval: 2_000.0, max_lines_per_s: 1_000.0 },
             transit: 200.0,
             again: (0.0, 0.0, 0),
         }
@@ -159,10 +164,10 @@
     pub fn election() -> Shape {
         let usual = Shape::usual();
         let (pages, submits) = (usual.products[0].0.clone(), usual.products[1].0.clone());
-        let details = Product { revenue: 0.3, ..pages.clone() };
+        let details = RequestClass { value: 0.3, ..pages.clone() };
         Shape {
             products: vec![(details, 0.5, 60.0), (pages, 0.4, 60.0), (submits, 0.1, 90.0)],
-            levels: LevelKind::Share,
+            levels: LevelKind::Fraction,
             lasts: 240_000.0,
             again: (0.6, 2_000.0, 3),
             ..usual
@@ -176,38 +181,43 @@
     }
 
     fn steward(&self, seed: u64) -> Steward {
-        let post = Post {
+        let post = InstanceSettings {
             seed,
             zone: ZoneId(0),
-            zones: self.zones,
-            stewards: 1,
-            by_zone: false,
-            slices: 0,
+            zone_count: self.zones,
+            controllers: 1,
+            proxies_by_zone: false,
+            slice_count: 0,
             may_probe: true,
         };
         let channel = Channel {
             lines_per_s: 1_000.0 * f64::from(self.proxies),
-            head: 3.0,
-            backlog: 400.0 * f64::from(self.proxies),
-            messages: 60,
-            messages_over: 10_000.0,
-            transit: self.transit,
-            transit_worst: 2.0 * self.transit,
+            message_overhead: 3.0,
+            max_backlog: 400.0 * f64::from(self.proxies),
+            max_messages: 60,
+            message_window: 10_000.0,
+            typical_transit: self.transit,
+            max_transit: 2.0 * self.transit,
         };
         self.steward_at(post, channel, false)
     }
 
     /// One with that post and channel; `asked`: it has to ask for the list.
-    fn steward_at(&self, post: Post, channel: Channel, asked: bool) -> Steward {
-        let sidecars = Sidecars {
-            count: u32::from(self.proxies),
-            standing: STANDING,
-            bare_for: BARE_FOR,
-            levels: self.levels,
-            usual_tries: Tries::AfterProof,
-            try_wait: 0.8,
+    fn steward_at(&self, post: InstanceSettings, channel: Channel, on_request: bool) -> Steward {
+        let sidecars = ProxySettings {
+            proxy_count: u32::from(self.proxies),
+            bootstrap_hosts: STANDING,
+            max_time_without_host: BARE_FOR,
+            level_kind: self.levels,
+            default_tries: RetryPolicy::AfterProof,
+            try_factor: 0.8,
+        };
+        let roster = HostListSettings {
+            on_request,
+            request_within: 1e4,
+            drain_grace: GRACE,
+            removal_not_binding: false,
         };
-        let roster = Roster { asked, ask_within: 1e4, grace: GRACE, removal_not_binding: false };
         let products = self.products.iter().map(|(product, ..)| product.clone()).collect();
         Steward::new(post, products, channel, sidecars, self.warmup.clone(), roster, self.sums.clone())
     }
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -5,7 +5,7 @@
 use amberarch_core::*;
 
 /// A table of one of the stewards.
-type Tbl = (u32, TblId);
+type Tbl = (u32, TableId);
 
 #[derive(Default)]
 pub struct Proxy {
@@ -14,8 +14,8 @@
     pub rates: Vec<f64>,
     tables: BTreeMap<Tbl, BTreeMap<HostId, f64>>,
     out: BTreeSet<HostId>,
-    binds: BTreeMap<ProductId, Tbl>,
-    levels: BTreeMap<(Tbl, ProductId), (f64, Tries)>,
+    binds: BTreeMap<ClassId, Tbl>,
+    levels: BTreeMap<(Tbl, ClassId), (f64, RetryPolicy)>,
     /// Counts the stewards that it has followed: tables are each one's own, and a proxy goes on with those that it
     /// holds until it is bound to one of the next.
     steward: u32,
@@ -29,10 +29,9 @@
         Proxy { zone, rates, ..Proxy::default() }
     }
 
-    fn masked(&self, products: Products) -> impl Iterator<Item = ProductId> + use<> {
+    fn masked(&self, products: ClassSet) -> impl Iterator<Item = ClassId> + use<> {
         let all = 0..self.rates.len() as u16;
-        all.map(ProductId)
-            .filter(move |id| products == Products::ALL || products.0 & Products::one(*id).0 != 0)
+        all.map(ClassId).filter(move |id| products == ClassSet::ALL || products.0 & ClassSet::one(*id).0 != 0)
     }
 
     /// Its steward starts anew, with no tables.
@@ -47,9 +46,9 @@
 
     /// A table from before any steward, with these hosts alike.
     pub fn start_with(&mut self, hosts: impl Iterator<Item = HostId>) {
-        let tbl = (self.steward, TblId::ALL);
+        let tbl = (self.steward, TableId::ALL);
         self.tables.insert(tbl, hosts.map(|host| (host, 1.0)).collect());
-        self.binds.extend((0..self.rates.len() as u16).map(|id| (ProductId(id), tbl)));
+        self.binds.extend((0..self.rates.len() as u16).map(|id| (ClassId(id), tbl)));
     }
 
     /// Lets go of tables of earlier stewards that no product uses any more.
@@ -57,7 +56,7 @@
         let (now, binds) = (self.steward, &self.binds);
         let keeps = |tbl: &Tbl| tbl.0 == now || binds.values().any(|bound| bound == tbl);
         self.tables.retain(|tbl, _| keeps(tbl));
-        self.levels.retain(|(tbl, _), _| keeps(&(tbl.0, tbl.1)) || tbl.1 == TblId::ALL);
+        self.levels.retain(|(tbl, _), _| keeps(&(tbl.0, tbl.1)) || tbl.1 == TableId::ALL);
     }
 
     /// Every product goes by a table of the steward that it belongs to.
@@ -68,48 +67,48 @@
     pub fn hear(&mut self, me: ProxyId, order: &Order) {
         let now = self.steward;
         match order {
-            Order::Share { tbl, host, weight } => {
-                let table = self.tables.entry((now, *tbl)).or_default();
+            Order::SetEntry { table, host, weight } => {
+                let table = self.tables.entry((now, *table)).or_default();
                 match *weight > 0.0 {
                     true => drop(table.insert(*host, *weight)),
                     false => drop(table.remove(host)),
                 }
             }
-            Order::Clear { tbl } => drop(self.tables.remove(&(now, *tbl))),
-            Order::Withdraw { host, out: true } => drop(self.out.insert(*host)),
-            Order::Withdraw { host, out: false } => drop(self.out.remove(host)),
-            Order::Bind { proxy, tbl, products } if *proxy == me => {
-                self.binds.extend(self.masked(*products).map(|id| (id, (now, *tbl))));
+            Order::ClearTable { table } => drop(self.tables.remove(&(now, *table))),
+            Order::Withdraw { host, withdrawn: true } => drop(self.out.insert(*host)),
+            Order::Withdraw { host, withdrawn: false } => drop(self.out.remove(host)),
+            Order::Bind { proxy, table, classes } if *proxy == me => {
+                self.binds.extend(self.masked(*classes).map(|id| (id, (now, *table))));
             }
-            Order::Admit { tbl, products, level, tries } => {
-                let ids: Vec<ProductId> = self.masked(*products).collect();
-                self.levels.extend(ids.into_iter().map(|id| (((now, *tbl), id), (*level, *tries))));
+            Order::Admit { table, classes, level, tries } => {
+                let ids: Vec<ClassId> = self.masked(*classes).collect();
+                self.levels.extend(ids.into_iter().map(|id| (((now, *table), id), (*level, *tries))));
             }
             _ => {}
         }
     }
 
     /// Open hosts of a product's table, with their weights.
-    pub fn open(&self, product: ProductId) -> impl Iterator<Item = (HostId, f64)> + '_ {
+    pub fn open(&self, product: ClassId) -> impl Iterator<Item = (HostId, f64)> + '_ {
         let table = self.binds.get(&product).and_then(|tbl| self.tables.get(tbl));
         let lines = table.into_iter().flatten().map(|(host, weight)| (*host, *weight));
         lines.filter(|(host, _)| !self.out.contains(host))
     }
 
-    pub fn level(&self, product: ProductId) -> (f64, Tries) {
+    pub fn level(&self, product: ClassId) -> (f64, RetryPolicy) {
         let tbl = self.binds.get(&product);
         let found = tbl.and_then(|tbl| {
-            self.levels.get(&(*tbl, product)).or(self.levels.get(&((tbl.0, TblId::ALL), product)))
+            self.levels.get(&(*tbl, product)).or(self.levels.get(&((tbl.0, TableId::ALL), product)))
         });
-        found.copied().unwrap_or((1.0, Tries::AfterProof))
+        found.copied().unwrap_or((1.0, RetryPolicy::AfterProof))
     }
 
-    pub fn uses(&self, tbl: TblId) -> bool {
+    pub fn uses(&self, tbl: TableId) -> bool {
         self.binds.values().any(|bound| *bound == (self.steward, tbl))
     }
 
     /// The host that lies at `chance`, from 0 to 1, of the weights; one that was tried before is left out.
-    pub fn pick(&self, product: ProductId, chance: f64, not: Option<HostId>) -> Option<HostId> {
+    pub fn pick(&self, product: ClassId, chance: f64, not: Option<HostId>) -> Option<HostId> {
         let lines: Vec<(HostId, f64)> = self.open(product).filter(|(host, _)| Some(*host) != not).collect();
         let mut left = chance * lines.iter().map(|(_, weight)| weight).sum::<f64>();
         let found = lines.iter().find(|(_, weight)| {
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -22,11 +22,11 @@
 pub struct Relay {
     channel: Channel,
     products: u16,
-    tables: BTreeMap<TblId, BTreeMap<HostId, f64>>,
-    levels: BTreeMap<(TblId, ProductId), (f64, Tries)>,
+    tables: BTreeMap<TableId, BTreeMap<HostId, f64>>,
+    levels: BTreeMap<(TableId, ClassId), (f64, RetryPolicy)>,
     out: BTreeSet<HostId>,
-    joined: BTreeMap<ProxyId, BTreeMap<ProductId, TblId>>,
-    users: BTreeMap<TblId, BTreeSet<ProxyId>>,
+    joined: BTreeMap<ProxyId, BTreeMap<ClassId, TableId>>,
+    users: BTreeMap<TableId, BTreeSet<ProxyId>>,
     unbound: BTreeSet<ProxyId>,
     /// When all that was written has left.
     free_at: f64,
@@ -85,14 +85,14 @@
 
     /// So long the channel needs for the binds of all that are unbound, of tables of so many lines, after what waits.
     pub fn time_to_bind(&self, now: f64, lines: f64) -> f64 {
-        let each = self.channel.head + 2.0 * (lines + f64::from(self.products)) + 2.0;
+        let each = self.channel.message_overhead + 2.0 * (lines + f64::from(self.products)) + 2.0;
         let left = self.waits(now) + each * self.unbound.len() as f64;
-        self.channel.transit_worst + 1e3 * left / self.channel.lines_per_s
+        self.channel.max_transit + 1e3 * left / self.channel.lines_per_s
     }
 
-    fn masked(&self, products: Products) -> impl Iterator<Item = ProductId> {
-        let one = move |id: &ProductId| products == Products::ALL || products.0 & Products::one(*id).0 != 0;
-        (0..self.products).map(ProductId).filter(one)
+    fn masked(&self, products: ClassSet) -> impl Iterator<Item = ClassId> {
+        let one = move |id: &ClassId| products == ClassSet::ALL || products.0 & ClassSet::one(*id).0 != 0;
+        (0..self.products).map(ClassId).filter(one)
     }
 
     fn holders(&self, host: HostId) -> BTreeSet<ProxyId> {
@@ -102,39 +102,42 @@
     }
 
     /// A line goes with its host's state, which a proxy may not have heard of.
-    fn line(&self, tbl: TblId, host: HostId, weight: f64) -> [Order; 2] {
-        [Order::Withdraw { host, out: self.out.contains(&host) }, Order::Share { tbl, host, weight }]
+    fn line(&self, table: TableId, host: HostId, weight: f64) -> [Order; 2] {
+        [
+            Order::Withdraw { host, withdrawn: self.out.contains(&host) },
+            Order::SetEntry { table, host, weight },
+        ]
     }
 
-    fn bind(&mut self, proxy: ProxyId, tbl: TblId, products: Products, to: &mut Mail) {
-        let ids: Vec<ProductId> = self.masked(products).collect();
+    fn bind(&mut self, proxy: ProxyId, table: TableId, classes: ClassSet, to: &mut Mail) {
+        let ids: Vec<ClassId> = self.masked(classes).collect();
         let Some(binds) = self.joined.get_mut(&proxy) else { return };
-        let had: BTreeSet<TblId> = binds.values().copied().collect();
-        binds.extend(ids.iter().map(|id| (*id, tbl)));
-        let has: BTreeSet<TblId> = binds.values().copied().collect();
+        let had: BTreeSet<TableId> = binds.values().copied().collect();
+        binds.extend(ids.iter().map(|id| (*id, table)));
+        let has: BTreeSet<TableId> = binds.values().copied().collect();
         for left in had.difference(&has) {
             self.users.entry(*left).or_default().remove(&proxy);
         }
-        self.users.entry(tbl).or_default().insert(proxy);
+        self.users.entry(table).or_default().insert(proxy);
         self.unbound.remove(&proxy);
         let mut orders = Vec::new();
-        if !had.contains(&tbl) {
-            orders.push(Order::Clear { tbl });
-            for (host, weight) in self.tables.get(&tbl).into_iter().flatten() {
-                orders.extend(self.line(tbl, *host, *weight));
+        if !had.contains(&table) {
+            orders.push(Order::ClearTable { table });
+            for (host, weight) in self.tables.get(&table).into_iter().flatten() {
+                orders.extend(self.line(table, *host, *weight));
             }
-            let levels = self.levels.iter().filter(|((of, _), _)| *of == tbl || *of == TblId::ALL);
-            orders.extend(levels.map(|(&(tbl, id), &(level, tries))| Order::Admit {
-                tbl,
-                products: Products::one(id),
+            let levels = self.levels.iter().filter(|((of, _), _)| *of == table || *of == TableId::ALL);
+            orders.extend(levels.map(|(&(table, id), &(level, tries))| Order::Admit {
+                table,
+                classes: ClassSet::one(id),
                 level,
                 tries,
             }));
         }
         let lines =
-            orders.iter().filter(|order| !matches!(order, Order::Withdraw { .. } | Order::Clear { .. }));
+            orders.iter().filter(|order| !matches!(order, Order::Withdraw { .. } | Order::ClearTable { .. }));
         let lines = 1.0 + lines.count() as f64;
-        orders.push(Order::Bind { proxy, tbl, products });
+        orders.push(Order::Bind { proxy, table, classes });
         to.put(proxy, lines, orders);
     }
 
@@ -143,39 +146,39 @@
         let mut mail = Mail::default();
         for order in orders {
             match order {
-                Order::Share { tbl, host, weight } => {
-                    let table = self.tables.entry(*tbl).or_default();
+                Order::SetEntry { table, host, weight } => {
+                    let entries = self.tables.entry(*table).or_default();
                     match *weight > 0.0 {
-                        true => drop(table.insert(*host, *weight)),
-                        false => drop(table.remove(host)),
+                        true => drop(entries.insert(*host, *weight)),
+                        false => drop(entries.remove(host)),
                     }
-                    let line = self.line(*tbl, *host, *weight);
-                    let users = self.users.get(tbl).into_iter().flatten();
+                    let line = self.line(*table, *host, *weight);
+                    let users = self.users.get(table).into_iter().flatten();
                     users.for_each(|proxy| mail.put(*proxy, 1.0, line.iter().cloned()));
                 }
-                Order::Clear { tbl } => {
-                    self.tables.remove(tbl);
-                    let users = self.users.get(tbl).into_iter().flatten();
+                Order::ClearTable { table } => {
+                    self.tables.remove(table);
+                    let users = self.users.get(table).into_iter().flatten();
                     users.for_each(|proxy| mail.put(*proxy, 1.0, [order.clone()]));
                 }
-                Order::Withdraw { host, out } => {
-                    match out {
+                Order::Withdraw { host, withdrawn } => {
+                    match withdrawn {
                         true => drop(self.out.insert(*host)),
                         false => drop(self.out.remove(host)),
                     }
                     let holders = self.holders(*host);
                     holders.into_iter().for_each(|proxy| mail.put(proxy, 1.0, [order.clone()]));
                 }
-                Order::Bind { proxy, tbl, products } => self.bind(*proxy, *tbl, *products, &mut mail),
-                Order::Admit { tbl, products, level, tries } => {
-                    let ids: Vec<ProductId> = self.masked(*products).collect();
-                    self.levels.extend(ids.into_iter().map(|id| ((*tbl, id), (*level, *tries))));
-                    let all = self.joined.keys().filter(|_| *tbl == TblId::ALL);
-                    let users = self.users.get(tbl).into_iter().flatten().chain(all);
+                Order::Bind { proxy, table, classes } => self.bind(*proxy, *table, *classes, &mut mail),
+                Order::Admit { table, classes, level, tries } => {
+                    let ids: Vec<ClassId> = self.masked(*classes).collect();
+                    self.levels.extend(ids.into_iter().map(|id| ((*table, id), (*level, *tries))));
+                    let all = self.joined.keys().filter(|_| *table == TableId::ALL);
+                    let users = self.users.get(table).into_iter().flatten().chain(all);
                     users.for_each(|proxy| mail.put(*proxy, 1.0, [order.clone()]));
                 }
-                Order::Mark { everyone, .. } => {
-                    let more: Vec<ProxyId> = self.joined.keys().filter(|_| *everyone).copied().collect();
+                Order::Mark { all_proxies, .. } => {
+                    let more: Vec<ProxyId> = self.joined.keys().filter(|_| *all_proxies).copied().collect();
                     let whom: BTreeSet<ProxyId> = mail.0.keys().copied().chain(more).collect();
                     whom.into_iter().for_each(|proxy| mail.put(proxy, 1.0, [order.clone()]));
                 }
@@ -188,22 +191,22 @@
     fn send(&mut self, now: f64, mail: Mail) -> (Vec<Message>, Vec<Over>) {
         let (mut sent, mut over) = (Vec::new(), Vec::new());
         for (proxy, (lines, orders)) in mail.0 {
-            let lines = self.channel.head + lines;
+            let lines = self.channel.message_overhead + lines;
             self.lines += lines;
-            self.heads += self.channel.head + 1.0;
+            self.heads += self.channel.message_overhead + 1.0;
             self.free_at = self.free_at.max(now) + 1e3 * lines / self.channel.lines_per_s;
-            sent.push(Message { proxy, at: self.free_at + self.channel.transit, orders });
+            sent.push(Message { proxy, at: self.free_at + self.channel.typical_transit, orders });
             let written = self.written.entry(proxy).or_default();
             written.push_back(now);
-            while written.front().is_some_and(|at| *at <= now - self.channel.messages_over) {
+            while written.front().is_some_and(|at| *at <= now - self.channel.message_window) {
                 written.pop_front();
             }
-            if self.channel.messages > 0 && written.len() > self.channel.messages as usize {
+            if self.channel.max_messages > 0 && written.len() > self.channel.max_messages as usize {
                 over.push(Over::Messages(proxy, written.len()));
             }
         }
         self.most = self.most.max(self.waits(now));
-        if !sent.is_empty() && self.waits(now) > self.channel.backlog {
+        if !sent.is_empty() && self.waits(now) > self.channel.max_backlog {
             over.push(Over::Backlog(self.waits(now)));
         }
         (sent, over)
@@ -226,15 +229,15 @@
 mod tests {
     use super::*;
 
-    fn relay(backlog: f64, messages: u32) -> Relay {
+    fn relay(max_backlog: f64, max_messages: u32) -> Relay {
         let channel = Channel {
             lines_per_s: 100.0,
-            head: 3.0,
-            backlog,
-            messages,
-            messages_over: 10_000.0,
-            transit: 200.0,
-            transit_worst: 500.0,
+            message_overhead: 3.0,
+            max_backlog,
+            max_messages,
+            message_window: 10_000.0,
+            typical_transit: 200.0,
+            max_transit: 500.0,
         };
         let mut relay = Relay::new(channel, 2);
         (0..2).for_each(|proxy| relay.join(ProxyId(proxy)));
@@ -242,20 +245,20 @@
     }
 
     fn bind(proxy: u16) -> Order {
-        Order::Bind { proxy: ProxyId(proxy), tbl: TblId(5), products: Products::ALL }
+        Order::Bind { proxy: ProxyId(proxy), table: TableId(5), classes: ClassSet::ALL }
     }
 
     /// Three lines of head, one of the table, one of the bind, one mark: six at 100 a second, then the way.
     #[test]
     fn a_bind_brings_the_table_and_who_is_shut_out_and_takes_its_time_in_the_channel() {
         let mut relay = relay(1e3, 0);
-        relay.write(0.0, &[Order::Withdraw { host: HostId(7), out: true }]);
-        let share = Order::Share { tbl: TblId(5), host: HostId(7), weight: 1.0 };
-        let mark = Order::Mark { mark: MarkId(1), everyone: false };
+        relay.write(0.0, &[Order::Withdraw { host: HostId(7), withdrawn: true }]);
+        let share = Order::SetEntry { table: TableId(5), host: HostId(7), weight: 1.0 };
+        let mark = Order::Mark { mark: MarkId(1), all_proxies: false };
         let (sent, over) = relay.write(10_000.0, &[share.clone(), bind(1), mark.clone()]);
         assert_eq!(over, vec![]);
-        let out = Order::Withdraw { host: HostId(7), out: true };
-        let orders = vec![Order::Clear { tbl: TblId(5) }, out, share, bind(1), mark];
+        let out = Order::Withdraw { host: HostId(7), withdrawn: true };
+        let orders = vec![Order::ClearTable { table: TableId(5) }, out, share, bind(1), mark];
         let [only] = &sent[..] else { panic!("one message, not {}", sent.len()) };
         assert_eq!((only.proxy, &only.orders), (ProxyId(1), &orders));
         assert!((only.at - 10_260.0).abs() < 1e-6, "{}", only.at);
@@ -263,7 +266,7 @@
 
     #[test]
     fn more_lines_than_the_backlog_and_more_messages_than_allowed_are_told() {
-        let withdraw = |out| [Order::Withdraw { host: HostId(7), out }];
+        let withdraw = |withdrawn| [Order::Withdraw { host: HostId(7), withdrawn }];
         let (_, over) = relay(7.0, 0).write(0.0, &withdraw(true));
         assert_eq!(over, vec![Over::Backlog(8.0)]);
         let mut few = relay(1e3, 1);
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -81,17 +81,17 @@
         let offered = self.cold.entry(host).or_default();
         offered.tries.push_back((now, work));
         offered.work += work;
-        while offered.tries.front().is_some_and(|(at, _)| *at <= now - warmup.fall_after) {
+        while offered.tries.front().is_some_and(|(at, _)| *at <= now - warmup.failure_after) {
             offered.work -= offered.tries.pop_front().map_or(0.0, |(_, work)| work);
         }
-        let times = offered.work / (able * warmup.fall_after).max(1e-9);
+        let times = offered.work / (able * warmup.failure_after).max(1e-9);
         self.most = self.most.max(times);
-        if times > warmup.multiple {
-            let what = format!("offered {times:.1} times what it can do, over {} ms", warmup.fall_after);
+        if times > warmup.failure_load {
+            let what = format!("offered {times:.1} times what it can do, over {} ms", warmup.failure_after);
             let (steward, proxy, host) = (None, None, Some(host));
             self.broke(Breach { rule: Rule::PushedOver, at: now, steward, proxy, host, what });
         }
-        times > warmup.multiple
+        times > warmup.failure_load
     }
 }
 
@@ -99,7 +99,8 @@
 mod tests {
     use super::*;
 
-    const WARMUP: Warmup = Warmup { from: 0.2, within: 15_000.0, multiple: 3.0, fall_after: 2_000.0 };
+    const WARMUP: Warmup =
+        Warmup { initial_capacity: 0.2, duration: 15_000.0, failure_load: 3.0, failure_after: 2_000.0 };
 
     #[test]
     fn a_proxy_without_a_line_for_too_long_is_told_once_and_one_that_had_one_between_is_not() {
--- a/crates/emulator/src/standing.rs
+++ b/crates/emulator/src/standing.rs
@@ -9,10 +9,10 @@
 const NODES: u16 = 4;
 const PRODUCTS: u16 = 3;
 /// Two classes: the first two products may go to the next zone, the third stays.
-const CLASSES: [(Products, u16); 2] = [(Products(0b011), 2), (Products(0b100), 1)];
+const CLASSES: [(ClassSet, u16); 2] = [(ClassSet(0b011), 2), (ClassSet(0b100), 1)];
 
-fn tbl(zone: u16, class: usize, node: u16) -> TblId {
-    TblId(zone + ZONES * (2 * node + class as u16))
+fn tbl(zone: u16, class: usize, node: u16) -> TableId {
+    TableId(zone + ZONES * (2 * node + class as u16))
 }
 
 fn may(zone: u16, width: u16) -> Zones {
@@ -22,7 +22,7 @@
 /// The judge of such a fleet, once all have answered.
 pub fn standing(proxies: u16, hosts: u32) -> Judge {
     let mut judge = Judge::new(PRODUCTS, 2_000.0);
-    (0..hosts).map(HostId).for_each(|host| judge.listed(0.0, host, zone_of(host), Standing::On));
+    (0..hosts).map(HostId).for_each(|host| judge.listed(0.0, host, zone_of(host), Availability::InService));
     judge.reach(0.0, reach());
     (0..proxies).for_each(|proxy| judge.joined(0.0, ProxyId(proxy), ZoneId(proxy % ZONES), true));
     judge.judge(0.0, &all(proxies, hosts)).expect("all is within the reach");
@@ -51,7 +51,7 @@
     let mut reach = InUse::new();
     for (zone, product) in (0..ZONES).flat_map(|zone| (0..PRODUCTS).map(move |product| (zone, product))) {
         let width = if product < 2 { 2 } else { 1 };
-        reach.insert((ProductId(product), ZoneId(zone)), may(zone, width));
+        reach.insert((ClassId(product), ZoneId(zone)), may(zone, width));
     }
     reach
 }
@@ -62,19 +62,19 @@
     for zone in 0..ZONES {
         for (class, (_, width)) in CLASSES.iter().enumerate() {
             let zones = may(zone, *width);
-            for host in (0..hosts).map(HostId).filter(|host| zones.has(zone_of(*host))) {
+            for host in (0..hosts).map(HostId).filter(|host| zones.contains(zone_of(*host))) {
                 let node = (host.0 / u32::from(ZONES)) as u16 % NODES;
-                orders.push(Order::Share { tbl: tbl(zone, class, node), host, weight: 1.0 });
+                orders.push(Order::SetEntry { table: tbl(zone, class, node), host, weight: 1.0 });
             }
         }
     }
     for proxy in (0..proxies).map(ProxyId) {
         for (class, (products, _)) in CLASSES.iter().enumerate() {
-            let tbl = tbl(proxy.0 % ZONES, class, proxy.0 / ZONES % NODES);
-            orders.push(Order::Bind { proxy, tbl, products: *products });
+            let table = tbl(proxy.0 % ZONES, class, proxy.0 / ZONES % NODES);
+            orders.push(Order::Bind { proxy, table, classes: *products });
         }
     }
-    orders.push(Order::Mark { mark: MarkId(0), everyone: true });
+    orders.push(Order::Mark { mark: MarkId(0), all_proxies: true });
     orders
 }
 
@@ -84,19 +84,19 @@
     let (zone, node) = ((number % u32::from(ZONES)) as u16, (number / 8) as u16 % NODES);
     let mut orders = Vec::new();
     let shut = |number: u32| HostId(number.wrapping_mul(7) % hosts);
-    orders.push(Order::Withdraw { host: shut(number), out: true });
-    orders.push(Order::Withdraw { host: shut(number - 1), out: false });
+    orders.push(Order::Withdraw { host: shut(number), withdrawn: true });
+    orders.push(Order::Withdraw { host: shut(number - 1), withdrawn: false });
     let own = (0..hosts).map(HostId).filter(|host| zone_of(*host) == ZoneId(zone));
     let named = own.filter(|host| (host.0 / u32::from(ZONES)) as u16 % NODES == node).take(8);
     for host in named {
-        orders.push(Order::Share { tbl: tbl(zone, 0, node), host, weight: 0.5 + f64::from(number % 2) });
+        orders.push(Order::SetEntry { table: tbl(zone, 0, node), host, weight: 0.5 + f64::from(number % 2) });
     }
     for step in 0..4 {
         let proxy = (number * 37 + step * u32::from(ZONES)) % u32::from(proxies);
         let (proxy, zone) = (ProxyId(proxy as u16), proxy as u16 % ZONES);
         let node = (number as u16).wrapping_add(step as u16) % NODES;
-        orders.push(Order::Bind { proxy, tbl: tbl(zone, 0, node), products: CLASSES[0].0 });
+        orders.push(Order::Bind { proxy, table: tbl(zone, 0, node), classes: CLASSES[0].0 });
     }
-    orders.push(Order::Mark { mark: MarkId(number as u16), everyone: false });
+    orders.push(Order::Mark { mark: MarkId(number as u16), all_proxies: false });
     orders
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -39,7 +39,7 @@
     /// A client that got nothing asks again.
     Again {
         proxy: ProxyId,
-        product: ProductId,
+        product: ClassId,
         first: f64,
         work: f64,
         asked: u8,
@@ -94,7 +94,7 @@
 
 struct Txn {
     proxy: ProxyId,
-    product: ProductId,
+    product: ClassId,
     came: f64,
     /// When its client first asked, and how often it has.
     first: f64,
@@ -126,14 +126,15 @@
 }
 
 impl Sum {
-    fn met(self, zone: ZoneId, host: HostId, over: f64) -> Event {
+    fn met(self, zone: ZoneId, host: HostId, covered: f64) -> Event {
         let good = f64::from(self.tries.saturating_sub(self.voided));
-        let (tries, voided, mean) = (self.tries.max(self.voided), self.voided, self.took / good.max(1.0));
-        Event::Met { host, zone, over, tries, voided, mean, report: LoadReport::default() }
+        let (tries, failed, mean_latency) =
+            (self.tries.max(self.voided), self.voided, self.took / good.max(1.0));
+        Event::HostReport { host, zone, covered, tries, failed, mean_latency, load: LoadReport::default() }
     }
 
-    fn came(self, proxy: ProxyId, product: ProductId, over: f64) -> Event {
-        Event::Came { proxy, product, txns: self.tries, voided: self.voided, over }
+    fn came(self, proxy: ProxyId, class: ClassId, covered: f64) -> Event {
+        Event::ProxyReport { proxy, class, txns: self.tries, failed: self.voided, covered }
     }
 }
 
@@ -212,7 +213,7 @@
     fn shares(&self, hosts: usize, all: f64) -> Vec<f64> {
         let mut shares = vec![0.0; hosts];
         for proxy in &self.proxies {
-            for (product, rate) in (0..).map(ProductId).zip(&proxy.rates) {
+            for (product, rate) in (0..).map(ClassId).zip(&proxy.rates) {
                 let sum: f64 = proxy.open(product).map(|(_, weight)| weight).sum();
                 let each =
                     |(host, weight): (HostId, f64)| shares[host.0 as usize] += rate / all * weight / sum;
@@ -225,14 +226,14 @@
 
 impl World {
     pub fn new(shape: Shape, faults: Vec<Fault>, reports: Reports, seed: u64) -> World {
-        let listed = |number: u32| Listed {
+        let listed = |number: u32| HostEntry {
             host: HostId(number),
             weight: 1.0,
             zone: ZoneId((number % u32::from(shape.zones)) as u16),
             pod: PodId(0),
-            kind: KindId(0),
-            born: None,
-            standing: Standing::On,
+            instance_type: InstanceTypeId(0),
+            started_at: None,
+            availability: Availability::InService,
         };
         let source =
             |number: u64| ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003).wrapping_add(number));
@@ -293,7 +294,7 @@
     fn govern(&mut self) {
         let mut hosts = BTreeMap::new();
         let on = self.hosts.iter().map(|host| &host.listed);
-        for listed in on.filter(|listed| listed.standing == Standing::On) {
+        for listed in on.filter(|listed| listed.availability == Availability::InService) {
             *hosts.entry(listed.zone).or_default() += 1;
         }
         if let Some(governed) = &mut self.governed {
@@ -348,7 +349,7 @@
                 self.at(settle, What::Arrive { proxy, product });
             }
         }
-        self.at(settle + self.shape.sums.every, What::Sums);
+        self.at(settle + self.shape.sums.interval, What::Sums);
         self.at(settle, What::Sample);
         self.at(TICK, What::Tick);
         let faults: Vec<(f64, f64)> = self.faults.iter().map(|fault| (fault.from, fault.until)).collect();
@@ -359,19 +360,19 @@
     }
 
     fn begin_one(&mut self) {
-        let entries: Vec<Listed> = self.hosts.iter().map(|host| host.listed.clone()).collect();
-        self.tell(Event::List { news: ListNews::Restored, entries });
+        let entries: Vec<HostEntry> = self.hosts.iter().map(|host| host.listed.clone()).collect();
+        self.tell(Event::List { update: ListUpdate::FromSnapshot, entries });
         let zones: Vec<ZoneId> = self.proxies().iter().map(|proxy| proxy.zone).collect();
         let txns_per_s = self.shape.rate() / f64::from(self.shape.proxies);
         for (at, zone) in (0..).zip(zones) {
-            self.tell(Event::Joined { proxy: ProxyId(at), zone, txns_per_s, fresh: true });
+            self.tell(Event::ProxyJoined { proxy: ProxyId(at), zone, txns_per_s, without_table: true });
         }
     }
 
     fn list_reporters(&mut self) {
         let listed = self.hosts.iter().map(|host| &host.listed);
         let listed: Vec<ListedHost> =
-            listed.map(|row| ListedHost { host: row.host, zone: row.zone, born: row.born }).collect();
+            listed.map(|row| ListedHost { host: row.host, zone: row.zone, born: row.started_at }).collect();
         for intake in self.fronts.iter_mut().filter_map(|front| front.intake.as_mut()) {
             intake.hosts(self.now, &listed);
         }
@@ -417,10 +418,10 @@
     }
 
     /// Discovery lists what changed: a fleet's stewards hear of it as they can.
-    fn list(&mut self, entries: Vec<Listed>) {
+    fn list(&mut self, entries: Vec<HostEntry>) {
         match self.stations.is_some() {
             true => self.changed(entries),
-            false => self.tell(Event::List { news: ListNews::Changes, entries }),
+            false => self.tell(Event::List { update: ListUpdate::Changes, entries }),
         }
     }
 
@@ -476,15 +477,15 @@
         let wait = Exp::new(rate).expect("txns at some rate").sample(source);
         let work = work.sample(source);
         self.at(self.now + wait, What::Arrive { proxy, product });
-        let (proxy, product) = (ProxyId(proxy), ProductId(product));
-        let revenue = self.shape.products[usize::from(product.0)].0.revenue;
+        let (proxy, product) = (ProxyId(proxy), ClassId(product));
+        let revenue = self.shape.products[usize::from(product.0)].0.value;
         self.day.offered += revenue;
         self.window(product, self.now).offered += revenue;
         self.fleet_earned(proxy, revenue, 0.0);
         self.come(proxy, product, self.now, work, 0);
     }
 
-    fn window(&mut self, product: ProductId, first: f64) -> &mut Window {
+    fn window(&mut self, product: ClassId, first: f64) -> &mut Window {
         let (place, products) = ((first / WINDOW) as usize, self.shape.products.len());
         if self.day.windows.len() <= place {
             self.day.windows.resize(place + 1, vec![Window::default(); products]);
@@ -492,7 +493,7 @@
         &mut self.day.windows[place][usize::from(product.0)]
     }
 
-    fn come(&mut self, proxy: ProxyId, product: ProductId, first: f64, work: f64, asked: u8) {
+    fn come(&mut self, proxy: ProxyId, product: ClassId, first: f64, work: f64, asked: u8) {
         let picks = &mut self.picks[usize::from(proxy.0)];
         let (admitted, chances): (f64, [f64; 2]) = (picks.random(), [picks.random(), picks.random()]);
         let id = TxnId(self.next);
@@ -501,7 +502,7 @@
         self.came.entry((proxy.0, product.0)).or_default().tries += 1;
         let (level, _) = self.proxies()[usize::from(proxy.0)].level(product);
         // Answered at once: it is told to come back, and nothing of it is sent.
-        if self.shape.levels == LevelKind::Share && admitted >= level {
+        if self.shape.levels == LevelKind::Fraction && admitted >= level {
             self.day.fates[usize::from(product.0)].declined += 1;
             return self.ask_again(proxy, product, first, work, asked);
         }
@@ -511,13 +512,13 @@
             Txn { proxy, product, came, first, asked, work, chances, tried, under_way, again, ran, open };
         self.txns.insert(id, txn);
         self.window(product, first).let_in += 1;
-        let expiry = self.shape.products[usize::from(product.0)].0.expiry;
+        let expiry = self.shape.products[usize::from(product.0)].0.deadline;
         self.at(self.now + expiry, What::Expire { txn: id });
         self.send(id);
     }
 
     /// Some of those who got nothing come again. A once-only txn that may have run is not asked for again.
-    fn ask_again(&mut self, proxy: ProxyId, product: ProductId, first: f64, work: f64, asked: u8) {
+    fn ask_again(&mut self, proxy: ProxyId, product: ClassId, first: f64, work: f64, asked: u8) {
         let (part, after, most) = self.shape.again;
         if asked < most && self.picks[usize::from(proxy.0)].random::<f64>() < part {
             let asked = asked + 1;
@@ -574,7 +575,8 @@
     fn ran(&mut self, id: TxnId) {
         if let Some(txn) = self.txns.get_mut(&id) {
             self.day.fates[usize::from(txn.product.0)].twice += u32::from(txn.ran);
-            let once = self.shape.products[usize::from(txn.product.0)].0.effect == Effect::OnceOnly;
+            let once =
+                self.shape.products[usize::from(txn.product.0)].0.idempotency == Idempotency::NonIdempotent;
             if std::mem::replace(&mut txn.ran, true) && once {
                 let proxy = txn.proxy;
                 self.fleet_twice(proxy);
@@ -588,7 +590,7 @@
         let proxy = &self.fronts[0].proxies[usize::from(txn.proxy.0)];
         let steward = self.stations.as_ref().map_or(0, |stations| stations.steward_of(txn.proxy));
         self.met.entry((steward, proxy.zone, host)).or_default().voided += 1;
-        let allowed = proxy.level(txn.product).1 != Tries::One && !txn.again;
+        let allowed = proxy.level(txn.product).1 != RetryPolicy::One && !txn.again;
         (txn.again, txn.under_way) = (true, None);
         match allowed {
             true => self.send(id),
@@ -626,8 +628,8 @@
         let (ran, under_way) = (txn.ran, txn.under_way);
         let of = self.shape.products[usize::from(product.0)].0.clone();
         let (earned, in_time) = match took {
-            Some(took) if took <= of.sla => (of.revenue, 1),
-            Some(_) => (of.revenue * of.late_part, 0),
+            Some(took) if took <= of.latency_target => (of.value, 1),
+            Some(_) => (of.value * of.late_value_fraction, 0),
             None => (0.0, 0),
         };
         let fate = &mut self.day.fates[usize::from(product.0)];
@@ -645,7 +647,7 @@
                 let steward = self.steward_of(proxy);
                 self.met.entry((steward, zone, host)).or_default().voided += 1;
             }
-            if !(ran && of.effect == Effect::OnceOnly) {
+            if !(ran && of.idempotency == Idempotency::NonIdempotent) {
                 self.ask_again(proxy, product, first, work, asked);
             }
         }
@@ -663,14 +665,13 @@
         let answers_to = if self.stations.is_some() { self.steward_of(to) } else { front };
         for order in orders {
             if let Order::Mark { mark, .. } = order {
-                let took = self.shape.transit;
-                self.fronts[answers_to].events.push(Event::Applied { proxy: to, mark: *mark, took });
+                let duration = self.shape.transit;
+                self.fronts[answers_to].events.push(Event::MarkApplied { proxy: to, mark: *mark, duration });
             }
         }
         let proxies = &self.fronts[front].proxies;
-        let serves = |proxy: &Proxy| {
-            (0..proxy.rates.len() as u16).all(|id| proxy.open(ProductId(id)).next().is_some())
-        };
+        let serves =
+            |proxy: &Proxy| (0..proxy.rates.len() as u16).all(|id| proxy.open(ClassId(id)).next().is_some());
         if let Some(begun) = self.begun_anew.filter(|_| front == 0 && self.day.bare_for.is_none()) {
             self.day.bare_for = proxies.iter().all(serves).then_some(self.now - begun);
         }
@@ -697,17 +698,19 @@
         let mut sent = Vec::new();
         for order in orders {
             match order {
-                Order::Timer { after, timer } => {
-                    self.at(self.now + after, What::Tell { front, event: Event::Due { timer } });
+                Order::StartTimer { after, timer } => {
+                    self.at(self.now + after, What::Tell { front, event: Event::TimerExpired { timer } });
                 }
                 Order::Probe { host } => self.probe(front, host),
-                Order::Learnt { host, part } => {
-                    self.fronts[front].learnt.entry(host).or_insert((1.0, false)).0 = part;
+                Order::StoreHint { host, latency_factor } => {
+                    self.fronts[front].learnt.entry(host).or_insert((1.0, false)).0 = latency_factor;
+                }
+                Order::WatchList { on: true } | Order::FetchList if self.stations.is_some() => {
+                    self.ask(front)
                 }
-                Order::Watch { on: true } | Order::Fetch if self.stations.is_some() => self.ask(front),
-                Order::Watch { .. } | Order::Fetch | Order::Forget { .. } => {}
+                Order::WatchList { .. } | Order::FetchList | Order::ForgetHost { .. } => {}
                 Order::Log { text } if front == 0 => self.day.said.push((self.now, text)),
-                Order::Log { .. } | Order::Tell { .. } => {}
+                Order::Log { .. } | Order::SendToPeer { .. } => {}
                 order => sent.push(order),
             }
         }
@@ -715,14 +718,15 @@
             return self.write(front, &sent);
         }
         for order in &sent {
-            if let Order::Withdraw { host, out } = order {
-                self.fronts[front].learnt.entry(*host).or_insert((1.0, false)).1 = *out;
+            if let Order::Withdraw { host, withdrawn } = order {
+                self.fronts[front].learnt.entry(*host).or_insert((1.0, false)).1 = *withdrawn;
             }
         }
         if front == 0 {
-            let holders = |tbl: &TblId| self.proxies().iter().filter(|proxy| proxy.uses(*tbl)).count() as u64;
+            let holders =
+                |tbl: &TableId| self.proxies().iter().filter(|proxy| proxy.uses(*tbl)).count() as u64;
             let admits = sent.iter().filter_map(|order| match order {
-                Order::Admit { tbl, .. } => Some(holders(tbl)),
+                Order::Admit { table, .. } => Some(holders(table)),
                 _ => None,
             });
             let lines = admits.sum::<u64>();
@@ -745,17 +749,17 @@
         self.fleet_probe(front, host);
         let there = &self.hosts[host.0 as usize];
         let unseen = self.cut(there.listed.zone) || !self.sees(front, host);
-        let (outcome, took) = match (unseen, there.up) {
-            (true, _) => (Outcome::TimedOut, PROBE_LIMIT),
-            (false, true) => (Outcome::Answered, 2.0 * PATH),
-            (false, false) => (Outcome::Unreachable, 2.0 * PATH),
+        let (outcome, duration) = match (unseen, there.up) {
+            (true, _) => (ProbeOutcome::TimedOut, PROBE_LIMIT),
+            (false, true) => (ProbeOutcome::Answered, 2.0 * PATH),
+            (false, false) => (ProbeOutcome::Unreachable, 2.0 * PATH),
         };
-        let event = Event::Probed { host, outcome, took, report: LoadReport::default() };
-        self.at(self.now + took, What::Tell { front, event });
+        let event = Event::ProbeResult { host, outcome, duration, load: LoadReport::default() };
+        self.at(self.now + duration, What::Tell { front, event });
     }
 
     fn sums(&mut self) {
-        let over = self.shape.sums.every;
+        let over = self.shape.sums.interval;
         if self.stations.is_some() {
             self.fleet_sums();
             return self.at(self.now + over, What::Sums);
@@ -769,7 +773,7 @@
             if there.stalled {
                 continue;
             }
-            let event = sum.came(ProxyId(proxy), ProductId(product), over);
+            let event = sum.came(ProxyId(proxy), ClassId(product), over);
             self.held_or_at(there.zone, late, What::TellAll(event));
         }
         self.at(self.now + over, What::Sums);
@@ -826,8 +830,8 @@
         for front in 0..self.fronts.len() {
             let Front { intake: Some(intake), events, .. } = &mut self.fronts[front] else { continue };
             let event = |told: intake::Believed| {
-                let intake::Believed { host, load, age, sure, .. } = told;
-                Event::Load { host, load, age, sure }
+                let intake::Believed { host, load, age, sure: confidence, .. } = told;
+                Event::LoadEstimate { host, load, age, confidence }
             };
             events.extend(intake.tick(self.now, usize::MAX).into_iter().map(event));
             for host in hosts.iter().copied() {
@@ -863,15 +867,15 @@
             }
         }
         self.begun_anew = Some(self.now);
-        let none = Event::List { news: ListNews::Restored, entries: vec![] };
+        let none = Event::List { update: ListUpdate::FromSnapshot, entries: vec![] };
         self.fronts[0].events = vec![none];
         for (at, zone) in (0..).zip(self.proxies().iter().map(|proxy| proxy.zone).collect::<Vec<_>>()) {
             let txns_per_s = self.shape.rate() / f64::from(self.shape.proxies);
-            self.fronts[0].events.push(Event::Joined {
+            self.fronts[0].events.push(Event::ProxyJoined {
                 proxy: ProxyId(at),
                 zone,
                 txns_per_s,
-                fresh: kept.fresh_proxies,
+                without_table: kept.fresh_proxies,
             });
         }
         /// Two probes of the roster, the second 0.2 s after the first.
@@ -886,9 +890,9 @@
 
     /// The disk's list is from before the latest changes: it names hosts that have left since as on.
     fn restore(&mut self, kept: Kept) {
-        let on = |host: &Host| Listed { standing: Standing::On, ..host.listed.clone() };
+        let on = |host: &Host| HostEntry { availability: Availability::InService, ..host.listed.clone() };
         let entries = self.hosts.iter().map(on).collect();
-        self.fronts[0].events.push(Event::List { news: ListNews::Restored, entries });
+        self.fronts[0].events.push(Event::List { update: ListUpdate::FromSnapshot, entries });
         self.hints(kept);
     }
 
@@ -898,8 +902,8 @@
         let answers = self.begun_anew.is_some_and(|begun| self.now >= begun + kept.silent_for);
         let listed = |host: &&Host| if answers { host.left.is_none() } else { host.up };
         let entries = self.hosts.iter().filter(listed).map(|host| host.listed.clone()).collect();
-        let news = if answers { ListNews::Whole } else { ListNews::Changes };
-        self.fronts[0].events.push(Event::List { news, entries });
+        let update = if answers { ListUpdate::Full } else { ListUpdate::Changes };
+        self.fronts[0].events.push(Event::List { update, entries });
         self.hints(kept);
     }
 
@@ -908,7 +912,11 @@
             return;
         }
         let learnt = std::mem::take(&mut self.fronts[0].learnt);
-        let hint = |(host, (part, shut)): (HostId, (f64, bool))| Event::Hint { host, part, shut };
+        let hint = |(host, (latency_factor, gated)): (HostId, (f64, bool))| Event::WarmStartHint {
+            host,
+            latency_factor,
+            gated,
+        };
         self.fronts[0].events.extend(learnt.into_iter().map(hint));
     }
 
@@ -957,7 +965,7 @@
                 for host in hosts.into_iter().filter(|_| begins) {
                     let there = &mut self.hosts[host as usize];
                     there.fall(now);
-                    (there.left, there.listed.standing) = (Some(now), Standing::Gone);
+                    (there.left, there.listed.availability) = (Some(now), Availability::Removed);
                     let entries = vec![there.listed.clone()];
                     // Discovery that is silent tells nobody.
                     let silent = self.restart.zip(self.begun_anew);
@@ -973,12 +981,12 @@
                     let was = vec![(ZoneId((host % u32::from(self.shape.zones)) as u16), 1.0)];
                     let there = &mut self.hosts[host as usize].listed;
                     let rows = if begins { rows.clone() } else { was };
-                    let row = |(zone, weight)| Listed { zone, weight, ..there.clone() };
+                    let row = |(zone, weight)| HostEntry { zone, weight, ..there.clone() };
                     entries.extend(rows.into_iter().map(row));
                     *there = entries.last().unwrap_or(there).clone();
                 }
                 last_rows(&mut entries);
-                self.tell(Event::List { news: ListNews::Changes, entries });
+                self.tell(Event::List { update: ListUpdate::Changes, entries });
                 self.list_reporters();
             }
             Trouble::Stall { proxies } => {
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -55,12 +55,12 @@
         let proxies = f64::from(shape.proxies);
         let channel = Channel {
             lines_per_s: 1.75 * proxies,
-            head: 6.0,
-            backlog: 24.0 * proxies,
-            messages: 30,
-            messages_over: 10_000.0,
-            transit: shape.transit,
-            transit_worst: 2.5 * shape.transit,
+            message_overhead: 6.0,
+            max_backlog: 24.0 * proxies,
+            max_messages: 30,
+            message_window: 10_000.0,
+            typical_transit: shape.transit,
+            max_transit: 2.5 * shape.transit,
         };
         let discovery = Asked { calls_per_s: 20.0, patience: 1_000.0, ages: vec![] };
         Fleet {
@@ -78,9 +78,12 @@
     /// One steward with the channels of all of these together: it sees what they see in parts.
     pub fn seeing_all(&self) -> Fleet {
         let times = f64::from(self.stewards);
-        let Channel { lines_per_s, backlog, .. } = self.channel;
-        let channel =
-            Channel { lines_per_s: times * lines_per_s, backlog: times * backlog, ..self.channel.clone() };
+        let Channel { lines_per_s, max_backlog, .. } = self.channel;
+        let channel = Channel {
+            lines_per_s: times * lines_per_s,
+            max_backlog: times * max_backlog,
+            ..self.channel.clone()
+        };
         Fleet { stewards: 1, homes: Homes::Dealt, channel, ..self.clone() }
     }
 }
@@ -322,22 +325,26 @@
         station.told.clear();
         station.waiting.clear();
         station.unsure = None;
-        let by_zone = stations.fleet.homes == Homes::ByZone;
+        let proxies_by_zone = stations.fleet.homes == Homes::ByZone;
         let (all, run) = (stations.all.len() as u32, stations.runs);
         let (channel, known) = (stations.fleet.channel.clone(), stations.fleet.list_known);
-        let post = Post {
+        let post = InstanceSettings {
             seed: self.hashed((front, run)),
             zone: self.zone_of(front),
-            zones: self.shape.zones,
-            stewards: all,
-            by_zone,
-            slices: 0,
+            zone_count: self.shape.zones,
+            controllers: all,
+            proxies_by_zone,
+            slice_count: 0,
             may_probe: true,
         };
         self.fronts[front].steward = Box::new(self.shape.steward_at(post, channel, true));
-        let on = self.hosts.iter().map(|host| &host.listed).filter(|row| row.standing == Standing::On);
+        let on = self
+            .hosts
+            .iter()
+            .map(|host| &host.listed)
+            .filter(|row| row.availability == Availability::InService);
         let entries = if known { on.cloned().collect() } else { vec![] };
-        self.fronts[front].events = vec![Event::List { news: ListNews::Restored, entries }];
+        self.fronts[front].events = vec![Event::List { update: ListUpdate::FromSnapshot, entries }];
         // Those that wait for any steward come at once, its own when they find that it is back.
         for at in 0..self.shape.proxies {
             let within = self.stations().fleet.back_within;
@@ -373,7 +380,7 @@
         let from = self.stations().homes[place].at;
         if let Some(from) = from.filter(|from| Some(*from) != to && self.stations().all[*from].up) {
             self.stations().all[from].relay.leave(proxy);
-            self.fronts[from].events.push(Event::Left { proxy });
+            self.fronts[from].events.push(Event::ProxyLeft { proxy });
         }
         let lines = self.hosts.iter().filter(|host| host.left.is_none()).count() as f64;
         let lines = lines / f64::from(self.shape.zones);
@@ -389,7 +396,12 @@
         held.follow(run);
         (held.stalled, held.unread) = (held.stalled, vec![]);
         let (zone, txns_per_s) = (held.zone, self.shape.rate() / f64::from(self.shape.proxies));
-        self.fronts[to].events.push(Event::Joined { proxy, zone, txns_per_s, fresh: now <= 0.0 });
+        self.fronts[to].events.push(Event::ProxyJoined {
+            proxy,
+            zone,
+            txns_per_s,
+            without_table: now <= 0.0,
+        });
     }
 
     /// It ends: its channel, its calls and what it knew are gone, and its proxies go to the others at once.
@@ -404,7 +416,7 @@
         let stations = self.stations();
         stations.discovery.lose(front);
         let (lines, most) = (stations.all[front].relay.lines, stations.all[front].relay.most);
-        stations.all[front].close(lines, most, stations.fleet.channel.backlog);
+        stations.all[front].close(lines, most, stations.fleet.channel.max_backlog);
         let left: Vec<ProxyId> = stations.all[front].relay.joined().collect();
         for proxy in left {
             let home = &mut self.stations().homes[usize::from(proxy.0)];
@@ -438,7 +450,7 @@
             }
             Step::Changed { front, up } => {
                 let Some((rows, next)) = self.stations().discovery.tell(now, front, up) else { return };
-                self.tell_list(front, ListNews::Changes, rows);
+                self.tell_list(front, ListUpdate::Changes, rows);
                 next.into_iter().for_each(|at| self.at(at + PATH, What::Fleet(Step::Changed { front, up })));
             }
             Step::Again { front, run } => {
@@ -459,7 +471,7 @@
     }
 
     fn list_fails(&mut self, front: usize) {
-        self.fronts[front].events.push(Event::List { news: ListNews::Failed, entries: vec![] });
+        self.fronts[front].events.push(Event::List { update: ListUpdate::Failed, entries: vec![] });
     }
 
     pub(super) fn ask(&mut self, front: usize) {
@@ -476,29 +488,30 @@
     fn turn(&mut self, front: usize, up: Up) {
         let now = self.now;
         let Some((whole, next)) = self.stations().discovery.answer(now, front, up) else { return };
-        self.tell_list(front, ListNews::Whole, whole);
+        self.tell_list(front, ListUpdate::Full, whole);
         next.into_iter().for_each(|at| self.at(at + PATH, What::Fleet(Step::Changed { front, up })));
     }
 
-    fn tell_list(&mut self, front: usize, news: ListNews, entries: Vec<Listed>) {
+    fn tell_list(&mut self, front: usize, update: ListUpdate, entries: Vec<HostEntry>) {
         // One that stands still has heard of it when it has its turn.
         let now = self.turn_at(front);
-        let named: BTreeMap<HostId, Standing> = entries.iter().map(|row| (row.host, row.standing)).collect();
+        let named: BTreeMap<HostId, Availability> =
+            entries.iter().map(|row| (row.host, row.availability)).collect();
         let all: Vec<HostId> = self.hosts.iter().map(|host| host.listed.host).collect();
         let gone = &mut self.stations().all[front].gone;
         for host in all {
             match named.get(&host) {
-                Some(Standing::On) => drop(gone.remove(&host)),
+                Some(Availability::InService) => drop(gone.remove(&host)),
                 Some(_) => drop(gone.entry(host).or_insert(now)),
-                None if news == ListNews::Whole => drop(gone.entry(host).or_insert(now)),
+                None if update == ListUpdate::Full => drop(gone.entry(host).or_insert(now)),
                 None => {}
             }
         }
-        self.fronts[front].events.push(Event::List { news, entries });
+        self.fronts[front].events.push(Event::List { update, entries });
     }
 
     /// Discovery lists what changed.
-    pub(super) fn changed(&mut self, rows: Vec<Listed>) {
+    pub(super) fn changed(&mut self, rows: Vec<HostEntry>) {
         let now = self.now;
         let discovery = &mut self.stations().discovery;
         let (hear, up) = (discovery.change(now, &rows), discovery.up());
@@ -514,10 +527,10 @@
         if old.left.is_some() {
             return;
         }
-        (old.left, old.listed.standing) = (Some(now), Standing::Gone);
+        (old.left, old.listed.availability) = (Some(now), Availability::Removed);
         let gone = old.listed.clone();
         let number = self.hosts.len() as u32;
-        let fresh = Listed { host: HostId(number), standing: Standing::On, ..gone.clone() };
+        let fresh = HostEntry { host: HostId(number), availability: Availability::InService, ..gone.clone() };
         let mut new = Host::new(fresh, cores, room);
         new.start(now);
         let listed = new.listed.clone();
@@ -649,7 +662,7 @@
     /// The steward hears that its marks' messages may come once more, as its front tells it.
     fn call_again(&mut self, front: usize) {
         let marks = self.stations().all[front].waiting.iter().filter_map(|order| match order {
-            Order::Mark { mark, .. } => Some(Event::Again { mark: *mark }),
+            Order::Mark { mark, .. } => Some(Event::CallDuplicated { mark: *mark }),
             _ => None,
         });
         let marks: Vec<Event> = marks.collect();
@@ -715,8 +728,8 @@
 
     /// A round of late sums: each steward takes in so many lines a second, so each pair waits its turn.
     pub(super) fn fleet_sums(&mut self) {
-        let (now, every) = (self.now, self.shape.sums.every);
-        let most = (self.shape.sums.lines_per_s * every / 1e3) as usize;
+        let (now, every) = (self.now, self.shape.sums.interval);
+        let most = (self.shape.sums.max_lines_per_s * every / 1e3) as usize;
         let mut pairs: Vec<Vec<Pair>> = vec![Vec::new(); self.fronts.len()];
         for (front, zone, host) in self.met.keys() {
             pairs[*front].push(Pair::Met(*zone, *host));
@@ -747,7 +760,7 @@
                         let sum = self.came.remove(&(proxy, product)).unwrap_or_default();
                         let zone = self.fronts[0].proxies[usize::from(proxy)].zone;
                         let seen = !self.cut(zone) && !self.cut_for(front, zone);
-                        (sum.came(ProxyId(proxy), ProductId(product), over), seen)
+                        (sum.came(ProxyId(proxy), ClassId(product), over), seen)
                     }
                 };
                 // What a cut holds back is lost: here it says nothing that a later one does not.
@@ -793,7 +806,7 @@
     pub(super) fn fleet_offered(&mut self, to: HostId, work: f64) {
         let (now, host) = (self.now, &self.hosts[to.0 as usize]);
         let warmup = &self.shape.warmup;
-        let cold = host.cold_since.is_some_and(|since| now < since + warmup.within);
+        let cold = host.cold_since.is_some_and(|since| now < since + warmup.duration);
         if let Some(stations) = self.stations.as_mut().filter(|_| cold && host.up) {
             let able = f64::from(host.cores) * host.pace(now, warmup);
             let over = stations.checker.offered(now, to, work, able, warmup);
@@ -852,7 +865,7 @@
         for (at, proxy) in self.fronts[0].proxies.iter().enumerate() {
             let home = &mut stations.homes[at];
             let id = ProxyId(at as u16);
-            let open = (0..products).all(|id| proxy.open(ProductId(id)).next().is_some());
+            let open = (0..products).all(|id| proxy.open(ClassId(id)).next().is_some());
             // Nothing can be told to it now: its limit waits.
             if home.at.is_some_and(|front| held[front] || stations.all[front].unsure.is_some()) {
                 stations.checker.waits(id, LOOK);
@@ -860,7 +873,7 @@
             stations.checker.serves(now, id, home.at, open, bare_for);
             let bound = home.at.is_some() && proxy.bound_by_its_steward();
             if let Some((since, serving, was_bound)) = &mut home.lost {
-                let serves = (0..products).all(|id| proxy.open(ProductId(id)).any(|(host, _)| up(host)));
+                let serves = (0..products).all(|id| proxy.open(ClassId(id)).any(|(host, _)| up(host)));
                 if serves && !std::mem::replace(serving, true) {
                     stations.seen.serving_after.push(now - *since);
                 }
@@ -873,7 +886,7 @@
             }
             if unsettled.is_none() {
                 let dead =
-                    || (0..products).flat_map(|id| proxy.open(ProductId(id))).find(|(host, _)| !up(*host));
+                    || (0..products).flat_map(|id| proxy.open(ClassId(id))).find(|(host, _)| !up(*host));
                 unsettled = match (bound, dead()) {
                     (false, _) => Some(format!("proxy {at} is not bound by steward {:?}", home.at)),
                     (_, Some((host, _))) => Some(format!("proxy {at} uses host {} that is gone", host.0)),
@@ -882,7 +895,7 @@
             }
         }
         for host in hosts.iter().filter(|host| up(host.listed.host)) {
-            let warm = host.cold_since.is_none_or(|since| now >= since + self.shape.warmup.within);
+            let warm = host.cold_since.is_none_or(|since| now >= since + self.shape.warmup.duration);
             let well = warm && (host.speed - 1.0).abs() < 1e-6;
             let shut = |front: &usize| {
                 let station = &stations.all[*front];
@@ -917,7 +930,7 @@
         let most = stations.probes.values().copied().max().unwrap_or(0);
         seen.probes = (probes as f64 / hosts / (now / 1e3), most);
         seen.never_bound = stations.homes.iter().filter(|home| home.lost.is_some()).count();
-        let backlog = stations.fleet.channel.backlog;
+        let backlog = stations.fleet.channel.max_backlog;
         let close = |station: &mut Station| {
             let (lines, most) = (station.relay.lines, station.relay.most);
             station.close(if station.up { lines } else { 0.0 }, most, backlog);
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,6 +1,6 @@
 //! What any day of the emulator must show, whatever decides.
 
-use amberarch_core::{LevelKind, ProductId, Tries, ZoneId};
+use amberarch_core::{ClassId, LevelKind, RetryPolicy, ZoneId};
 use amberarch_emulator::{apart, Day, Fault, Reports, Shape, Trouble, World};
 use amberarch_service_levels::{Condition, Keep, Ladder, Level, Signal};
 
@@ -41,7 +41,7 @@
     assert!(calm.service() > 0.98, "{}", calm.service());
     let over = play(short(1.6), vec![], Reports::Off, 1);
     assert!(over.service() < 0.5, "{}", over.service());
-    let levelled = play(Shape { levels: LevelKind::Share, ..short(1.6) }, vec![], Reports::Off, 1);
+    let levelled = play(Shape { levels: LevelKind::Fraction, ..short(1.6) }, vec![], Reports::Off, 1);
     assert!(levelled.service() > over.service() + 0.1, "{} and {}", levelled.service(), over.service());
     let kept = |product: usize| {
         let fate = levelled.fates[product];
@@ -98,11 +98,11 @@
     let level = |name: &str, least: &[f64], enter: Vec<Condition>, emergency| Level {
         name: name.into(),
         keep: (0..)
-            .map(ProductId)
+            .map(ClassId)
             .zip(least)
             .map(|(id, least)| (id, Keep { least: *least, most: 1.0 }))
             .collect(),
-        tries: Tries::AfterProof,
+        tries: RetryPolicy::AfterProof,
         leave: if enter.is_empty() { vec![] } else { quiet.clone() },
         enter,
         stay: 20_000.0,
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -16,15 +16,15 @@
         lasts: 45_000.0,
         ..Shape::usual()
     };
-    shape.sums.lines_per_s = 200.0;
+    shape.sums.max_lines_per_s = 200.0;
     shape
 }
 
 /// A steward a zone, with a channel that takes what the day asks for: four times the usual part.
 fn fleet(shape: &Shape) -> Fleet {
     let mut fleet = Fleet::usual(shape, 4);
-    (fleet.channel.lines_per_s, fleet.channel.backlog) =
-        (4.0 * fleet.channel.lines_per_s, 4.0 * fleet.channel.backlog);
+    (fleet.channel.lines_per_s, fleet.channel.max_backlog) =
+        (4.0 * fleet.channel.lines_per_s, 4.0 * fleet.channel.max_backlog);
     fleet
 }
 
@@ -155,7 +155,7 @@
     let shape = shape();
     let mut fleet = Fleet::usual(&shape, 4);
     fleet.channel.lines_per_s *= times;
-    fleet.channel.backlog *= times;
+    fleet.channel.max_backlog *= times;
     let hosts = (0..shape.hosts).filter(|host| host % 10 < 6).collect();
     let faults = vec![lost(12_000.0, NEVER, &[3]), fault(12_100.0, 20_000.0, Trouble::Replace { hosts })];
     play(&shape, fleet, faults, 8)
@@ -264,7 +264,7 @@
 fn limits_are_so_tight_that_nothing_but_the_rules_fits() {
     let shape = shape();
     let mut fleet = Fleet::usual(&shape, 4);
-    (fleet.channel.lines_per_s, fleet.channel.backlog, fleet.channel.messages) = (40.0, 300.0, 8);
+    (fleet.channel.lines_per_s, fleet.channel.max_backlog, fleet.channel.max_messages) = (40.0, 300.0, 8);
     let leave = fault(20_000.0, 44_000.0, Trouble::Leave { hosts: vec![3] });
     let day = play(&shape, fleet, vec![leave], 14);
     assert_eq!(day.seen.broke(Rule::Queue), 0, "{:?}", day.seen.breaches);
@@ -393,8 +393,9 @@
 
 fn fleet5(shape: &Shape) -> Fleet {
     let usual = Fleet::usual(shape, 5);
-    let Channel { lines_per_s, backlog, .. } = usual.channel;
-    let channel = Channel { lines_per_s: 4.0 * lines_per_s, backlog: 4.0 * backlog, ..usual.channel.clone() };
+    let Channel { lines_per_s, max_backlog, .. } = usual.channel;
+    let channel =
+        Channel { lines_per_s: 4.0 * lines_per_s, max_backlog: 4.0 * max_backlog, ..usual.channel.clone() };
     Fleet { channel, ..usual }
 }
 
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -20,13 +20,13 @@
 
 /// All bootstrap settings. Times are in ms.
 pub struct Start {
-    pub post: Post,
-    pub products: Vec<Product>,
+    pub post: InstanceSettings,
+    pub products: Vec<RequestClass>,
     pub channel: Channel,
-    pub sidecars: Sidecars,
+    pub sidecars: ProxySettings,
     pub warmup: Warmup,
-    pub roster: Roster,
-    pub sums: Sums,
+    pub roster: HostListSettings,
+    pub sums: ReportSettings,
 }
 
 impl Given {
@@ -125,21 +125,25 @@
     }
 
     /// The request classes, in the order of [`Given::products`].
-    pub fn product_facts(&self) -> Result<Vec<Product>, String> {
+    pub fn product_facts(&self) -> Result<Vec<RequestClass>, String> {
         (0..self.count("classes.count")?).map(|index| product(self, index)).collect()
     }
 
     /// Settings of the traffic reports.
-    pub fn sums(&self) -> Result<Sums, String> {
-        let every = self.time("familyInfo.reportEvery")?;
-        Ok(Sums { every, lines_per_s: self.number("familyInfo.reportsPerS")? })
+    pub fn sums(&self) -> Result<ReportSettings, String> {
+        let interval = self.time("familyInfo.reportEvery")?;
+        Ok(ReportSettings { interval, max_lines_per_s: self.number("familyInfo.reportsPerS")? })
     }
 
     /// Which kind of admission level the proxies support.
     pub fn level_kind(&self) -> Result<LevelKind, String> {
         self.one_of(
             "familyInfo.levelKind",
-            &[("off", LevelKind::Off), ("fraction", LevelKind::Share), ("per_second", LevelKind::Rate)],
+            &[
+                ("off", LevelKind::Off),
+                ("fraction", LevelKind::Fraction),
+                ("per_second", LevelKind::PerSecond),
+            ],
         )
     }
 
@@ -206,48 +210,48 @@
     /// The bootstrap settings, for a subsystem that needs them without a controller.
     pub fn start(&self, seed: u64) -> Result<Start, String> {
         let s = self;
-        let post = Post {
+        let post = InstanceSettings {
             seed,
             zone: ZoneId(s.number("az")?),
-            zones: s.text("dcs")?.split(',').count() as u16,
-            stewards: s.count("balancers")?,
-            by_zone: s.flag("familyInfo.zonal")?,
-            slices: s.count("familyInfo.shards")?,
+            zone_count: s.text("dcs")?.split(',').count() as u16,
+            controllers: s.count("balancers")?,
+            proxies_by_zone: s.flag("familyInfo.zonal")?,
+            slice_count: s.count("familyInfo.shards")?,
             may_probe: s.flag("policyLimits.mayProbe")?,
         };
         let products = s.product_facts()?;
         let channel = Channel {
             lines_per_s: s.number("familyInfo.egressPerS")?,
-            head: s.number("familyInfo.overhead")?,
-            backlog: s.number("familyInfo.backlog")?,
-            messages: s.count("familyInfo.reloadsMax")?,
-            messages_over: s.time("familyInfo.messagesOver")?,
-            transit: s.time("familyInfo.propagation")?,
-            transit_worst: s.time("familyInfo.worstTransit")?,
+            message_overhead: s.number("familyInfo.overhead")?,
+            max_backlog: s.number("familyInfo.backlog")?,
+            max_messages: s.count("familyInfo.reloadsMax")?,
+            message_window: s.time("familyInfo.messagesOver")?,
+            typical_transit: s.time("familyInfo.propagation")?,
+            max_transit: s.time("familyInfo.worstTransit")?,
         };
-        let sidecars = Sidecars {
-            count: s.count("familyInfo.agents")?,
-            standing: s.count("familyInfo.bootstrap")?,
-            bare_for: s.time("familyInfo.emptyFor")?,
-            levels: s.level_kind()?,
-            usual_tries: match s.count("familyInfo.defaultRetry")? {
-                0 => Tries::One,
-                1 => Tries::AfterProof,
-                2 => Tries::AfterAny,
-                _ => Tries::TwiceAfterAny,
+        let sidecars = ProxySettings {
+            proxy_count: s.count("familyInfo.agents")?,
+            bootstrap_hosts: s.count("familyInfo.bootstrap")?,
+            max_time_without_host: s.time("familyInfo.emptyFor")?,
+            level_kind: s.level_kind()?,
+            default_tries: match s.count("familyInfo.defaultRetry")? {
+                0 => RetryPolicy::One,
+                1 => RetryPolicy::AfterProof,
+                2 => RetryPolicy::AfterAny,
+                _ => RetryPolicy::TwiceAfterAny,
             },
-            try_wait: s.number("familyInfo.tryFactor")?,
+            try_factor: s.number("familyInfo.tryFactor")?,
         };
         let warmup = Warmup {
-            from: s.number("rules.coldFrom")?,
-            within: s.time("rules.warmWithin")?,
-            multiple: s.number("rules.fallMultiple")?,
-            fall_after: s.time("rules.overloadFor")?,
+            initial_capacity: s.number("rules.coldFrom")?,
+            duration: s.time("rules.warmWithin")?,
+            failure_load: s.number("rules.fallMultiple")?,
+            failure_after: s.time("rules.overloadFor")?,
         };
-        let roster = Roster {
-            asked: s.one_of("discovery", &[("on_request", true), ("pushed", false)])?,
-            ask_within: s.time("rules.askWithin")?,
-            grace: s.time("rules.drainGrace")?,
+        let roster = HostListSettings {
+            on_request: s.one_of("discovery", &[("on_request", true), ("pushed", false)])?,
+            request_within: s.time("rules.askWithin")?,
+            drain_grace: s.time("rules.drainGrace")?,
             removal_not_binding: s.optional_flag("rules.removalNotBinding")?,
         };
         let sums = s.sums()?;
@@ -263,20 +267,23 @@
     }
 }
 
-fn product(s: &Given, index: u32) -> Result<Product, String> {
+fn product(s: &Given, index: u32) -> Result<RequestClass, String> {
     let key = |name: &str| format!("classes.{index}.{name}");
-    let effects =
-        [("free", Effect::InquiryLike), ("guarded", Effect::Referenced), ("single_shot", Effect::OnceOnly)];
-    let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Pod)];
-    Ok(Product {
-        sla: s.time(&key("goalTime"))?,
-        expiry: s.time(&key("deadline"))?,
-        effect: s.one_of(&key("effect"), &effects)?,
+    let effects = [
+        ("free", Idempotency::Idempotent),
+        ("guarded", Idempotency::Deduplicated),
+        ("single_shot", Idempotency::NonIdempotent),
+    ];
+    let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Pod)];
+    Ok(RequestClass {
+        latency_target: s.time(&key("goalTime"))?,
+        deadline: s.time(&key("deadline"))?,
+        idempotency: s.one_of(&key("effect"), &effects)?,
         scope: s.one_of(&key("keyScope"), &scopes)?,
-        window: s.time(&key("window"))?,
-        revenue: s.number(&key("points"))?,
-        late_part: s.number(&key("lateWorth"))?,
-        own_zone: s.flag_at("familyInfo.classOwnZone", index)?,
+        dedup_window: s.time(&key("window"))?,
+        value: s.number(&key("points"))?,
+        late_value_fraction: s.number(&key("lateWorth"))?,
+        home_zone_only: s.flag_at("familyInfo.classOwnZone", index)?,
         writes: s.flag_at("familyInfo.classWrites", index)?,
     })
 }
--- a/crates/fleet/src/dealing.rs
+++ b/crates/fleet/src/dealing.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use amberarch_accord::{Base, Entry, Logged, MemberChange, Name, Place};
-use amberarch_core::{ProductId, ZoneId};
+use amberarch_core::{ClassId, ZoneId};
 use amberarch_shares::{Bound, Chair, Heard, Holder, Input, Joint, Lengths, Out, Output, Planned, Said};
 
 use crate::drawn;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Sight {
     /// Txns a second, let in or not, by the zone whose proxies they came to.
-    pub came: Vec<(ZoneId, ProductId, f64)>,
+    pub came: Vec<(ZoneId, ClassId, f64)>,
     /// What the open hosts of each zone can do, txns a second.
     pub capacity: Vec<(ZoneId, f64)>,
 }
--- a/crates/fleet/src/dealing/tests.rs
+++ b/crates/fleet/src/dealing/tests.rs
@@ -9,8 +9,8 @@
 
 const ROOM: f64 = 100.0;
 const ALL: usize = 3;
-const X: (ZoneId, ProductId) = (ZoneId(0), ProductId(0));
-const Y: (ZoneId, ProductId) = (ZoneId(0), ProductId(1));
+const X: (ZoneId, ClassId) = (ZoneId(0), ClassId(0));
+const Y: (ZoneId, ClassId) = (ZoneId(0), ClassId(1));
 
 fn name(at: usize) -> Name {
     Name(["a", "b", "c"][at].into())
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -82,7 +82,7 @@
     /// Where a grant counts: in all zones that share txns with its own, since nobody can say which of them serve it.
     fn part(&self, zone: Zone) -> String {
         let part = self.parts.get(usize::from(zone.0)).copied().unwrap_or(Zones::one(ZoneId(zone.0)));
-        part.each().map(|zone| self.zone(zone)).collect::<Vec<_>>().join("+")
+        part.iter().map(|zone| self.zone(zone)).collect::<Vec<_>>().join("+")
     }
 
     /// The same as grants name it: two plans' grants do not add up, since under both a member goes by the lesser.
@@ -104,9 +104,9 @@
     let mut parts: Vec<Zones> = (0..zones as u16).map(|zone| Zones::one(ZoneId(zone))).collect();
     for (claim, _, zone) in plan.claims() {
         // What comes in at one zone may be served in others alone: it counts where it comes in and needs their hosts.
-        let reach = plan.reach(claim).or(Zones::one(ZoneId(zone.0)));
-        let bound = |part: &Zones| !part.and(reach).is_empty();
-        let all = parts.iter().filter(|part| bound(part)).fold(Zones::NONE, |all, part| all.or(*part));
+        let reach = plan.reach(claim).union(Zones::one(ZoneId(zone.0)));
+        let bound = |part: &Zones| !part.intersection(reach).is_empty();
+        let all = parts.iter().filter(|part| bound(part)).fold(Zones::NONE, |all, part| all.union(*part));
         parts.iter_mut().filter(|part| bound(part)).for_each(|part| *part = all);
     }
     parts
@@ -347,7 +347,7 @@
         let room = rooms.entry(ZoneId(zone.0)).or_default();
         *room = room.max(*per_s);
     }
-    let room = |zones: Zones| -> f64 { zones.each().filter_map(|zone| rooms.get(&zone)).sum() };
+    let room = |zones: Zones| -> f64 { zones.iter().filter_map(|zone| rooms.get(&zone)).sum() };
     let mut found: BTreeMap<String, f64> = BTreeMap::new();
     let mut finds = |name: String, per_s: f64| {
         let known = found.entry(name).or_insert(per_s);
@@ -375,7 +375,7 @@
     let reaches: BTreeSet<u128> = claims.iter().map(|(claim, _)| plan.reach(*claim).0).collect();
     let pairs = reaches.iter().flat_map(|one| reaches.iter().map(move |other| one | other));
     let sets: BTreeSet<u128> = pairs.chain([part.0]).collect();
-    let confined = |claim: &Claim, set: Zones| plan.reach(*claim).less(set).is_empty();
+    let confined = |claim: &Claim, set: Zones| plan.reach(*claim).difference(set).is_empty();
     let mut least = f64::INFINITY;
     for set in sets.into_iter().map(Zones) {
         let inside: Vec<&(Claim, Zone)> = claims.iter().filter(|(claim, _)| confined(claim, set)).collect();
--- a/crates/fleet/tests/fleet/loopback.rs
+++ b/crates/fleet/tests/fleet/loopback.rs
@@ -1,7 +1,7 @@
 //! Three members, as real as one process allows.
 
 use amberarch_accord::{Act, Disk, Entry, Holds, Kept, Logged, MemberChange, Refusal, RevisionNo};
-use amberarch_core::{ProductId, ZoneId};
+use amberarch_core::{ClassId, ZoneId};
 use amberarch_fleet::{machine_ns, Lengths, Member, Post, Sight, Store, StoreFault};
 use amberarch_histories::{judge, judge_files, Bounds, Line, Reader, Rule, What};
 use amberarch_shares::{compile, Facts, Plan, Section, ZoneFact};
@@ -366,7 +366,7 @@
     let plan = plan();
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
     let all: Vec<One> = (0..3).map(|place| dealt(&members, place, dir.path(), Some(plan.clone()))).collect();
-    let (east, look, pay) = (ZoneId(0), ProductId(0), ProductId(1));
+    let (east, look, pay) = (ZoneId(0), ClassId(0), ClassId(1));
     let sees = |asked: f64| {
         let came = vec![(east, look, asked), (east, pay, 1_000.0)];
         all.iter().for_each(|one| one.talk.sees(Sight { came: came.clone(), capacity: vec![(east, CAN)] }));
@@ -405,7 +405,7 @@
         members.iter().map(|member| dir.path().join(format!("{}.jsonl", member.name))).collect();
     let mut all: Vec<One> =
         (0..3).map(|place| dealt(&members, place, dir.path(), Some(plan.clone()))).collect();
-    let (east, look, pay) = (ZoneId(0), ProductId(0), ProductId(1));
+    let (east, look, pay) = (ZoneId(0), ClassId(0), ClassId(1));
     let sees = |all: &[One], looks: f64, pays: f64, can: f64| {
         let came = vec![(east, look, looks), (east, pay, pays)];
         all.iter().for_each(|one| one.talk.sees(Sight { came: came.clone(), capacity: vec![(east, can)] }));
--- a/crates/guard/src/door.rs
+++ b/crates/guard/src/door.rs
@@ -57,11 +57,11 @@
 /// What an order is about; a later one of the same replaces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum About {
-    Line(TblId, HostId),
-    Table(TblId),
+    Line(TableId, HostId),
+    Table(TableId),
     Host(HostId),
-    Use(ProxyId, ProductId),
-    Level(TblId, Products),
+    Use(ProxyId, ClassId),
+    Level(TableId, ClassSet),
 }
 
 pub struct Door {
@@ -103,7 +103,7 @@
         }
         self.guard.hear(now, event);
         // One that left, or joined anew, is bound anew by the decisions.
-        if let Event::Left { proxy } | Event::Joined { proxy, .. } = event {
+        if let Event::ProxyLeft { proxy } | Event::ProxyJoined { proxy, .. } = event {
             self.owed.retain(|(_, order)| !matches!(order, Order::Bind { proxy: of, .. } if of == proxy));
         }
     }
@@ -124,19 +124,22 @@
             return Passed { orders, ..Passed::default() };
         }
         let about: BTreeSet<About> = orders.iter().flat_map(|order| self.about(order)).collect();
-        let cleared =
-            |tbl: &TblId| about.contains(&About::Table(*tbl)) || about.contains(&About::Table(TblId::ALL));
+        let cleared = |tbl: &TableId| {
+            about.contains(&About::Table(*tbl)) || about.contains(&About::Table(TableId::ALL))
+        };
         let mut owed = std::mem::take(&mut self.owed);
         owed.retain_mut(|(_, order)| match order {
-            Order::Share { tbl, host, .. } => !about.contains(&About::Line(*tbl, *host)) && !cleared(tbl),
-            Order::Bind { proxy, products, .. } => {
+            Order::SetEntry { table, host, .. } => {
+                !about.contains(&About::Line(*table, *host)) && !cleared(table)
+            }
+            Order::Bind { proxy, classes, .. } => {
                 let all = self.guard.facts.all();
-                let mask = if *products == Products::ALL { all } else { products.0 };
-                let stays = |product: &ProductId| !about.contains(&About::Use(*proxy, *product));
+                let mask = if *classes == ClassSet::ALL { all } else { classes.0 };
+                let stays = |product: &ClassId| !about.contains(&About::Use(*proxy, *product));
                 let left = crate::look::each(mask)
                     .filter(stays)
-                    .fold(0, |all, product| all | Products::one(product).0);
-                *products = Products(left);
+                    .fold(0, |all, product| all | ClassSet::one(product).0);
+                *classes = ClassSet(left);
                 left != 0
             }
             order => !about_of(order).iter().any(|one| about.contains(one)),
@@ -161,7 +164,7 @@
             }
             // Its mark says how far proxies have come, and is nobody's harm.
             Verdict::Refused(breach) => {
-                let mark = |order: &&Order| matches!(order, Order::Mark { .. } | Order::Forget { .. });
+                let mark = |order: &&Order| matches!(order, Order::Mark { .. } | Order::ForgetHost { .. });
                 (wanted.iter().filter(mark).cloned().collect(), vec![breach])
             }
         };
@@ -189,18 +192,18 @@
         for order in wanted {
             if let Some(place) = left.iter().position(|one| *one == order) {
                 left.remove(place);
-            } else if !matches!(order, Order::Mark { .. } | Order::Forget { .. }) {
+            } else if !matches!(order, Order::Mark { .. } | Order::ForgetHost { .. }) {
                 self.owed.push((at(order), order.clone()));
             }
         }
         for order in left {
-            if let Order::Share { tbl, host, .. } = order {
+            if let Order::SetEntry { table, host, .. } = order {
                 let known =
-                    self.owed.iter().any(|(_, one)| about_of(one).contains(&About::Line(*tbl, *host)));
-                let before = self.guard.tables.get(tbl).and_then(|table| table.lines.get(host)).copied();
+                    self.owed.iter().any(|(_, one)| about_of(one).contains(&About::Line(*table, *host)));
+                let before = self.guard.tables.get(table).and_then(|table| table.lines.get(host)).copied();
                 if !known {
                     let weight = before.unwrap_or(0.0);
-                    self.owed.push((now, Order::Share { tbl: *tbl, host: *host, weight }));
+                    self.owed.push((now, Order::SetEntry { table: *table, host: *host, weight }));
                 }
             }
         }
@@ -243,7 +246,7 @@
 
     fn about(&self, order: &Order) -> Vec<About> {
         match order {
-            Order::Bind { proxy, products, .. } if *products == Products::ALL => {
+            Order::Bind { proxy, classes, .. } if *classes == ClassSet::ALL => {
                 crate::look::each(self.guard.facts.all()).map(|product| About::Use(*proxy, product)).collect()
             }
             order => about_of(order),
@@ -253,13 +256,13 @@
 
 fn about_of(order: &Order) -> Vec<About> {
     match order {
-        Order::Share { tbl, host, .. } => vec![About::Line(*tbl, *host)],
-        Order::Clear { tbl } => vec![About::Table(*tbl)],
+        Order::SetEntry { table, host, .. } => vec![About::Line(*table, *host)],
+        Order::ClearTable { table } => vec![About::Table(*table)],
         Order::Withdraw { host, .. } => vec![About::Host(*host)],
-        Order::Bind { proxy, products, .. } => {
-            crate::look::each(products.0).map(|product| About::Use(*proxy, product)).collect()
+        Order::Bind { proxy, classes, .. } => {
+            crate::look::each(classes.0).map(|product| About::Use(*proxy, product)).collect()
         }
-        Order::Admit { tbl, products, .. } => vec![About::Level(*tbl, *products)],
+        Order::Admit { table, classes, .. } => vec![About::Level(*table, *classes)],
         _ => vec![],
     }
 }
@@ -284,7 +287,13 @@
             use Order::*;
             matches!(
                 order,
-                Probe { .. } | Learnt { .. } | Watch { .. } | Fetch | Tell { .. } | Timer { .. } | Log { .. }
+                Probe { .. }
+                    | StoreHint { .. }
+                    | WatchList { .. }
+                    | FetchList
+                    | SendToPeer { .. }
+                    | StartTimer { .. }
+                    | Log { .. }
             )
         };
         let (mut out, calls): (Vec<Order>, Vec<Order>) =
--- a/crates/guard/src/facts.rs
+++ b/crates/guard/src/facts.rs
@@ -1,6 +1,8 @@
 //! What the guard is told at its start.
 
-use amberarch_core::{Channel, Post, Product, Roster, Sidecars, Sums, Warmup};
+use amberarch_core::{
+    Channel, HostListSettings, InstanceSettings, ProxySettings, ReportSettings, RequestClass, Warmup,
+};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Facts {
@@ -24,24 +26,24 @@
 
 impl Facts {
     pub fn new(
-        post: &Post,
-        products: &[Product],
+        post: &InstanceSettings,
+        products: &[RequestClass],
         channel: Channel,
-        sidecars: &Sidecars,
+        sidecars: &ProxySettings,
         warmup: Warmup,
-        roster: &Roster,
-        sums: &Sums,
+        roster: &HostListSettings,
+        sums: &ReportSettings,
     ) -> Facts {
-        let home = products.iter().take(64).enumerate().filter(|(_, product)| product.own_zone);
+        let home = products.iter().take(64).enumerate().filter(|(_, product)| product.home_zone_only);
         Facts {
             products: products.len().min(64) as u16,
             at_home: home.fold(0, |all, (place, _)| all | 1 << place),
             channel,
             warmup,
-            grace: roster.grace,
-            bare_for: sidecars.bare_for,
-            every: sums.every,
-            alone: post.stewards <= 1,
+            grace: roster.drain_grace,
+            bare_for: sidecars.max_time_without_host,
+            every: sums.interval,
+            alone: post.controllers <= 1,
             per_weight: None,
         }
     }
--- a/crates/guard/src/late.rs
+++ b/crates/guard/src/late.rs
@@ -18,13 +18,14 @@
             return 0.0;
         }
         // By table: the call after which nobody holds the line who has answered it, and the most that it was.
-        let (mut tables, mut counted) = (BTreeMap::<TblId, (At, f64)>::new(), BTreeMap::<TblId, f64>::new());
+        let (mut tables, mut counted) =
+            (BTreeMap::<TableId, (At, f64)>::new(), BTreeMap::<TableId, f64>::new());
         let cold = self.cold.contains(&host);
-        let most = |tbl: TblId| match cold {
+        let most = |tbl: TableId| match cold {
             true => self.tops.get(&(host, tbl)).copied().unwrap_or(0.0),
             false => 1.0,
         };
-        for ((_, tbl), until) in self.ended.range((host, TblId(0))..=(host, TblId(u16::MAX))) {
+        for ((_, tbl), until) in self.ended.range((host, TableId(0))..=(host, TableId(u16::MAX))) {
             tables.insert(*tbl, (*until, most(*tbl)));
         }
         for tbl in self.named.get(&host).into_iter().flatten() {
@@ -40,7 +41,7 @@
             let there = there.chain(proxy.been.keys().copied()).filter_map(|tbl| tables.get(&tbl));
             let mut part = there.filter(|line| line.0 > proxy.floor).map(|line| line.1).fold(0.0, f64::max);
             // What was lost track of, and what another steward gave it out of its list.
-            let strange = !proxy.known() && seen <= proxy.joined + self.facts.channel.transit_worst;
+            let strange = !proxy.known() && seen <= proxy.joined + self.facts.channel.max_transit;
             // What was given up may be missing beside it, which makes its part larger.
             if strange || proxy.floor < self.forgotten || part > 0.0 && proxy.floor < self.missed {
                 part = 1.0;
@@ -56,7 +57,7 @@
     }
 
     /// The largest part of a table that a host has in states that somebody may still hold who is not behind.
-    fn peak(&self, tbl: TblId, host: HostId) -> f64 {
+    fn peak(&self, tbl: TableId, host: HostId) -> f64 {
         self.tables.get(&tbl).map_or(0.0, |table| {
             let spans = table.spans(host, self.open_weight(table, host));
             spans.map(|span| span.part).fold(0.0, f64::max)
@@ -64,7 +65,7 @@
     }
 
     /// States of the table are about to be forgotten: what cold hosts had in them stays known.
-    pub(crate) fn keep_tops(&mut self, tbl: TblId) {
+    pub(crate) fn keep_tops(&mut self, tbl: TableId) {
         let there = |host: &&HostId| self.named.get(host).is_some_and(|tables| tables.contains(&tbl));
         let peaks: Vec<(HostId, f64)> =
             self.cold.iter().filter(there).map(|host| (*host, self.peak(tbl, *host))).collect();
@@ -76,15 +77,15 @@
 
     /// The host begins to be cold: what it had before in tables was not kept.
     pub(crate) fn grows_cold(&mut self, host: HostId) {
-        let ended = self.ended.range((host, TblId(0))..=(host, TblId(u16::MAX))).map(|line| line.0 .1);
+        let ended = self.ended.range((host, TableId(0))..=(host, TableId(u16::MAX))).map(|line| line.0 .1);
         let named = self.named.get(&host).into_iter().flatten().copied();
-        let tables: Vec<TblId> = ended.chain(named).collect();
+        let tables: Vec<TableId> = ended.chain(named).collect();
         self.tops.extend(tables.into_iter().map(|tbl| ((host, tbl), 1.0)));
     }
 
     /// The line is in no state any more that somebody may hold who is not behind. A copy of an earlier call may come
     /// after the newest call yet, and not after the next.
-    pub(crate) fn line_ended(&mut self, host: HostId, tbl: TblId) {
+    pub(crate) fn line_ended(&mut self, host: HostId, tbl: TableId) {
         let at = self.at + 1;
         self.ended.insert((host, tbl), at);
         self.ended_in_order.push_back((at, host, tbl));
--- a/crates/guard/src/least.rs
+++ b/crates/guard/src/least.rs
@@ -2,7 +2,7 @@
 //! can be lies above what they survive, and as little as can be is changed. A linear program over (table, host); what a
 //! table does not give to them goes to its other hosts, in the proportions that they have.
 
-use amberarch_core::{HostId, TblId};
+use amberarch_core::{HostId, TableId};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, Variable};
 
 /// What lies above is worth so much more than a change of as much, and the worst host's part so much more again.
@@ -11,7 +11,7 @@
 
 /// A table: what comes to it, and whether hosts that are not judged take the rest.
 pub struct Dealt {
-    pub tbl: TblId,
+    pub tbl: TableId,
     pub demand: f64,
     pub rest: bool,
     /// By host, what it would get.
--- a/crates/guard/src/look.rs
+++ b/crates/guard/src/look.rs
@@ -14,11 +14,11 @@
 const MOST_UNSURE: usize = 20;
 
 enum Undo {
-    Line(TblId, HostId, Option<f64>, bool),
+    Line(TableId, HostId, Option<f64>, bool),
     Out(HostId, bool),
-    Uses(ProxyId, Vec<Use>, Vec<(TblId, f64)>),
+    Uses(ProxyId, Vec<Use>, Vec<(TableId, f64)>),
     Hops(ProxyId, usize),
-    MissingLine(TblId, HostId, f64),
+    MissingLine(TableId, HostId, f64),
     MissingHost(HostId, bool),
 }
 
@@ -27,14 +27,14 @@
 pub(crate) struct Trial {
     undo: Vec<Undo>,
     /// Tables whose shares changed: what was unsure, as it was.
-    pub before: BTreeMap<TblId, Option<Doubt>>,
+    pub before: BTreeMap<TableId, Option<Doubt>>,
     /// What hosts had in tables before it changed that.
-    had: BTreeMap<TblId, BTreeMap<HostId, f64>>,
+    had: BTreeMap<TableId, BTreeMap<HostId, f64>>,
     /// Tables whose lines, or whose hosts' gates, it writes.
-    pub tables: BTreeSet<TblId>,
+    pub tables: BTreeSet<TableId>,
     pub writes: Writes,
     /// What its binds ended.
-    pub left: Vec<(ProxyId, TblId, u64)>,
+    pub left: Vec<(ProxyId, TableId, u64)>,
     /// What those whom it binds used before it.
     used: BTreeMap<ProxyId, Vec<Use>>,
     let_in: Vec<HostId>,
@@ -48,7 +48,7 @@
 pub(crate) struct Found {
     pub breach: Breach,
     /// The table that is left bare.
-    pub tbl: Option<TblId>,
+    pub tbl: Option<TableId>,
 }
 
 impl Guard {
@@ -58,14 +58,14 @@
         let mut trial = Trial::default();
         for order in orders {
             match order {
-                Order::Share { tbl, host, weight } if *tbl != TblId::ALL => {
-                    self.set_line(&mut trial, *tbl, *host, Guard::weight(*weight));
+                Order::SetEntry { table, host, weight } if *table != TableId::ALL => {
+                    self.set_line(&mut trial, *table, *host, Guard::weight(*weight));
                 }
-                Order::Clear { tbl } => {
-                    let all = *tbl == TblId::ALL;
-                    let of: Vec<TblId> = match all {
+                Order::ClearTable { table } => {
+                    let all = *table == TableId::ALL;
+                    let of: Vec<TableId> = match all {
                         true => self.tables.keys().copied().collect(),
-                        false => vec![*tbl],
+                        false => vec![*table],
                     };
                     for tbl in of {
                         let lines = self.tables.get(&tbl).map(|table| table.lines.keys().copied().collect());
@@ -76,12 +76,12 @@
                         trial.tables.insert(tbl);
                     }
                 }
-                Order::Withdraw { host, out } => {
+                Order::Withdraw { host, withdrawn } => {
                     for tbl in self.named.get(host).into_iter().flatten() {
                         let weight = self.tables.get(tbl).map_or(0.0, |table| self.open_weight(table, *host));
                         trial.had.entry(*tbl).or_default().entry(*host).or_insert(weight);
                     }
-                    let was = match out {
+                    let was = match withdrawn {
                         true => !self.out.insert(*host),
                         false => self.out.remove(host),
                     };
@@ -90,22 +90,22 @@
                     if let Some(missing) = self.missing.hosts.remove(host) {
                         trial.undo.push(Undo::MissingHost(*host, missing));
                     }
-                    trial.let_in.extend((was && !out).then_some(*host));
-                    trial.writes.hosts.insert(*host, *out);
+                    trial.let_in.extend((was && !withdrawn).then_some(*host));
+                    trial.writes.hosts.insert(*host, *withdrawn);
                     trial.tables.extend(self.named.get(host).into_iter().flatten());
                 }
-                Order::Admit { tbl, .. } if *tbl != TblId::ALL && self.tables.contains_key(tbl) => {
-                    trial.tables.insert(*tbl);
+                Order::Admit { table, .. } if *table != TableId::ALL && self.tables.contains_key(table) => {
+                    trial.tables.insert(*table);
                 }
-                Order::Bind { proxy, tbl, products } if *tbl != TblId::ALL => {
+                Order::Bind { proxy, table, classes } if *table != TableId::ALL => {
                     let all = self.facts.all();
-                    let mask = if *products == Products::ALL { all } else { products.0 & all };
-                    self.bind(now, &mut trial, *proxy, *tbl, mask);
+                    let mask = if *classes == ClassSet::ALL { all } else { classes.0 & all };
+                    self.bind(now, &mut trial, *proxy, *table, mask);
                 }
                 _ => {}
             }
         }
-        let (until, at, doubts) = (now + self.facts.channel.transit_worst, self.at, self.doubts());
+        let (until, at, doubts) = (now + self.facts.channel.max_transit, self.at, self.doubts());
         for tbl in &trial.tables {
             let changed: Vec<(HostId, f64)> = trial.had.remove(tbl).unwrap_or_default().into_iter().collect();
             let Some(table) = self.tables.get_mut(tbl) else { continue };
@@ -173,7 +173,7 @@
         self.at -= 1;
     }
 
-    fn set_line(&mut self, trial: &mut Trial, tbl: TblId, host: HostId, weight: f64) {
+    fn set_line(&mut self, trial: &mut Trial, tbl: TableId, host: HostId, weight: f64) {
         let had = self.tables.get(&tbl).map_or(0.0, |table| self.open_weight(table, host));
         trial.had.entry(tbl).or_default().entry(host).or_insert(had);
         let table = self.tables.entry(tbl).or_default();
@@ -190,11 +190,11 @@
         trial.tables.insert(tbl);
     }
 
-    fn bind(&mut self, now: f64, trial: &mut Trial, id: ProxyId, tbl: TblId, mask: u64) {
+    fn bind(&mut self, now: f64, trial: &mut Trial, id: ProxyId, tbl: TableId, mask: u64) {
         let Some(proxy) = self.proxies.get(&id).filter(|_| mask != 0) else { return };
         let (zone, before) = (proxy.zone, proxy.uses.clone());
         let mut uses: Vec<Use> = Vec::with_capacity(before.len() + 1);
-        let until = now + self.facts.channel.transit_worst;
+        let until = now + self.facts.channel.max_transit;
         let mut all = mask;
         let (mut left, mut stays_here) = (Vec::new(), 0);
         for held in &before {
@@ -215,7 +215,7 @@
         uses.push(Use { tbl, mask: all, demand: self.demand(proxy, all) });
         let known = before.iter().fold(0, |known, held| known | held.mask);
         if mask & !known != 0 {
-            left.push((TblId::ALL, mask & !known));
+            left.push((TableId::ALL, mask & !known));
         }
         let of = before.iter().chain(&uses).map(|held| held.tbl).collect::<BTreeSet<_>>();
         let demands = of.into_iter().map(|tbl| (tbl, self.tables.get(&tbl).map_or(0.0, |t| t.demand)));
@@ -231,7 +231,7 @@
         trial.undo.push(Undo::Hops(id, hops.len()));
         for (from, mask) in left.into_iter().chain((stays_here != 0).then_some((tbl, stays_here))) {
             hops.push(Hop { until, at, mask, from });
-            if from != TblId::ALL && from != tbl {
+            if from != TableId::ALL && from != tbl {
                 trial.left.push((id, from, mask));
             }
         }
@@ -242,20 +242,21 @@
     pub(crate) fn look(&mut self, now: f64, orders: &[Order]) -> Vec<Found> {
         let mut found = Vec::new();
         let trial = self.apply(now, orders);
-        let listed = |host: &HostId| self.hosts.get(host).filter(|known| known.standing != Standing::On);
+        let listed =
+            |host: &HostId| self.hosts.get(host).filter(|known| known.standing != Availability::InService);
         for host in trial.let_in.iter().filter(|host| listed(host).is_some() && !self.out.contains(host)) {
             let witness = Witness::LetIn { host: *host };
             found.push(Found { breach: Breach { rule: Rule::Drain, witness }, tbl: None });
         }
         let bare = self.bare(&trial);
         let over = self.over(now, &trial);
-        let from: BTreeSet<TblId> = trial.used.values().flatten().map(|held| held.tbl).collect();
+        let from: BTreeSet<TableId> = trial.used.values().flatten().map(|held| held.tbl).collect();
         self.roll_back(trial);
         // Only what the batch begins is its fault: who had nothing for certain loses nothing, and a host that had too
         // much is not worse off with as much.
         if !bare.is_empty() {
             let tables = bare.iter().map(|bare| bare.0).chain(from);
-            let before: BTreeSet<TblId> = tables.filter(|tbl| self.surely_bare(*tbl)).collect();
+            let before: BTreeSet<TableId> = tables.filter(|tbl| self.surely_bare(*tbl)).collect();
             let out = self.out.clone();
             let trial = self.apply(now, orders);
             for (tbl, run) in bare {
@@ -294,7 +295,7 @@
         (from..=to).filter(move |_| run.is_some()).filter_map(|place| self.loose.get(place))
     }
 
-    fn line_serves(&self, tbl: TblId, table: &Table, host: HostId, run: Run) -> bool {
+    fn line_serves(&self, tbl: TableId, table: &Table, host: HostId, run: Run) -> bool {
         let written = self.calls(run).rev().find_map(|call| call.writes.line(tbl, host));
         let stands = || table.lines.contains_key(&host) && self.missing.line(tbl, host) != Some(0.0);
         if !written.map_or_else(stands, |weight| weight > 0.0) {
@@ -305,7 +306,7 @@
         !gate.unwrap_or_else(out) && self.hosts.get(&host).is_some_and(Host::serves)
     }
 
-    fn nothing_serves(&self, tbl: TblId, run: Run) -> bool {
+    fn nothing_serves(&self, tbl: TableId, run: Run) -> bool {
         let Some(table) = self.tables.get(&tbl) else { return true };
         let standing = table.lines.keys().any(|host| self.line_serves(tbl, table, *host, run));
         let again = || {
@@ -316,13 +317,13 @@
     }
 
     /// Tables that it touches in which nothing serves, with the first run that makes it so.
-    fn bare(&self, trial: &Trial) -> Vec<(TblId, Run)> {
+    fn bare(&self, trial: &Trial) -> Vec<(TableId, Run)> {
         let bound = trial.writes.binds.iter().map(|bind| bind.1);
-        let tables: BTreeSet<TblId> = trial.tables.iter().copied().chain(bound).collect();
+        let tables: BTreeSet<TableId> = trial.tables.iter().copied().chain(bound).collect();
         let mut bare = Vec::new();
         if self.is_vague() {
             let all = Some((0, self.loose.len() - 1));
-            let surely = |tbl: &TblId| {
+            let surely = |tbl: &TableId| {
                 self.tables.get(tbl).is_some_and(|table| {
                     let serves = |host: &HostId| self.hosts.get(host).is_some_and(Host::serves);
                     let mut hosts = table.lines.keys().filter(|host| serves(host));
@@ -340,7 +341,7 @@
         bare
     }
 
-    fn anyone(&self, tbl: TblId, run: Run) -> bool {
+    fn anyone(&self, tbl: TableId, run: Run) -> bool {
         let bound = |writes: &Writes| writes.binds.iter().any(|bind| bind.1 == tbl);
         let missing = self.missing.binds.iter().any(|bind| bind.1 == tbl);
         self.tables.get(&tbl).is_some_and(|table| table.users > 0)
@@ -353,15 +354,15 @@
         &self,
         now: f64,
         trial: &Trial,
-        (tbl, run): (TblId, Run),
-        before: &BTreeSet<TblId>,
+        (tbl, run): (TableId, Run),
+        before: &BTreeSet<TableId>,
         out: &BTreeSet<HostId>,
     ) -> Option<Witness> {
-        let mut ready: BTreeMap<(ZoneId, ProductId), Option<HostId>> = BTreeMap::new();
+        let mut ready: BTreeMap<(ZoneId, ClassId), Option<HostId>> = BTreeMap::new();
         let vague = self.is_vague();
         let mut witness = |proxy: ProxyId, zone: ZoneId, mask: u64| {
             for product in each(mask) {
-                let bit = Products::one(product).0;
+                let bit = ClassSet::one(product).0;
                 let again = self.calls(run).rev().find_map(|call| call.writes.bound(proxy, bit));
                 if again.is_some_and(|again| again != tbl) && !vague {
                     continue;
@@ -417,21 +418,21 @@
         &self,
         now: f64,
         zone: ZoneId,
-        product: ProductId,
+        product: ClassId,
         out: &BTreeSet<HostId>,
     ) -> Option<HostId> {
         let ready = |(id, host): &(&HostId, &Host)| {
             let open = !(out.contains(id) && self.out.contains(id));
-            let on = host.standing == Standing::On && !host.failing;
+            let on = host.standing == Availability::InService && !host.failing;
             on && open && host.warm(now, &self.facts.warmup) && self.may(zone, product, host.zone)
         };
         self.hosts.iter().find(ready).map(|found| *found.0)
     }
 
-    pub(crate) fn may(&self, zone: ZoneId, product: ProductId, to: ZoneId) -> bool {
-        let home = self.facts.at_home & Products::one(product).0 != 0;
+    pub(crate) fn may(&self, zone: ZoneId, product: ClassId, to: ZoneId) -> bool {
+        let home = self.facts.at_home & ClassSet::one(product).0 != 0;
         let reach = self.reach.get(&(zone, product)).copied().unwrap_or(Zones::ALL);
-        (!home || zone == to) && (reach == Zones::ALL || reach.has(to))
+        (!home || zone == to) && (reach == Zones::ALL || reach.contains(to))
     }
 
     /// Txns a second that a host survives; none: it is not judged.
@@ -444,14 +445,14 @@
             None if !known.warm(now, &self.facts.warmup) && self.best > 0.0 => self.best,
             None => return None,
         };
-        Some(self.facts.warmup.multiple * each * known.weight * known.able(now, &self.facts.warmup))
+        Some(self.facts.warmup.failure_load * each * known.weight * known.able(now, &self.facts.warmup))
     }
 
     /// Txns a second that may come to a host, at the most, over all states that proxies may hold.
     pub(crate) fn load(&self, now: f64, host: HostId) -> f64 {
         let Some(known) = self.hosts.get(&host) else { return 0.0 };
         let mut load = self.others(now, known) + self.of_late(host);
-        let mut spans: BTreeMap<TblId, (f64, Vec<Span>)> = BTreeMap::new();
+        let mut spans: BTreeMap<TableId, (f64, Vec<Span>)> = BTreeMap::new();
         for tbl in self.named.get(&host).into_iter().flatten() {
             let Some(table) = self.tables.get(tbl) else { continue };
             let each: Vec<Span> = table.spans(host, self.open_weight(table, host)).collect();
@@ -467,7 +468,7 @@
         // Who came to a table does not hold what it was before, and may hold what those were where it has been.
         for (id, hops) in &self.hops {
             let Some(proxy) = self.proxies.get(id) else { continue };
-            let there = |tbl: &TblId| spans.contains_key(tbl);
+            let there = |tbl: &TableId| spans.contains_key(tbl);
             if !proxy.uses.iter().map(|held| &held.tbl).chain(hops.iter().map(|hop| &hop.from)).any(there) {
                 continue;
             }
@@ -496,13 +497,13 @@
     fn most_of(
         &self,
         now: f64,
-        tbl: TblId,
+        tbl: TableId,
         hops: &[Hop],
         product: u64,
-        spans: &BTreeMap<TblId, (f64, Vec<Span>)>,
+        spans: &BTreeMap<TableId, (f64, Vec<Span>)>,
     ) -> f64 {
         let (mut most, mut came) = (0.0f64, 0);
-        let mut see = |tbl: TblId, since: At, until: At| {
+        let mut see = |tbl: TableId, since: At, until: At| {
             let spans = spans.get(&tbl).into_iter().flat_map(|there| &there.1);
             let held = spans.filter(|span| span.ended > since && span.began < until);
             most = held.map(|span| span.part).fold(most, f64::max);
@@ -519,13 +520,13 @@
 
     /// What a host gets was counted without any doubt, so that two counts can be compared.
     fn exact(&self, host: HostId) -> bool {
-        let sure = |tbl: &TblId| {
+        let sure = |tbl: &TableId| {
             let vague =
                 |table: &Table| table.doubted.is_some() || table.old.iter().any(|old| old.doubted.is_some());
             !self.tables.get(tbl).is_some_and(vague)
         };
         let tables = || self.named.get(&host).into_iter().flatten();
-        let here = |tbl: &TblId| self.named.get(&host).is_some_and(|named| named.contains(tbl));
+        let here = |tbl: &TableId| self.named.get(&host).is_some_and(|named| named.contains(tbl));
         let moves = self.hops.iter().any(|(id, hops)| {
             let uses = self.proxies.get(id).into_iter().flat_map(|proxy| &proxy.uses);
             uses.map(|held| &held.tbl).chain(hops.iter().map(|hop| &hop.from)).any(here)
@@ -537,7 +538,7 @@
     /// Hosts that get more of a table than before, or of a table that got more, and more than they survive.
     fn over(&self, now: f64, trial: &Trial) -> Vec<(HostId, f64, f64)> {
         // Few are cold, and tables name many.
-        let judged = |tbl: &TblId| -> Vec<HostId> {
+        let judged = |tbl: &TableId| -> Vec<HostId> {
             let lines = self.tables.get(tbl).map(|table| &table.lines);
             let named = |host: &&HostId| lines.is_some_and(|lines| lines.contains_key(host));
             match self.facts.per_weight {
@@ -575,23 +576,23 @@
     }
 
     /// Proxies that an order goes to.
-    fn users(&self, tables: &BTreeSet<TblId>) -> BTreeSet<ProxyId> {
+    fn users(&self, tables: &BTreeSet<TableId>) -> BTreeSet<ProxyId> {
         let tables = tables.iter().filter_map(|tbl| self.tables.get(tbl));
         tables.flat_map(|table| table.groups.values().flatten()).copied().collect()
     }
 
     /// Lines that a batch puts into the channel, at the most.
     pub(crate) fn lines(&self, orders: &[Order]) -> f64 {
-        let users = |tbl: &TblId| self.tables.get(tbl).map_or(0, |table| table.users);
-        let (mut lines, mut whom, mut named) = (0, 0, BTreeMap::<TblId, usize>::new());
+        let users = |tbl: &TableId| self.tables.get(tbl).map_or(0, |table| table.users);
+        let (mut lines, mut whom, mut named) = (0, 0, BTreeMap::<TableId, usize>::new());
         for order in orders {
             match order {
-                Order::Share { tbl, .. } | Order::Admit { tbl, .. } => {
-                    let count = if *tbl == TblId::ALL { self.proxies.len() } else { users(tbl) };
+                Order::SetEntry { table, .. } | Order::Admit { table, .. } => {
+                    let count = if *table == TableId::ALL { self.proxies.len() } else { users(table) };
                     lines += count;
-                    *named.entry(*tbl).or_default() = count;
+                    *named.entry(*table).or_default() = count;
                 }
-                Order::Clear { tbl } => lines += users(tbl),
+                Order::ClearTable { table } => lines += users(table),
                 Order::Withdraw { host, .. } => {
                     // One that uses two of its tables gets it once: no more than all.
                     let tables = self.named.get(host).into_iter().flatten();
@@ -599,8 +600,8 @@
                     lines += count;
                     whom = whom.max(count);
                 }
-                Order::Bind { tbl, .. } => {
-                    let there = self.tables.get(tbl).map_or(0, |table| table.lines.len());
+                Order::Bind { table, .. } => {
+                    let there = self.tables.get(table).map_or(0, |table| table.lines.len());
                     lines += 2 * (there + usize::from(self.facts.products)) + 1;
                     whom += 1;
                 }
@@ -608,17 +609,17 @@
             }
         }
         whom = (whom + named.values().sum::<usize>()).min(self.proxies.len());
-        lines as f64 + whom as f64 * (self.facts.channel.head + 1.0)
+        lines as f64 + whom as f64 * (self.facts.channel.message_overhead + 1.0)
     }
 
     fn too_much(&self, now: f64, orders: &[Order]) -> Option<Breach> {
         let lines = self.lines(orders);
-        let most = self.facts.channel.backlog;
+        let most = self.facts.channel.max_backlog;
         if lines > 0.0 && self.waiting + lines > most {
             let witness = Witness::Backlog { lines: self.waiting + lines, most };
             return Some(Breach { rule: Rule::Queue, witness });
         }
-        let most = self.facts.channel.messages;
+        let most = self.facts.channel.max_messages;
         if lines <= 0.0 || most == 0 || (self.messages.len() as u32) < most {
             return None;
         }
@@ -627,8 +628,8 @@
         let mut whom = BTreeSet::new();
         for order in orders {
             match order {
-                Order::Share { tbl, .. } | Order::Admit { tbl, .. } | Order::Clear { tbl } => {
-                    tables.insert(*tbl);
+                Order::SetEntry { table, .. } | Order::Admit { table, .. } | Order::ClearTable { table } => {
+                    tables.insert(*table);
                 }
                 Order::Withdraw { host, .. } => tables.extend(self.named.get(host).into_iter().flatten()),
                 Order::Bind { proxy, .. } => drop(whom.insert(*proxy)),
@@ -636,12 +637,12 @@
             }
         }
         whom.extend(self.users(&tables));
-        let mut counted: BTreeMap<Vec<TblId>, u32> = BTreeMap::new();
-        let over = self.facts.channel.messages_over;
+        let mut counted: BTreeMap<Vec<TableId>, u32> = BTreeMap::new();
+        let over = self.facts.channel.message_window;
         let recent = || self.messages.iter().filter(|message| message.when + over >= now);
         whom.into_iter().find_map(|id| {
             let proxy = self.proxies.get(&id)?;
-            let uses: Vec<TblId> = proxy.uses.iter().map(|held| held.tbl).collect();
+            let uses: Vec<TableId> = proxy.uses.iter().map(|held| held.tbl).collect();
             let at_tables = *counted.entry(uses).or_insert_with_key(|uses| {
                 recent().filter(|message| uses.iter().any(|tbl| message.tables.contains(tbl))).count() as u32
             });
@@ -653,6 +654,6 @@
     }
 }
 
-pub(crate) fn each(mask: u64) -> impl Iterator<Item = ProductId> {
-    (0..64).filter(move |place| mask & (1 << place) != 0).map(ProductId)
+pub(crate) fn each(mask: u64) -> impl Iterator<Item = ClassId> {
+    (0..64).filter(move |place| mask & (1 << place) != 0).map(ClassId)
 }
--- a/crates/guard/src/mend.rs
+++ b/crates/guard/src/mend.rs
@@ -69,7 +69,7 @@
 
     /// Whether its withdrawal may wait for another look.
     fn may_wait(&self, now: f64, host: &Host) -> bool {
-        let transit = self.facts.channel.transit_worst;
+        let transit = self.facts.channel.max_transit;
         let due = host.leaves.is_some_and(|since| now + 2.0 * transit >= since + self.facts.grace);
         host.serves() && !due
     }
@@ -77,19 +77,19 @@
     /// Bare tables: who would serve stays, or nobody moves there, or a host that is ready comes in.
     fn keep_serving(&mut self, now: f64, orders: &[Order], found: &[Found]) -> Option<Vec<Order>> {
         let mut next = orders.to_vec();
-        let bare: BTreeSet<TblId> = found.iter().filter_map(|found| found.tbl).collect();
+        let bare: BTreeSet<TableId> = found.iter().filter_map(|found| found.tbl).collect();
         for tbl in bare {
             let lines = |host: &HostId| self.named.get(host).is_some_and(|tables| tables.contains(&tbl));
             let set = |host: &HostId| {
-                let names = |order: &Order| matches!(order, Order::Share { tbl: t, host: h, weight } if *t == tbl && h == host && *weight > 0.0);
+                let names = |order: &Order| matches!(order, Order::SetEntry { table: t, host: h, weight } if *t == tbl && h == host && *weight > 0.0);
                 orders.iter().any(names)
             };
             // Its withdrawal waits: of those that serve the one that carries most.
             let waits = next.iter().enumerate().filter_map(|(place, order)| {
-                let Order::Withdraw { host, out: true } = order else { return None };
+                let Order::Withdraw { host, withdrawn: true } = order else { return None };
                 let known = self.hosts.get(host)?;
                 let may = (lines(host) || set(host)) && self.may_wait(now, known);
-                may.then_some((place, known.standing == Standing::On, known.weight))
+                may.then_some((place, known.standing == Availability::InService, known.weight))
             });
             let best = waits.max_by(|a, b| a.1.cmp(&b.1).then(a.2.total_cmp(&b.2)));
             if let Some((place, ..)) = best {
@@ -99,10 +99,10 @@
             let before = next.len();
             // Its lines stay.
             next.retain(|order| match order {
-                Order::Share { tbl: of, host, weight } => {
+                Order::SetEntry { table: of, host, weight } => {
                     *of != tbl || *weight > 0.0 || !self.hosts.get(host).is_some_and(Host::serves)
                 }
-                Order::Clear { tbl: of } => *of != tbl,
+                Order::ClearTable { table: of } => *of != tbl,
                 _ => true,
             });
             // Who was elsewhere stays there.
@@ -112,7 +112,7 @@
                     known.is_some_and(|known| known.uses.iter().any(|held| held.tbl != tbl))
                 };
                 next.retain(|order| {
-                    !matches!(order, Order::Bind { proxy, tbl: of, .. } if *of == tbl && elsewhere(proxy))
+                    !matches!(order, Order::Bind { proxy, table: of, .. } if *of == tbl && elsewhere(proxy))
                 });
             }
             if next.len() == before {
@@ -126,40 +126,42 @@
     }
 
     /// A line to a host that is ready and may serve all who use the table.
-    fn lend(&self, now: f64, tbl: TblId, found: &[Found], orders: &[Order]) -> Option<Order> {
-        let mut whom: BTreeSet<(ZoneId, ProductId)> = BTreeSet::new();
-        let groups = self.tables.get(&tbl).map(|table| &table.groups);
+    fn lend(&self, now: f64, table: TableId, found: &[Found], orders: &[Order]) -> Option<Order> {
+        let mut whom: BTreeSet<(ZoneId, ClassId)> = BTreeSet::new();
+        let groups = self.tables.get(&table).map(|table| &table.groups);
         for (zone, mask) in groups.into_iter().flat_map(|groups| groups.keys()) {
             whom.extend(each(*mask).map(|product| (*zone, product)));
         }
         for order in orders {
-            if let Order::Bind { proxy, tbl: of, products } = order {
-                let mask = if *products == Products::ALL { self.facts.all() } else { products.0 };
-                if let Some(known) = self.proxies.get(proxy).filter(|_| *of == tbl) {
+            if let Order::Bind { proxy, table: of, classes } = order {
+                let mask = if *classes == ClassSet::ALL { self.facts.all() } else { classes.0 };
+                if let Some(known) = self.proxies.get(proxy).filter(|_| *of == table) {
                     whom.extend(each(mask).map(|product| (known.zone, product)));
                 }
             }
         }
-        for found in found.iter().filter(|found| found.tbl == Some(tbl)) {
+        for found in found.iter().filter(|found| found.tbl == Some(table)) {
             if let Witness::Nothing { zone, product, .. } = found.breach.witness {
                 whom.insert((zone, product));
             }
         }
         let (gone, back) = orders.iter().fold((BTreeSet::new(), BTreeSet::new()), |mut all, order| {
             match order {
-                Order::Withdraw { host, out: true } => drop(all.0.insert(*host)),
-                Order::Withdraw { host, out: false } => drop(all.1.insert(*host)),
+                Order::Withdraw { host, withdrawn: true } => drop(all.0.insert(*host)),
+                Order::Withdraw { host, withdrawn: false } => drop(all.1.insert(*host)),
                 _ => {}
             }
             all
         });
         let ready = |(id, host): &(&HostId, &Host)| {
             let open = !gone.contains(id) && (back.contains(id) || !self.out.contains(id));
-            let on = host.standing == Standing::On && !host.failing && host.warm(now, &self.facts.warmup);
+            let on = host.standing == Availability::InService
+                && !host.failing
+                && host.warm(now, &self.facts.warmup);
             open && on && whom.iter().all(|(zone, product)| self.may(*zone, *product, host.zone))
         };
         let best = self.hosts.iter().filter(ready).max_by(|a, b| a.1.weight.total_cmp(&b.1.weight));
-        best.map(|(host, known)| Order::Share { tbl, host: *host, weight: known.weight })
+        best.map(|(host, known)| Order::SetEntry { table, host: *host, weight: known.weight })
     }
 
     /// Hosts that would get more than they survive get less: by a step that waits where that is enough, else by
@@ -196,19 +198,19 @@
     }
 
     fn waiting_for(&self, now: f64, orders: &[Order], over: &BTreeSet<HostId>, waits: Wait) -> Vec<Order> {
-        let tables: BTreeSet<TblId> =
+        let tables: BTreeSet<TableId> =
             over.iter().filter_map(|host| self.named.get(host)).flatten().copied().collect();
         let beside = |host: &HostId| self.named.get(host).is_some_and(|named| !named.is_disjoint(&tables));
         let bound = |proxy: &ProxyId| self.proxies.get(proxy).is_some_and(|known| !known.uses.is_empty());
         let goes = |order: &&Order| match (waits, order) {
-            (Wait::Out, Order::Withdraw { host, out: true }) => {
+            (Wait::Out, Order::Withdraw { host, withdrawn: true }) => {
                 !(beside(host) && self.hosts.get(host).is_some_and(|host| self.may_wait(now, host)))
             }
-            (Wait::In, Order::Withdraw { host, out: false }) => !over.contains(host),
-            (Wait::In, Order::Share { host, weight, tbl }) => {
+            (Wait::In, Order::Withdraw { host, withdrawn: false }) => !over.contains(host),
+            (Wait::In, Order::SetEntry { host, weight, table }) => {
                 let more = self
                     .tables
-                    .get(tbl)
+                    .get(table)
                     .and_then(|table| table.lines.get(host))
                     .is_none_or(|now| weight > now);
                 !(over.contains(host) && more)
@@ -223,7 +225,7 @@
     fn weigh(&mut self, now: f64, orders: &[Order], over: &BTreeSet<HostId>) -> (Vec<Order>, f64) {
         let trial = self.apply(now, orders);
         let bound = trial.writes.binds.iter().map(|bind| bind.1);
-        let touched: BTreeSet<TblId> = trial.tables.iter().copied().chain(bound).collect();
+        let touched: BTreeSet<TableId> = trial.tables.iter().copied().chain(bound).collect();
         let judged = |host: &HostId| over.contains(host) || self.most(now, *host).is_some();
         let (mut tables, mut open, mut parts) = (Vec::new(), BTreeMap::new(), 0);
         for tbl in touched {
@@ -281,7 +283,7 @@
         orders: &[Order],
         tables: &[Dealt],
         rooms: &[Room],
-        open: &BTreeMap<TblId, (f64, f64)>,
+        open: &BTreeMap<TableId, (f64, f64)>,
     ) -> (Vec<Order>, f64) {
         let (mut weights, mut price) = (BTreeMap::new(), 0.0);
         for Room { host, room } in rooms {
@@ -306,26 +308,28 @@
     }
 
     /// The batch with these weights: in place of its own, or behind what it has.
-    fn with_weights(&self, orders: &[Order], weights: &BTreeMap<(TblId, HostId), f64>) -> Vec<Order> {
+    fn with_weights(&self, orders: &[Order], weights: &BTreeMap<(TableId, HostId), f64>) -> Vec<Order> {
         let mut left = weights.clone();
         let mut next: Vec<Order> = Vec::with_capacity(orders.len() + left.len());
         // The last order for a line is the one that holds.
         for order in orders.iter().rev() {
             let order = match order {
-                Order::Share { tbl, host, weight } if *weight > 0.0 => match left.remove(&(*tbl, *host)) {
-                    Some(weight) => Order::Share { tbl: *tbl, host: *host, weight },
-                    None => order.clone(),
-                },
+                Order::SetEntry { table, host, weight } if *weight > 0.0 => {
+                    match left.remove(&(*table, *host)) {
+                        Some(weight) => Order::SetEntry { table: *table, host: *host, weight },
+                        None => order.clone(),
+                    }
+                }
                 _ => order.clone(),
             };
             next.push(order);
         }
         next.reverse();
-        let standing = |tbl: &TblId, host: &HostId| {
-            self.tables.get(tbl).and_then(|table| table.lines.get(host)).copied()
+        let standing = |table: &TableId, host: &HostId| {
+            self.tables.get(table).and_then(|table| table.lines.get(host)).copied()
         };
-        let more = left.into_iter().filter(|((tbl, host), weight)| standing(tbl, host) != Some(*weight));
-        let more = more.map(|((tbl, host), weight)| Order::Share { tbl, host, weight });
+        let more = left.into_iter().filter(|((table, host), weight)| standing(table, host) != Some(*weight));
+        let more = more.map(|((table, host), weight)| Order::SetEntry { table, host, weight });
         let place = next.iter().position(|order| matches!(order, Order::Mark { .. })).unwrap_or(next.len());
         next.splice(place..place, more);
         next
@@ -350,7 +354,7 @@
         let of = |found: &Found| matches!(found.breach.witness, Witness::LetIn { host: out } if out == *host);
         found.iter().any(of)
     };
-    let stays = |order: &&Order| !matches!(order, Order::Withdraw { host, out: false } if leaves(host));
+    let stays = |order: &&Order| !matches!(order, Order::Withdraw { host, withdrawn: false } if leaves(host));
     orders.iter().filter(stays).cloned().collect()
 }
 
@@ -359,10 +363,10 @@
     let waits = |order: &Order| {
         matches!(
             order,
-            Order::Share { .. }
+            Order::SetEntry { .. }
                 | Order::Bind { .. }
                 | Order::Admit { .. }
-                | Order::Withdraw { out: false, .. }
+                | Order::Withdraw { withdrawn: false, .. }
         )
     };
     let count = orders.iter().filter(|order| waits(order)).count();
--- a/crates/guard/src/model.rs
+++ b/crates/guard/src/model.rs
@@ -146,7 +146,7 @@
 pub(crate) struct Host {
     pub zone: ZoneId,
     pub weight: f64,
-    pub standing: Standing,
+    pub standing: Availability,
     pub cold_since: Option<f64>,
     /// Since when it drains, or is gone.
     pub leaves: Option<f64>,
@@ -159,21 +159,21 @@
 impl Host {
     /// A line to it is of use.
     pub fn serves(&self) -> bool {
-        self.standing != Standing::Gone && !self.failing
+        self.standing != Availability::Removed && !self.failing
     }
     /// The part of its capacity that the slowest warming has brought it.
     pub fn able(&self, now: f64, warmup: &Warmup) -> f64 {
-        let age = self.cold_since.map_or(1.0, |since| (now - since) / warmup.within.max(1e-9));
-        (warmup.from + (1.0 - warmup.from) * age.clamp(0.0, 1.0)).min(1.0)
+        let age = self.cold_since.map_or(1.0, |since| (now - since) / warmup.duration.max(1e-9));
+        (warmup.initial_capacity + (1.0 - warmup.initial_capacity) * age.clamp(0.0, 1.0)).min(1.0)
     }
     pub fn warm(&self, now: f64, warmup: &Warmup) -> bool {
-        self.cold_since.is_none_or(|since| now >= since + warmup.within)
+        self.cold_since.is_none_or(|since| now >= since + warmup.duration)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Use {
-    pub tbl: TblId,
+    pub tbl: TableId,
     pub mask: u64,
     /// What of it is counted in the table's demand.
     pub demand: f64,
@@ -185,12 +185,12 @@
     pub uses: Vec<Use>,
     /// Txns a second, as it said when it joined; and by sums, the last and the one before.
     pub said: f64,
-    pub came: BTreeMap<ProductId, (f64, Option<f64>)>,
+    pub came: BTreeMap<ClassId, (f64, Option<f64>)>,
     pub joined: f64,
     pub floor: At,
     pub bound: Option<(At, f64)>,
     /// Tables that it has left, and the call after which it is not there for certain once it has answered that.
-    pub been: BTreeMap<TblId, At>,
+    pub been: BTreeMap<TableId, At>,
     /// The call that first left none of its products to where others had bound it.
     pub whole: Option<At>,
     /// Once it has answered that call it is not behind.
@@ -201,22 +201,22 @@
 /// What a call sets, last of all.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Writes {
-    pub clears: BTreeSet<TblId>,
-    pub lines: BTreeMap<(TblId, HostId), f64>,
+    pub clears: BTreeSet<TableId>,
+    pub lines: BTreeMap<(TableId, HostId), f64>,
     /// Whether it is shut out.
     pub hosts: BTreeMap<HostId, bool>,
-    pub binds: Vec<(ProxyId, TblId, u64)>,
+    pub binds: Vec<(ProxyId, TableId, u64)>,
 }
 
 impl Writes {
     pub fn is_empty(&self) -> bool {
         self.clears.is_empty() && self.lines.is_empty() && self.hosts.is_empty() && self.binds.is_empty()
     }
-    pub fn line(&self, tbl: TblId, host: HostId) -> Option<f64> {
+    pub fn line(&self, tbl: TableId, host: HostId) -> Option<f64> {
         self.lines.get(&(tbl, host)).copied().or(self.clears.contains(&tbl).then_some(0.0))
     }
     /// The table of a proxy's product.
-    pub fn bound(&self, proxy: ProxyId, product: u64) -> Option<TblId> {
+    pub fn bound(&self, proxy: ProxyId, product: u64) -> Option<TableId> {
         let bind = self.binds.iter().rev().find(|bind| bind.0 == proxy && bind.2 & product != 0);
         bind.map(|bind| bind.1)
     }
@@ -234,7 +234,7 @@
     pub lines: f64,
     pub writes: Writes,
     /// What its binds ended.
-    pub left: Vec<(ProxyId, TblId, u64)>,
+    pub left: Vec<(ProxyId, TableId, u64)>,
 }
 
 /// A mark that went out.
@@ -250,7 +250,7 @@
 /// A call that went to proxies, for their count of messages.
 pub(crate) struct Message {
     pub when: f64,
-    pub tables: BTreeSet<TblId>,
+    pub tables: BTreeSet<TableId>,
     pub proxies: BTreeSet<ProxyId>,
 }
 
@@ -261,20 +261,20 @@
     pub until: f64,
     pub at: At,
     pub mask: u64,
-    pub from: TblId,
+    pub from: TableId,
 }
 
 pub struct Guard {
     pub(crate) facts: Facts,
-    pub(crate) tables: BTreeMap<TblId, Table>,
+    pub(crate) tables: BTreeMap<TableId, Table>,
     pub(crate) hosts: BTreeMap<HostId, Host>,
     /// Tables that name a host, or did in a state that somebody may still hold.
-    pub(crate) named: BTreeMap<HostId, BTreeSet<TblId>>,
+    pub(crate) named: BTreeMap<HostId, BTreeSet<TableId>>,
     pub(crate) out: BTreeSet<HostId>,
     /// Those that were not warm when it was last looked at: few, so that a change asks few.
     pub(crate) cold: BTreeSet<HostId>,
     pub(crate) proxies: BTreeMap<ProxyId, Proxy>,
-    pub(crate) reach: BTreeMap<(ZoneId, ProductId), Zones>,
+    pub(crate) reach: BTreeMap<(ZoneId, ClassId), Zones>,
     /// By proxy, oldest first: one that moved twice may be at any of the three.
     pub(crate) hops: BTreeMap<ProxyId, Vec<Hop>>,
     /// All of them, oldest first.
@@ -289,11 +289,11 @@
     pub(crate) sure: At,
     settling: VecDeque<(f64, At, At)>,
     /// Tables of calls that are not carried out again any more, whose doubts stand while others are.
-    settled: BTreeSet<TblId>,
+    settled: BTreeSet<TableId>,
     marks: BTreeMap<MarkId, Marked>,
     remembered: VecDeque<MarkId>,
     /// Tables with states that end by time.
-    ends: VecDeque<(f64, At, TblId)>,
+    ends: VecDeque<(f64, At, TableId)>,
     /// Lines in the channel, at most, and when that was counted.
     pub(crate) waiting: f64,
     waiting_at: f64,
@@ -307,11 +307,11 @@
     pub(crate) behind: BTreeSet<ProxyId>,
     /// Lines that ended, and the call that whoever has answered it holds them no more; as many as are kept, in their
     /// order; and that of the last that was dropped.
-    pub(crate) ended: BTreeMap<(HostId, TblId), At>,
-    pub(crate) ended_in_order: VecDeque<(At, HostId, TblId)>,
+    pub(crate) ended: BTreeMap<(HostId, TableId), At>,
+    pub(crate) ended_in_order: VecDeque<(At, HostId, TableId)>,
     pub(crate) forgotten: At,
     /// The most that cold hosts had in tables in states that are forgotten.
-    pub(crate) tops: BTreeMap<(HostId, TblId), f64>,
+    pub(crate) tops: BTreeMap<(HostId, TableId), f64>,
     /// When a list first named a host.
     pub(crate) seen: BTreeMap<HostId, f64>,
     /// Up to here something that was given up was missing.
@@ -370,9 +370,9 @@
     pub fn hear(&mut self, now: f64, event: &Event) {
         self.advance(now);
         match event {
-            Event::List { news: ListNews::Failed, .. } => {}
-            Event::List { news, entries } => self.learn(now, *news, entries),
-            Event::Joined { proxy, zone, txns_per_s, .. } => {
+            Event::List { update: ListUpdate::Failed, .. } => {}
+            Event::List { update, entries } => self.learn(now, *update, entries),
+            Event::ProxyJoined { proxy, zone, txns_per_s, .. } => {
                 self.left(*proxy);
                 let (zone, said, floor) = (*zone, txns_per_s.max(0.0), self.at);
                 let (uses, came, joined, bound) = (vec![], BTreeMap::new(), now, None);
@@ -381,26 +381,34 @@
                     Proxy { zone, uses, said, came, joined, floor, bound, been, whole, due, unbound_told };
                 self.proxies.insert(*proxy, new);
             }
-            Event::Left { proxy } => self.left(*proxy),
-            Event::Met { host, zone, tries, voided, over, .. } if *over > 0.0 => {
-                self.met(now, *host, *zone, f64::from(tries.saturating_sub(*voided)) / over * 1e3, *over);
+            Event::ProxyLeft { proxy } => self.left(*proxy),
+            Event::HostReport { host, zone, tries, failed, covered, .. } if *covered > 0.0 => {
+                self.met(
+                    now,
+                    *host,
+                    *zone,
+                    f64::from(tries.saturating_sub(*failed)) / covered * 1e3,
+                    *covered,
+                );
             }
-            Event::Came { proxy, product, txns, over, .. } if *over > 0.0 => {
-                self.came(*proxy, *product, f64::from(*txns) / over * 1e3);
+            Event::ProxyReport { proxy, class, txns, covered, .. } if *covered > 0.0 => {
+                self.came(*proxy, *class, f64::from(*txns) / covered * 1e3);
             }
-            Event::Probed { host, outcome, .. } => {
+            Event::ProbeResult { host, outcome, .. } => {
                 if let Some(host) = self.hosts.get_mut(host) {
                     match outcome {
-                        Outcome::Answered => host.failing = false,
-                        Outcome::Full | Outcome::Unknown => {}
+                        ProbeOutcome::Answered => host.failing = false,
+                        ProbeOutcome::Full | ProbeOutcome::Unknown => {}
                         _ => host.failing = true,
                     }
                 }
             }
-            Event::Reach { zone, product, zones } => drop(self.reach.insert((*zone, *product), *zones)),
-            Event::Applied { proxy, mark, .. } => self.applied(now, *proxy, *mark),
-            Event::Together { first, last } => self.together(*first, *last),
-            Event::Again { mark } => {
+            Event::ReachRule { zone, class, allowed_zones } => {
+                self.reach.insert((*zone, *class), *allowed_zones);
+            }
+            Event::MarkApplied { proxy, mark, .. } => self.applied(now, *proxy, *mark),
+            Event::CallsMerged { first, last } => self.together(*first, *last),
+            Event::CallDuplicated { mark } => {
                 let mut lines = 0.0;
                 if let Some(marked) = self.marks.get_mut(mark) {
                     marked.copied = true;
@@ -415,28 +423,28 @@
         }
     }
 
-    fn learn(&mut self, now: f64, news: ListNews, entries: &[Listed]) {
-        if news != ListNews::Changes {
-            self.hosts.values_mut().for_each(|host| host.standing = Standing::Gone);
+    fn learn(&mut self, now: f64, news: ListUpdate, entries: &[HostEntry]) {
+        if news != ListUpdate::Changes {
+            self.hosts.values_mut().for_each(|host| host.standing = Availability::Removed);
         }
         // What the first list names was there before; one that comes later without a start is taken for fresh.
-        let first = !std::mem::replace(&mut self.listed, true) || news == ListNews::Restored;
+        let first = !std::mem::replace(&mut self.listed, true) || news == ListUpdate::FromSnapshot;
         for entry in entries {
             self.seen.entry(entry.host).or_insert(now);
             let new = !self.hosts.contains_key(&entry.host);
             let host = self.hosts.entry(entry.host).or_insert_with(|| Host {
                 zone: entry.zone,
                 weight: 1.0,
-                standing: entry.standing,
+                standing: entry.availability,
                 cold_since: None,
                 leaves: None,
                 failing: false,
                 met: BTreeMap::new(),
             });
-            (host.zone, host.standing) = (entry.zone, entry.standing);
+            (host.zone, host.standing) = (entry.zone, entry.availability);
             host.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
-            host.leaves = (entry.standing != Standing::On).then(|| host.leaves.unwrap_or(now));
-            let since = entry.born.or((new && !first).then_some(now));
+            host.leaves = (entry.availability != Availability::InService).then(|| host.leaves.unwrap_or(now));
+            let since = entry.started_at.or((new && !first).then_some(now));
             if let Some(since) = since.filter(|since| host.cold_since.is_none_or(|known| *since > known)) {
                 host.cold_since = Some(since);
                 host.met.clear();
@@ -483,7 +491,7 @@
         NOISE * met.max(self.beside * host.weight * host.able(now, &self.facts.warmup))
     }
 
-    fn came(&mut self, proxy: ProxyId, product: ProductId, rate: f64) {
+    fn came(&mut self, proxy: ProxyId, product: ClassId, rate: f64) {
         let Some(known) = self.proxies.get_mut(&proxy) else { return };
         let (before, first) = (known.came.get(&product).map(|came| came.0), known.came.is_empty());
         known.came.insert(product, (rate, before));
@@ -494,12 +502,12 @@
 
     /// Txns a second of these products that come to a proxy, at most.
     pub(crate) fn demand(&self, proxy: &Proxy, mask: u64) -> f64 {
-        let each = |(product, (last, before)): (&ProductId, &(f64, Option<f64>))| {
+        let each = |(product, (last, before)): (&ClassId, &(f64, Option<f64>))| {
             let growth = before.filter(|before| *before > 0.0).map_or(1.0, |before| last / before);
-            (mask & Products::one(*product).0 != 0).then(|| last * NOISE * growth.clamp(1.0, GROWTH))
+            (mask & ClassSet::one(*product).0 != 0).then(|| last * NOISE * growth.clamp(1.0, GROWTH))
         };
         let known: f64 = proxy.came.iter().filter_map(each).sum();
-        let told = proxy.came.keys().fold(0, |all, product| all | Products::one(*product).0);
+        let told = proxy.came.keys().fold(0, |all, product| all | ClassSet::one(*product).0);
         if mask & !told == 0 {
             return known;
         }
@@ -603,12 +611,12 @@
         self.missed = self.at + 1;
         for order in orders {
             match order {
-                Order::Share { tbl, host, weight } if *weight > 0.0 => {
-                    self.missing.lines.insert((*tbl, *host), 0.0);
+                Order::SetEntry { table, host, weight } if *weight > 0.0 => {
+                    self.missing.lines.insert((*table, *host), 0.0);
                 }
-                Order::Withdraw { host, out } => drop(self.missing.hosts.insert(*host, !out)),
-                Order::Bind { proxy, tbl, .. } => {
-                    let of = |call: &&Call| call.writes.binds.iter().any(|b| b.0 == *proxy && b.1 == *tbl);
+                Order::Withdraw { host, withdrawn } => drop(self.missing.hosts.insert(*host, !withdrawn)),
+                Order::Bind { proxy, table, .. } => {
+                    let of = |call: &&Call| call.writes.binds.iter().any(|b| b.0 == *proxy && b.1 == *table);
                     let call = self.loose.iter().rev().find(of);
                     let left = call.into_iter().flat_map(|call| &call.left).filter(|left| left.0 == *proxy);
                     self.missing.binds.extend(left.copied().collect::<Vec<_>>());
@@ -628,8 +636,8 @@
     }
 
     /// Txns a second that it counts with at most.
-    pub fn expects(&self, proxy: ProxyId, product: ProductId) -> f64 {
-        self.proxies.get(&proxy).map_or(0.0, |known| self.demand(known, Products::one(product).0))
+    pub fn expects(&self, proxy: ProxyId, product: ClassId) -> f64 {
+        self.proxies.get(&proxy).map_or(0.0, |known| self.demand(known, ClassSet::one(product).0))
     }
 
     /// Txns a second that a host survives now; none: it is not judged by it.
@@ -665,12 +673,12 @@
         let lines = self.lines(orders);
         let trial = self.apply(now, orders);
         for tbl in trial.before.keys().copied() {
-            self.ends.push_back((now + self.facts.channel.transit_worst, self.at, tbl));
+            self.ends.push_back((now + self.facts.channel.max_transit, self.at, tbl));
         }
         let Trial { writes, tables, left, .. } = trial;
         let bound = |proxy: ProxyId, mask: u64| writes.binds.iter().any(|b| b.0 == proxy && mask & !b.2 == 0);
         self.missing.binds.retain(|(proxy, _, mask)| !bound(*proxy, *mask));
-        let worst = self.facts.channel.transit_worst;
+        let worst = self.facts.channel.max_transit;
         for tbl in &tables {
             let Some(table) = self.tables.get_mut(tbl) else { continue };
             table.calls.push_back((self.at, now));
@@ -723,7 +731,7 @@
         }
         self.loose.push_back(Call { at, mark, end: at, again, answered, lines, writes, left });
         for order in orders {
-            if let Order::Forget { host } = order {
+            if let Order::ForgetHost { host } = order {
                 if self.named.get(host).is_none_or(BTreeSet::is_empty) {
                     self.hosts.remove(host);
                     self.out.remove(host);
@@ -737,7 +745,7 @@
     pub(crate) fn advance(&mut self, now: f64) {
         let gone = (now - self.waiting_at).max(0.0) * self.facts.channel.lines_per_s / 1e3;
         (self.waiting, self.waiting_at) = ((self.waiting - gone).max(0.0), self.waiting_at.max(now));
-        let over = self.facts.channel.messages_over;
+        let over = self.facts.channel.message_window;
         while self.messages.front().is_some_and(|message| message.when + over < now) {
             self.messages.pop_front();
         }
@@ -756,7 +764,7 @@
             self.hops_end.pop_front();
             let Some(hops) = self.hops.get_mut(&id) else { continue };
             if let Some(proxy) = self.proxies.get_mut(&id) {
-                let over = hops.iter().filter(|hop| hop.at <= at && hop.from != TblId::ALL);
+                let over = hops.iter().filter(|hop| hop.at <= at && hop.from != TableId::ALL);
                 proxy.been.extend(over.map(|hop| (hop.from, self.at + 1)));
             }
             hops.retain(|hop| hop.at > at);
@@ -772,7 +780,7 @@
 
     /// Calls that are not carried out again any more.
     fn calm(&mut self, now: f64) {
-        let worst = self.facts.channel.transit_worst;
+        let worst = self.facts.channel.max_transit;
         while self.settling.front().is_some_and(|settling| settling.0 <= now) {
             self.sure = self.settling.pop_front().map_or(self.sure, |settled| settled.1);
         }
@@ -820,7 +828,7 @@
         }
     }
 
-    fn prune(&mut self, tbl: TblId, now: f64) {
+    fn prune(&mut self, tbl: TableId, now: f64) {
         self.keep_tops(tbl);
         let quiet = self.quiet;
         let Some(table) = self.tables.get_mut(&tbl) else { return };
@@ -851,12 +859,12 @@
         let facts = &self.facts;
         self.cold.retain(|host| self.hosts.get(host).is_some_and(|host| !host.warm(now, &facts.warmup)));
         self.tops.retain(|(host, _), _| self.cold.contains(host));
-        let worst = self.facts.channel.transit_worst;
+        let worst = self.facts.channel.max_transit;
         // What no mark went after nobody can answer for.
         let marked = self.remembered.back().and_then(|mark| self.marks.get(mark)).map_or(0, |mark| mark.at);
         let due = |(at, when): &(At, f64)| *at <= marked && when + worst + LOOK_THROUGH < now;
         let last = |table: &Table| table.calls.iter().rev().find(|call| due(call)).map_or(0, |call| call.0);
-        let tables: BTreeMap<TblId, At> =
+        let tables: BTreeMap<TableId, At> =
             self.tables.iter().map(|(tbl, table)| (*tbl, last(table))).collect();
         for (id, proxy) in &mut self.proxies {
             // What went to a table before the proxy came to it went to others.
@@ -906,7 +914,7 @@
     }
 
     /// The part of a table's demand that each host gets at most, whichever unsure calls are carried out again.
-    pub(crate) fn shares(&self, tbl: TblId) -> Parts {
+    pub(crate) fn shares(&self, tbl: TableId) -> Parts {
         let Some(table) = self.tables.get(&tbl) else { return vec![] };
         let doubted = if self.doubts() { Some(self.doubt(tbl)) } else { None };
         let open = table.lines.keys().filter(|host| !self.out.contains(host));
@@ -918,7 +926,7 @@
     }
 
     /// Each host at the most that it may have, beside the others at the least. It looks at what unsure calls set alone.
-    pub(crate) fn doubt(&self, tbl: TblId) -> Doubt {
+    pub(crate) fn doubt(&self, tbl: TableId) -> Doubt {
         let none = Table::default();
         let table = self.tables.get(&tbl).unwrap_or(&none);
         let mut hosts = BTreeSet::new();
@@ -941,7 +949,7 @@
     }
 
     /// The least and the most weight that a line may have, shut out counting as none.
-    pub(crate) fn between(&self, tbl: TblId, table: &Table, host: HostId) -> (f64, f64) {
+    pub(crate) fn between(&self, tbl: TableId, table: &Table, host: HostId) -> (f64, f64) {
         let standing = table.lines.get(&host).copied().unwrap_or(0.0);
         let (mut low, mut high) = (standing, standing);
         let (mut maybe_in, mut maybe_out) = (!self.out.contains(&host), self.out.contains(&host));
@@ -958,7 +966,7 @@
     }
 
     /// Whether nothing in the table can serve, whichever calls are carried out again.
-    pub(crate) fn surely_bare(&self, tbl: TblId) -> bool {
+    pub(crate) fn surely_bare(&self, tbl: TableId) -> bool {
         let Some(table) = self.tables.get(&tbl) else { return true };
         let serves = |host: &HostId| self.hosts.get(host).is_some_and(Host::serves);
         let mut hosts: BTreeSet<HostId> = table.lines.keys().copied().collect();
