--- a/crates/guard/src/plain.rs
+++ b/crates/guard/src/plain.rs
@@ -29,9 +29,9 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct State {
-    lines: BTreeMap<(TblId, HostId), f64>,
+    lines: BTreeMap<(TableId, HostId), f64>,
     out: BTreeSet<HostId>,
-    uses: BTreeMap<(ProxyId, ProductId), TblId>,
+    uses: BTreeMap<(ProxyId, ClassId), TableId>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -42,7 +42,7 @@
     pub hosts: BTreeMap<HostId, Fate>,
     pub proxies: BTreeMap<ProxyId, ZoneId>,
     /// Txns a second, at most.
-    pub demand: BTreeMap<(ProxyId, ProductId), f64>,
+    pub demand: BTreeMap<(ProxyId, ClassId), f64>,
     /// Those that are behind, and how many calls they have carried out for certain.
     pub late: BTreeMap<ProxyId, usize>,
     calls: Vec<Call>,
@@ -59,32 +59,32 @@
     fn carry_out(&mut self, plain: &Plain, orders: &[Order]) {
         for order in orders {
             match order {
-                Order::Share { tbl, host, weight } if *weight > 0.0 => {
-                    self.lines.insert((*tbl, *host), *weight);
+                Order::SetEntry { table, host, weight } if *weight > 0.0 => {
+                    self.lines.insert((*table, *host), *weight);
                 }
-                Order::Share { tbl, host, .. } => drop(self.lines.remove(&(*tbl, *host))),
-                Order::Clear { tbl } => self.lines.retain(|line, _| line.0 != *tbl),
-                Order::Withdraw { host, out: true } => drop(self.out.insert(*host)),
-                Order::Withdraw { host, out: false } => drop(self.out.remove(host)),
-                Order::Bind { proxy, tbl, products } if plain.proxies.contains_key(proxy) => {
-                    let of = (0..plain.products).map(ProductId);
+                Order::SetEntry { table, host, .. } => drop(self.lines.remove(&(*table, *host))),
+                Order::ClearTable { table } => self.lines.retain(|line, _| line.0 != *table),
+                Order::Withdraw { host, withdrawn: true } => drop(self.out.insert(*host)),
+                Order::Withdraw { host, withdrawn: false } => drop(self.out.remove(host)),
+                Order::Bind { proxy, table, classes } if plain.proxies.contains_key(proxy) => {
+                    let of = (0..plain.products).map(ClassId);
                     let of =
-                        of.filter(|id| *products == Products::ALL || products.0 & Products::one(*id).0 != 0);
-                    self.uses.extend(of.map(|product| ((*proxy, product), *tbl)));
+                        of.filter(|id| *classes == ClassSet::ALL || classes.0 & ClassSet::one(*id).0 != 0);
+                    self.uses.extend(of.map(|product| ((*proxy, product), *table)));
                 }
                 _ => {}
             }
         }
     }
 
-    fn bare(&self, plain: &Plain, of: (ProxyId, ProductId)) -> bool {
+    fn bare(&self, plain: &Plain, of: (ProxyId, ClassId)) -> bool {
         let serves =
             |host: &HostId| !self.out.contains(host) && plain.hosts.get(host).is_some_and(|host| host.serves);
         let Some(tbl) = self.uses.get(&of) else { return false };
         !self.lines.keys().any(|(of, host)| of == tbl && serves(host))
     }
 
-    fn share(&self, of: (ProxyId, ProductId), host: HostId) -> f64 {
+    fn share(&self, of: (ProxyId, ClassId), host: HostId) -> f64 {
         let Some(tbl) = self.uses.get(&of) else { return 0.0 };
         let open = self.lines.iter().filter(|((of, host), _)| of == tbl && !self.out.contains(host));
         let sum: f64 = open.map(|line| *line.1).sum();
@@ -136,7 +136,7 @@
         };
         let late: BTreeMap<ProxyId, Vec<State>> =
             self.late.iter().map(|(proxy, from)| (*proxy, since(*from))).collect();
-        let part = |of: &(ProxyId, ProductId)| {
+        let part = |of: &(ProxyId, ClassId)| {
             let states = states.iter().chain(late.get(&of.0).into_iter().flatten());
             states.map(|state| state.share(*of, host)).fold(0.0, f64::max)
         };
@@ -157,8 +157,8 @@
             broken.insert(Rule::Drain);
         }
         for (proxy, zone) in &self.proxies {
-            for product in (0..self.products).map(ProductId) {
-                let (of, home) = ((*proxy, product), self.at_home & Products::one(product).0 != 0);
+            for product in (0..self.products).map(ClassId) {
+                let (of, home) = ((*proxy, product), self.at_home & ClassSet::one(product).0 != 0);
                 let ready = |(id, host): (&HostId, &Fate)| {
                     host.ready && !(was.contains(id) && is.contains(id)) && (!home || host.zone == *zone)
                 };
@@ -205,12 +205,12 @@
     }
 
     /// Proxies that have nothing in the newest state, while a host is ready for them.
-    pub fn bare_now(&self) -> Vec<(ProxyId, ProductId)> {
+    pub fn bare_now(&self) -> Vec<(ProxyId, ClassId)> {
         let state = &self.states(&self.calls, self.calls.len(), self.calls.len())[&None];
         let mut bare = Vec::new();
         for (proxy, zone) in &self.proxies {
-            for product in (0..self.products).map(ProductId) {
-                let home = self.at_home & Products::one(product).0 != 0;
+            for product in (0..self.products).map(ClassId) {
+                let home = self.at_home & ClassSet::one(product).0 != 0;
                 let ready = self
                     .hosts
                     .iter()
--- a/crates/guard/src/trial.rs
+++ b/crates/guard/src/trial.rs
@@ -71,9 +71,10 @@
 /// A host beside the fleet, in a zone of its own, shows what a warm one does.
 const BESIDE: (HostId, ZoneId) = (HostId(9), ZoneId(7));
 
-fn listed(host: HostId, zone: ZoneId) -> Listed {
-    let (pod, kind, born, standing) = (PodId(0), KindId(0), None, Standing::On);
-    Listed { host, weight: 1.0, zone, pod, kind, born, standing }
+fn listed(host: HostId, zone: ZoneId) -> HostEntry {
+    let (pod, instance_type, started_at, availability) =
+        (PodId(0), InstanceTypeId(0), None, Availability::InService);
+    HostEntry { host, weight: 1.0, zone, pod, instance_type, started_at, availability }
 }
 
 impl Small {
@@ -88,27 +89,41 @@
 
     fn hear(&self, guard: &mut Guard) {
         let entries = (0..).map(HostId).zip(&self.hosts).map(|(host, (_, zone))| listed(host, *zone));
-        let entries: Vec<Listed> = entries.chain([listed(BESIDE.0, BESIDE.1)]).collect();
-        guard.hear(0.0, &Event::List { news: ListNews::Restored, entries: entries.clone() });
-        let (host, zone, report) = (BESIDE.0, BESIDE.1, LoadReport::default());
-        guard.hear(1.0, &Event::Met { host, zone, over: 2_000.0, tries: 20, voided: 0, mean: 1.0, report });
+        let entries: Vec<HostEntry> = entries.chain([listed(BESIDE.0, BESIDE.1)]).collect();
+        guard.hear(0.0, &Event::List { update: ListUpdate::FromSnapshot, entries: entries.clone() });
+        let (host, zone, load) = (BESIDE.0, BESIDE.1, LoadReport::default());
+        guard.hear(
+            1.0,
+            &Event::HostReport {
+                host,
+                zone,
+                covered: 2_000.0,
+                tries: 20,
+                failed: 0,
+                mean_latency: 1.0,
+                load,
+            },
+        );
         for (entry, (kind, _)) in entries.into_iter().zip(&self.hosts) {
             let host = entry.host;
-            let changes = |entry| Event::List { news: ListNews::Changes, entries: vec![entry] };
+            let changes = |entry| Event::List { update: ListUpdate::Changes, entries: vec![entry] };
             match kind {
                 Kind::Warm => {}
-                Kind::Cold => guard.hear(2.0, &changes(Listed { born: Some(1.0), ..entry })),
-                Kind::Failing => {
-                    guard.hear(2.0, &Event::Probed { host, outcome: Outcome::TimedOut, took: 1.0, report })
+                Kind::Cold => guard.hear(2.0, &changes(HostEntry { started_at: Some(1.0), ..entry })),
+                Kind::Failing => guard.hear(
+                    2.0,
+                    &Event::ProbeResult { host, outcome: ProbeOutcome::TimedOut, duration: 1.0, load },
+                ),
+                Kind::Draining => {
+                    guard.hear(2.0, &changes(HostEntry { availability: Availability::Draining, ..entry }))
                 }
-                Kind::Draining => guard.hear(2.0, &changes(Listed { standing: Standing::Draining, ..entry })),
             }
         }
         for (proxy, zone) in (0..).map(ProxyId).zip(self.proxies) {
-            guard.hear(3.0, &Event::Joined { proxy, zone, txns_per_s: 10.0, fresh: true });
-            for product in [ProductId(0), ProductId(1)] {
+            guard.hear(3.0, &Event::ProxyJoined { proxy, zone, txns_per_s: 10.0, without_table: true });
+            for class in [ClassId(0), ClassId(1)] {
                 let txns = 2 * (2 + u32::from(proxy.0));
-                guard.hear(3.0, &Event::Came { proxy, product, txns, voided: 0, over: 2_000.0 });
+                guard.hear(3.0, &Event::ProxyReport { proxy, class, txns, failed: 0, covered: 2_000.0 });
             }
         }
     }
@@ -117,12 +132,12 @@
     pub fn play(&self, facts: &Facts) -> Told {
         let mut guard = Guard::new(Facts { products: 2, at_home: self.at_home, ..facts.clone() });
         self.hear(&mut guard);
-        let mut plain = Plain::new(2, self.at_home, facts.channel.transit_worst);
+        let mut plain = Plain::new(2, self.at_home, facts.channel.max_transit);
         let beside = Fate { zone: BESIDE.1, serves: true, ready: true, leaves: false, most: None };
         plain.hosts.insert(BESIDE.0, beside);
         plain.proxies = (0..).map(ProxyId).zip(self.proxies).collect();
         for proxy in plain.proxies.keys().copied() {
-            for product in [ProductId(0), ProductId(1)] {
+            for product in [ClassId(0), ClassId(1)] {
                 plain.demand.insert((proxy, product), guard.expects(proxy, product));
             }
         }
@@ -151,7 +166,7 @@
                     told.late += u64::from(late.is_some());
                     if let Some(mut sent) = judged(&mut guard, &plain, now, orders, &mut told) {
                         let mark = MarkId(plain.calls() as u16);
-                        sent.extend(self.late.map(|_| Order::Mark { mark, everyone: true }));
+                        sent.extend(self.late.map(|_| Order::Mark { mark, all_proxies: true }));
                         guard.commit(now, &sent);
                         plain.commit(now, &sent);
                         if let Some((proxy, most)) = self.late {
@@ -159,7 +174,7 @@
                             floor = if answers { plain.calls() } else { floor };
                             let who = (0..).map(ProxyId).take(self.proxies.len());
                             for proxy in who.filter(|of| *of != proxy || answers) {
-                                guard.hear(now, &Event::Applied { proxy, mark, took: 1.0 });
+                                guard.hear(now, &Event::MarkApplied { proxy, mark, duration: 1.0 });
                             }
                         }
                     }
--- a/crates/guard/src/verdict.rs
+++ b/crates/guard/src/verdict.rs
@@ -1,6 +1,6 @@
 //! What is said of a batch.
 
-use amberarch_core::{HostId, Order, ProductId, ProxyId, TblId, ZoneId};
+use amberarch_core::{ClassId, HostId, Order, ProxyId, TableId, ZoneId};
 
 /// In the order in which they go when nothing satisfies all: the first is kept at the cost of those after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
@@ -36,8 +36,8 @@
     Nothing {
         proxy: ProxyId,
         zone: ZoneId,
-        product: ProductId,
-        tbl: TblId,
+        product: ClassId,
+        tbl: TableId,
         again: Option<(u64, u64)>,
         ready: HostId,
     },
--- a/crates/guard/tests/guard/brute.rs
+++ b/crates/guard/tests/guard/brute.rs
@@ -10,14 +10,14 @@
 
 fn order() -> impl Strategy<Value = Order> {
     let weight = prop_oneof![2 => Just(0.0), 3 => Just(1.0), 1 => Just(1e-9), 1 => Just(1e9), 2 => Just(3.0)];
-    let products = prop_oneof![Just(Products::ALL), Just(Products(1)), Just(Products(2))];
+    let classes = prop_oneof![Just(ClassSet::ALL), Just(ClassSet(1)), Just(ClassSet(2))];
     prop_oneof![
         4 => (0..2u16, 0..3u32, weight).prop_map(|(tbl, host, weight)| share(tbl, host, weight)),
         2 => (0..3u32).prop_map(out),
         2 => (0..3u32).prop_map(back),
-        2 => (0..3u16, 0..2u16, products)
-            .prop_map(|(p, t, products)| Order::Bind { proxy: ProxyId(p), tbl: TblId(t), products }),
-        1 => (0..2u16).prop_map(|tbl| Order::Clear { tbl: TblId(tbl) }),
+        2 => (0..3u16, 0..2u16, classes)
+            .prop_map(|(p, t, classes)| Order::Bind { proxy: ProxyId(p), table: TableId(t), classes }),
+        1 => (0..2u16).prop_map(|tbl| Order::ClearTable { table: TableId(tbl) }),
     ]
 }
 
--- a/crates/guard/tests/guard/hard.rs
+++ b/crates/guard/tests/guard/hard.rs
@@ -13,7 +13,7 @@
 
 /// The host has just started.
 fn starts(guard: &mut Guard, now: f64, host: u32) {
-    guard.hear(now, &list(vec![Listed { born: Some(now), ..on(host, 0) }]));
+    guard.hear(now, &list(vec![HostEntry { started_at: Some(now), ..on(host, 0) }]));
 }
 
 #[test]
@@ -31,8 +31,8 @@
             (0..hosts).flat_map(|host| tables(host).into_iter().map(move |tbl| share(tbl, host, 1.0)));
         let binds = (0..products).map(|p| Order::Bind {
             proxy: ProxyId(0),
-            tbl: TblId(p),
-            products: Products::one(ProductId(p)),
+            table: TableId(p),
+            classes: ClassSet::one(ClassId(p)),
         });
         let_through(&mut guard, 0.0, &lines.chain(binds).collect::<Vec<_>>());
         let serves = |host: u32| product == 0 || (host % 3) as u16 == zone;
@@ -42,16 +42,16 @@
         // All others that serve it answer no probe and are shut out; those that do not serve it stay.
         let others: Vec<u32> = (0..hosts).filter(|host| *host != left && serves(*host)).collect();
         for host in &others {
-            guard.hear(10.0, &probed(*host, Outcome::TimedOut));
+            guard.hear(10.0, &probed(*host, ProbeOutcome::TimedOut));
         }
         let shut: Vec<Order> = others.iter().map(|host| out(*host)).collect();
         let_through(&mut guard, 10.0, &shut);
         assert_eq!(rules(&mut guard, 20.0, &[out(left)]), [Rule::Bare], "{zone} {product} {left}");
-        assert_eq!(rules(&mut guard, 20.0, &[Order::Clear { tbl: TblId(product) }]), [Rule::Bare]);
+        assert_eq!(rules(&mut guard, 20.0, &[Order::ClearTable { table: TableId(product) }]), [Rule::Bare]);
         assert_eq!(rules(&mut guard, 20.0, &[share(product, left, 0.0)]), [Rule::Bare]);
         // It goes once another serves.
         let Some(other) = others.into_iter().find(|host| (host % 3) as u16 == zone) else { continue };
-        guard.hear(30.0, &probed(other, Outcome::Answered));
+        guard.hear(30.0, &probed(other, ProbeOutcome::Answered));
         assert_eq!(rules(&mut guard, 30.0, &[back(other), out(left)]), []);
     }
 }
@@ -59,7 +59,7 @@
 #[test]
 fn a_zone_cut_off_and_the_survivors_cold_get_the_least_bad_with_its_price() {
     let mut guard = Guard::new(facts(1, 0));
-    let cold = |host: u32| Listed { born: Some(-1_000.0), ..on(host, 1) };
+    let cold = |host: u32| HostEntry { started_at: Some(-1_000.0), ..on(host, 1) };
     guard.hear(0.0, &list((0..2).map(|host| on(host, 0)).chain((2..4).map(cold)).collect()));
     (0..2).for_each(|proxy| guard.hear(0.0, &joined(proxy, 0)));
     let lines: Vec<Order> = (0..4).map(|host| share(0, host, if host < 2 { 1.0 } else { 0.1 })).collect();
@@ -68,8 +68,8 @@
     (0..2).for_each(|proxy| guard.hear(2.0, &came(proxy, 0, 60)));
     // The zone's hosts answer no more, and drain.
     for host in 0..2 {
-        guard.hear(500.0, &probed(host, Outcome::Unreachable));
-        guard.hear(500.0, &list(vec![Listed { standing: Standing::Draining, ..on(host, 0) }]));
+        guard.hear(500.0, &probed(host, ProbeOutcome::Unreachable));
+        guard.hear(500.0, &list(vec![HostEntry { availability: Availability::Draining, ..on(host, 0) }]));
     }
     let (orders, price) = mended(&mut guard, 3_000.0, &[out(0), out(1)]);
     assert!(orders.contains(&out(0)) && orders.contains(&out(1)), "drains are kept: {orders:?}");
@@ -120,7 +120,7 @@
 fn an_unsure_call_that_may_have_been_carried_out_counts_until_a_later_one_is_answered() {
     let mut guard = usual();
     guard.commit(100.0, &[out(0), mark(1)]);
-    guard.hear(150.0, &Event::Again { mark: MarkId(1) });
+    guard.hear(150.0, &Event::CallDuplicated { mark: MarkId(1) });
     guard.hear(200.0, &applied(0, 1));
     guard.commit(210.0, &[back(0), mark(2)]);
     // Told of as repeated, the answer may be to the first copy.
@@ -133,15 +133,21 @@
 #[test]
 fn a_proxy_that_left_and_came_back_with_old_tables_is_bound_to_what_serves() {
     let mut guard = usual();
-    guard.hear(100.0, &Event::Left { proxy: ProxyId(2) });
+    guard.hear(100.0, &Event::ProxyLeft { proxy: ProxyId(2) });
     // Nobody uses table 1: its line may go.
     let_through(&mut guard, 110.0, &[share(1, 2, 0.0)]);
-    guard.hear(200.0, &Event::Joined { proxy: ProxyId(2), zone: ZoneId(0), txns_per_s: 1.0, fresh: false });
+    guard.hear(
+        200.0,
+        &Event::ProxyJoined { proxy: ProxyId(2), zone: ZoneId(0), txns_per_s: 1.0, without_table: false },
+    );
     // What it holds is not known; bound to what serves nothing it would lose it.
     assert_eq!(rules(&mut guard, 210.0, &[bind(2, 1)]), [Rule::Bare]);
     let_through(&mut guard, 210.0, &[bind(2, 0)]);
     // In no table for longer than stated it is told of.
-    guard.hear(300.0, &Event::Joined { proxy: ProxyId(2), zone: ZoneId(0), txns_per_s: 1.0, fresh: false });
+    guard.hear(
+        300.0,
+        &Event::ProxyJoined { proxy: ProxyId(2), zone: ZoneId(0), txns_per_s: 1.0, without_table: false },
+    );
     assert_eq!(rules(&mut guard, 4_000.0, &[]), []);
     assert!(guard.findings().contains(&Finding::Unbound(ProxyId(2))));
 }
@@ -165,13 +171,16 @@
     starts(&mut guard, 10.0, 1);
     // Host 1 survives 3 x 10 x 0.2; half of what two proxies bring is more, so it gets less.
     let_through(&mut guard, 10.0, &[share(0, 1, 0.2)]);
-    guard.hear(20.0, &Event::Joined { proxy: ProxyId(3), zone: ZoneId(0), txns_per_s: 0.0, fresh: true });
-    assert!(guard.expects(ProxyId(3), ProductId(0)) >= 10.0);
-    let eight = (4..12).map(|proxy| Event::Joined {
+    guard.hear(
+        20.0,
+        &Event::ProxyJoined { proxy: ProxyId(3), zone: ZoneId(0), txns_per_s: 0.0, without_table: true },
+    );
+    assert!(guard.expects(ProxyId(3), ClassId(0)) >= 10.0);
+    let eight = (4..12).map(|proxy| Event::ProxyJoined {
         proxy: ProxyId(proxy),
         zone: ZoneId(0),
         txns_per_s: 0.0,
-        fresh: true,
+        without_table: true,
     });
     eight.for_each(|event| guard.hear(20.0, &event));
     let binds: Vec<Order> = (3..12).map(|proxy| bind(proxy, 0)).collect();
@@ -185,13 +194,13 @@
 fn demand_that_doubles_within_one_report_period_is_taken_to_double_again() {
     let mut guard = usual();
     told(&mut guard, 3, 10);
-    assert_eq!(guard.expects(ProxyId(0), ProductId(0)), 11.0);
+    assert_eq!(guard.expects(ProxyId(0), ClassId(0)), 11.0);
     starts(&mut guard, 10.0, 1);
     // A third of 22 for a host that survives 6.
     let let_in = [share(0, 1, 0.25)];
     assert_eq!(rules(&mut guard, 10.0, &let_in), []);
     (0..2).for_each(|proxy| guard.hear(20.0, &came(proxy, 0, 20)));
-    assert_eq!(guard.expects(ProxyId(0), ProductId(0)), 44.0);
+    assert_eq!(guard.expects(ProxyId(0), ClassId(0)), 44.0);
     assert_eq!(rules(&mut guard, 20.0, &let_in), []);
     // Nothing that the batch raises: it had half. One that raises it is found.
     let_through(&mut guard, 20.0, &[share(0, 1, 0.01)]);
@@ -226,14 +235,14 @@
     let_through(&mut guard, 0.0, &[lines, (0..5_000).map(|proxy| bind(proxy, 0)).collect()].concat());
     guard.hear(
         1.0,
-        &Event::Met {
+        &Event::HostReport {
             host: HostId(0),
             zone: ZoneId(0),
-            over: 2_000.0,
+            covered: 2_000.0,
             tries: 50_000,
-            voided: 0,
-            mean: 1.0,
-            report: LoadReport::default(),
+            failed: 0,
+            mean_latency: 1.0,
+            load: LoadReport::default(),
         },
     );
     (0..5_000).for_each(|proxy| guard.hear(2.0, &came(proxy, 0, 10)));
@@ -244,7 +253,7 @@
     let (orders, price) = mended(&mut guard, 20.0, &move_);
     assert_eq!((orders.len(), price), (move_.len(), 0.0));
     assert!(
-        matches!(orders.last(), Some(Order::Share { weight, .. }) if *weight < 0.6),
+        matches!(orders.last(), Some(Order::SetEntry { weight, .. }) if *weight < 0.6),
         "{:?}",
         orders.last()
     );
@@ -308,12 +317,12 @@
     // A drain that is due leaves a proxy nothing but a cold host: the drain goes first, then the proxy has something,
     // and what the host survives goes last, at its price.
     let mut guard = Guard::new(facts(1, 0));
-    guard.hear(0.0, &list(vec![on(0, 0), Listed { born: Some(0.0), ..on(1, 0) }]));
+    guard.hear(0.0, &list(vec![on(0, 0), HostEntry { started_at: Some(0.0), ..on(1, 0) }]));
     guard.hear(0.0, &joined(0, 0));
     let_through(&mut guard, 0.0, &[share(0, 0, 1.0), share(0, 1, 0.01), bind(0, 0)]);
     guard.hear(1.0, &met(0, 10));
     guard.hear(2.0, &came(0, 0, 50));
-    guard.hear(100.0, &list(vec![Listed { standing: Standing::Draining, ..on(0, 0) }]));
+    guard.hear(100.0, &list(vec![HostEntry { availability: Availability::Draining, ..on(0, 0) }]));
     // While the grace lets it the drain waits.
     let (orders, price) = mended(&mut guard, 200.0, &[out(0), mark(1)]);
     assert_eq!((orders, price), (vec![mark(1)], 0.0));
@@ -329,7 +338,7 @@
 #[test]
 fn a_queue_without_room_takes_what_shuts_out_and_leaves_the_rest_for_later() {
     let mut facts = facts(1, 0);
-    (facts.channel.backlog, facts.channel.lines_per_s, facts.channel.messages) = (30.0, 1.0, 3);
+    (facts.channel.max_backlog, facts.channel.lines_per_s, facts.channel.max_messages) = (30.0, 1.0, 3);
     let mut guard = Guard::new(facts);
     guard.hear(0.0, &list((0..3).map(|host| on(host, 0)).collect()));
     guard.hear(0.0, &joined(0, 0));
--- a/crates/guard/tests/guard/help.rs
+++ b/crates/guard/tests/guard/help.rs
@@ -11,14 +11,19 @@
         at_home,
         channel: Channel {
             lines_per_s: 1e6,
-            head: 3.0,
-            backlog: 1e6,
-            messages: 0,
-            messages_over: 10_000.0,
-            transit: 200.0,
-            transit_worst: WORST,
+            message_overhead: 3.0,
+            max_backlog: 1e6,
+            max_messages: 0,
+            message_window: 10_000.0,
+            typical_transit: 200.0,
+            max_transit: WORST,
+        },
+        warmup: Warmup {
+            initial_capacity: 0.2,
+            duration: 15_000.0,
+            failure_load: 3.0,
+            failure_after: 2_000.0,
         },
-        warmup: Warmup { from: 0.2, within: 15_000.0, multiple: 3.0, fall_after: 2_000.0 },
         grace: 2_000.0,
         bare_for: 3_000.0,
         every: 2_000.0,
@@ -27,57 +32,57 @@
     }
 }
 
-pub fn on(host: u32, zone: u16) -> Listed {
-    Listed {
+pub fn on(host: u32, zone: u16) -> HostEntry {
+    HostEntry {
         host: HostId(host),
         weight: 1.0,
         zone: ZoneId(zone),
         pod: PodId(0),
-        kind: KindId(0),
-        born: None,
-        standing: Standing::On,
+        instance_type: InstanceTypeId(0),
+        started_at: None,
+        availability: Availability::InService,
     }
 }
-pub fn list(entries: Vec<Listed>) -> Event {
-    Event::List { news: ListNews::Changes, entries }
+pub fn list(entries: Vec<HostEntry>) -> Event {
+    Event::List { update: ListUpdate::Changes, entries }
 }
 pub fn joined(proxy: u16, zone: u16) -> Event {
-    Event::Joined { proxy: ProxyId(proxy), zone: ZoneId(zone), txns_per_s: 10.0, fresh: true }
+    Event::ProxyJoined { proxy: ProxyId(proxy), zone: ZoneId(zone), txns_per_s: 10.0, without_table: true }
 }
 /// So many txns a second of a product.
 pub fn came(proxy: u16, product: u16, rate: u32) -> Event {
-    Event::Came {
+    Event::ProxyReport {
         proxy: ProxyId(proxy),
-        product: ProductId(product),
+        class: ClassId(product),
         txns: 2 * rate,
-        voided: 0,
-        over: 2_000.0,
+        failed: 0,
+        covered: 2_000.0,
     }
 }
 pub fn met(host: u32, rate: u32) -> Event {
-    let (host, zone, report) = (HostId(host), ZoneId(0), LoadReport::default());
-    Event::Met { host, zone, over: 2_000.0, tries: 2 * rate, voided: 0, mean: 10.0, report }
+    let (host, zone, load) = (HostId(host), ZoneId(0), LoadReport::default());
+    Event::HostReport { host, zone, covered: 2_000.0, tries: 2 * rate, failed: 0, mean_latency: 10.0, load }
 }
-pub fn probed(host: u32, outcome: Outcome) -> Event {
-    Event::Probed { host: HostId(host), outcome, took: 1.0, report: LoadReport::default() }
+pub fn probed(host: u32, outcome: ProbeOutcome) -> Event {
+    Event::ProbeResult { host: HostId(host), outcome, duration: 1.0, load: LoadReport::default() }
 }
 pub fn share(tbl: u16, host: u32, weight: f64) -> Order {
-    Order::Share { tbl: TblId(tbl), host: HostId(host), weight }
+    Order::SetEntry { table: TableId(tbl), host: HostId(host), weight }
 }
 pub fn out(host: u32) -> Order {
-    Order::Withdraw { host: HostId(host), out: true }
+    Order::Withdraw { host: HostId(host), withdrawn: true }
 }
 pub fn back(host: u32) -> Order {
-    Order::Withdraw { host: HostId(host), out: false }
+    Order::Withdraw { host: HostId(host), withdrawn: false }
 }
 pub fn bind(proxy: u16, tbl: u16) -> Order {
-    Order::Bind { proxy: ProxyId(proxy), tbl: TblId(tbl), products: Products::ALL }
+    Order::Bind { proxy: ProxyId(proxy), table: TableId(tbl), classes: ClassSet::ALL }
 }
 pub fn mark(number: u16) -> Order {
-    Order::Mark { mark: MarkId(number), everyone: false }
+    Order::Mark { mark: MarkId(number), all_proxies: false }
 }
 pub fn applied(proxy: u16, number: u16) -> Event {
-    Event::Applied { proxy: ProxyId(proxy), mark: MarkId(number), took: 1.0 }
+    Event::MarkApplied { proxy: ProxyId(proxy), mark: MarkId(number), duration: 1.0 }
 }
 
 /// Hosts 0 and 1 in table 0, host 2 in table 1, all in zone 0; proxies 0 to 2, of which 0 and 1 use table 0.
--- a/crates/guard/tests/guard/late.rs
+++ b/crates/guard/tests/guard/late.rs
@@ -13,7 +13,7 @@
 }
 
 fn starts(guard: &mut Guard, now: f64, host: u32) {
-    guard.hear(now, &list(vec![Listed { born: Some(now), ..on(host, 0) }]));
+    guard.hear(now, &list(vec![HostEntry { started_at: Some(now), ..on(host, 0) }]));
 }
 
 /// Goes out whatever the guard says, and the relay answers; those proxies answer its mark.
@@ -25,8 +25,8 @@
 
 /// All that is due by 5.1 s; proxy 1 is behind by then.
 fn falls_behind(guard: &mut Guard) {
-    guard.hear(4_000.0, &probed(0, Outcome::Answered));
-    guard.hear(5_100.0, &probed(0, Outcome::Answered));
+    guard.hear(4_000.0, &probed(0, ProbeOutcome::Answered));
+    guard.hear(5_100.0, &probed(0, ProbeOutcome::Answered));
     assert_eq!(guard.findings(), [Finding::Behind(ProxyId(1))]);
 }
 
@@ -78,7 +78,7 @@
 fn a_proxy_that_came_with_tables_of_another_may_know_all_hosts_that_were_listed() {
     let mut guard = usual();
     guard.hear(3.0, &list(vec![on(3, 0)]));
-    guard.hear(900.0, &Event::Left { proxy: ProxyId(1) });
+    guard.hear(900.0, &Event::ProxyLeft { proxy: ProxyId(1) });
     guard.hear(900.0, &joined(1, 0));
     told(&mut guard, 3);
     goes_out(&mut guard, 1_000.0, &[bind(1, 0)], 1, &[]);
@@ -97,7 +97,7 @@
         guard.commit(1_000.0, &[share(0, 0, f64::from(number)), mark(number)]);
     }
     // The first two go as one; the second's mark is answered first.
-    guard.hear(1_000.0, &Event::Together { first: MarkId(1), last: MarkId(2) });
+    guard.hear(1_000.0, &Event::CallsMerged { first: MarkId(1), last: MarkId(2) });
     let place = guard.place();
     guard.answered(1_050.0, place);
     guard.hear(1_100.0, &applied(0, 2));
@@ -109,7 +109,7 @@
     assert_eq!(guard.findings(), [Finding::OutOfOrder(ProxyId(0))]);
     // A repeat is told; the copy's answer comes long after all was answered for.
     guard.commit(2_000.0, &[share(0, 0, 1.5), mark(4)]);
-    guard.hear(2_100.0, &Event::Again { mark: MarkId(4) });
+    guard.hear(2_100.0, &Event::CallDuplicated { mark: MarkId(4) });
     guard.hear(2_200.0, &applied(0, 4));
     let place = guard.commit(2_300.0, &[share(0, 0, 1.0), mark(5)]);
     guard.answered(2_400.0, place);
@@ -129,9 +129,9 @@
         guard.commit(1_000.0, &[out(0), mark(1)]);
         guard.commit(1_100.0, &[back(0), mark(2)]);
         if together {
-            guard.hear(1_150.0, &Event::Together { first: MarkId(1), last: MarkId(2) });
+            guard.hear(1_150.0, &Event::CallsMerged { first: MarkId(1), last: MarkId(2) });
         }
-        guard.hear(1_200.0, &Event::Again { mark: MarkId(1) });
+        guard.hear(1_200.0, &Event::CallDuplicated { mark: MarkId(1) });
         guard.hear(1_300.0, &applied(0, 1));
         guard.hear(1_300.0, &applied(0, 2));
         // 2.1 s after the answer, and not yet 2.4 s: the first is unsure unless the second shows otherwise.
--- a/crates/guard/tests/guard/seeded.rs
+++ b/crates/guard/tests/guard/seeded.rs
@@ -22,37 +22,49 @@
             .inner
             .decide(now, events)
             .into_iter()
-            .partition(|order| matches!(order, Order::Share { .. }));
+            .partition(|order| matches!(order, Order::SetEntry { .. }));
         orders.extend(std::mem::replace(&mut self.late, lines));
         orders
     }
 }
 
 fn steward() -> Steward {
-    let post =
-        Post { seed: 1, zone: ZoneId(0), zones: 2, stewards: 1, by_zone: false, slices: 0, may_probe: true };
-    let product = Product {
-        sla: 400.0,
-        expiry: 1_200.0,
-        effect: Effect::InquiryLike,
-        scope: Scope::All,
-        window: 5_000.0,
-        revenue: 1.0,
-        late_part: 0.2,
-        own_zone: false,
+    let post = InstanceSettings {
+        seed: 1,
+        zone: ZoneId(0),
+        zone_count: 2,
+        controllers: 1,
+        proxies_by_zone: false,
+        slice_count: 0,
+        may_probe: true,
+    };
+    let product = RequestClass {
+        latency_target: 400.0,
+        deadline: 1_200.0,
+        idempotency: Idempotency::Idempotent,
+        scope: DedupScope::All,
+        dedup_window: 5_000.0,
+        value: 1.0,
+        late_value_fraction: 0.2,
+        home_zone_only: false,
         writes: false,
     };
-    let sidecars = Sidecars {
-        count: 6,
-        standing: 2,
-        bare_for: 3_000.0,
-        levels: LevelKind::Off,
-        usual_tries: Tries::AfterProof,
-        try_wait: 0.8,
+    let sidecars = ProxySettings {
+        proxy_count: 6,
+        bootstrap_hosts: 2,
+        max_time_without_host: 3_000.0,
+        level_kind: LevelKind::Off,
+        default_tries: RetryPolicy::AfterProof,
+        try_factor: 0.8,
+    };
+    let roster = HostListSettings {
+        on_request: false,
+        request_within: 1e4,
+        drain_grace: 2_000.0,
+        removal_not_binding: false,
     };
-    let roster = Roster { asked: false, ask_within: 1e4, grace: 2_000.0, removal_not_binding: false };
     let facts = facts(1, 0);
-    let sums = Sums { every: 2_000.0, lines_per_s: 1_000.0 };
+    let sums = ReportSettings { interval: 2_000.0, max_lines_per_s: 1_000.0 };
     Steward::new(post, vec![product], facts.channel, sidecars, facts.warmup, roster, sums)
 }
 
@@ -61,21 +73,21 @@
     let door = Rc::new(RefCell::new(Door::new(Guard::new(facts(1, 0)), Mode::Watch)));
     let mut guarded = Guarded::new(decisions, door.clone());
     let hosts = (0..6).map(|host| on(host, host as u16 % 2)).collect();
-    let mut events = vec![Event::List { news: ListNews::Restored, entries: hosts }];
+    let mut events = vec![Event::List { update: ListUpdate::FromSnapshot, entries: hosts }];
     events.extend((0..6).map(|proxy| joined(proxy, proxy % 2)));
     let mut marks = vec![];
     for tick in 0..50 {
         let now = 200.0 * f64::from(tick);
         // Half the fleet starts anew.
         if tick == 20 {
-            let born = |host| Listed { born: Some(now), ..on(host, host as u16 % 2) };
+            let born = |host| HostEntry { started_at: Some(now), ..on(host, host as u16 % 2) };
             events.push(list((0..3).map(born).collect()));
         }
         let orders = guarded.decide(now, &events);
-        events = vec![Event::Due { timer: TimerId(0) }];
+        events = vec![Event::TimerExpired { timer: TimerId(0) }];
         for order in &orders {
             match order {
-                Order::Probe { host } => events.push(probed(host.0, Outcome::Answered)),
+                Order::Probe { host } => events.push(probed(host.0, ProbeOutcome::Answered)),
                 Order::Mark { mark, .. } => marks.push(*mark),
                 _ => {}
             }
--- a/crates/guard/tests/guard/traces.rs
+++ b/crates/guard/tests/guard/traces.rs
@@ -9,10 +9,10 @@
 use Step::{Answered, Wait};
 
 fn bind_of(proxy: u16, tbl: u16, products: u64) -> Order {
-    Order::Bind { proxy: ProxyId(proxy), tbl: TblId(tbl), products: Products(products) }
+    Order::Bind { proxy: ProxyId(proxy), table: TableId(tbl), classes: ClassSet(products) }
 }
 fn clear(tbl: u16) -> Order {
-    Order::Clear { tbl: TblId(tbl) }
+    Order::ClearTable { table: TableId(tbl) }
 }
 fn batch<const N: usize>(orders: [Order; N]) -> Step {
     Step::Batch(orders.to_vec())
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -157,7 +157,7 @@
 fn shape(zones: u16, hosts: u32, proxies: u16) -> Shape {
     let mut shape = Shape { zones, hosts, proxies, lasts: LASTS, ..Shape::usual() };
     // A round of sums of a steward takes four seconds and more.
-    shape.sums.lines_per_s = 0.125 * f64::from(proxies);
+    shape.sums.max_lines_per_s = 0.125 * f64::from(proxies);
     shape
 }
 
--- a/crates/lab/src/guard.rs
+++ b/crates/lab/src/guard.rs
@@ -58,14 +58,14 @@
     let small = small(chance);
     let lines: Vec<Order> = (0..chance.random_range(2..6))
         .map(|_| {
-            let (host, tbl) = (HostId(chance.random_range(0..3)), TblId(chance.random_range(0..2)));
-            Order::Share { tbl, host, weight: 1.0 }
+            let (host, table) = (HostId(chance.random_range(0..3)), TableId(chance.random_range(0..2)));
+            Order::SetEntry { table, host, weight: 1.0 }
         })
         .collect();
     let binds: Vec<Order> = (0..3)
         .map(|proxy| {
-            let tbl = TblId(chance.random_range(0..2));
-            Order::Bind { proxy: ProxyId(proxy), tbl, products: Products::ALL }
+            let table = TableId(chance.random_range(0..2));
+            Order::Bind { proxy: ProxyId(proxy), table, classes: ClassSet::ALL }
         })
         .collect();
     let mut steps = vec![Step::Batch([lines, binds].concat()), Step::Answered];
@@ -79,19 +79,19 @@
 }
 
 fn order(chance: &mut StdRng) -> Order {
-    let (host, tbl) = (HostId(chance.random_range(0..3)), TblId(chance.random_range(0..2)));
+    let (host, table) = (HostId(chance.random_range(0..3)), TableId(chance.random_range(0..2)));
     match chance.random_range(0..11) {
         0..=3 => {
             let weight = [0.0, 0.0, 1.0, 1.0, 1.0, 1e-9, 1e9, 3.0, 3.0][chance.random_range(0..9)];
-            Order::Share { tbl, host, weight }
+            Order::SetEntry { table, host, weight }
         }
-        4 | 5 => Order::Withdraw { host, out: true },
-        6 | 7 => Order::Withdraw { host, out: false },
+        4 | 5 => Order::Withdraw { host, withdrawn: true },
+        6 | 7 => Order::Withdraw { host, withdrawn: false },
         8 | 9 => {
             let proxy = ProxyId(chance.random_range(0..3));
-            Order::Bind { proxy, tbl, products: Products(chance.random_range(0..3)) }
+            Order::Bind { proxy, table, classes: ClassSet(chance.random_range(0..3)) }
         }
-        _ => Order::Clear { tbl },
+        _ => Order::ClearTable { table },
     }
 }
 
@@ -101,17 +101,17 @@
         at_home: 0,
         channel: Channel {
             lines_per_s: 1_000.0 * f64::from(shape.proxies),
-            head: 3.0,
-            backlog: 400.0 * f64::from(shape.proxies),
-            messages: 60,
-            messages_over: 10_000.0,
-            transit: shape.transit,
-            transit_worst: 2.0 * shape.transit,
+            message_overhead: 3.0,
+            max_backlog: 400.0 * f64::from(shape.proxies),
+            max_messages: 60,
+            message_window: 10_000.0,
+            typical_transit: shape.transit,
+            max_transit: 2.0 * shape.transit,
         },
         warmup: shape.warmup.clone(),
         grace: GRACE,
         bare_for: 3_000.0,
-        every: shape.sums.every,
+        every: shape.sums.interval,
         alone: true,
         per_weight: None,
     }
@@ -120,7 +120,7 @@
 /// Fleets by seed over four threads, until so many batches were judged.
 fn words(seed: u64, most: u64, draw: fn(&mut StdRng) -> Small) -> Words {
     let open = Facts {
-        channel: Channel { backlog: 1e9, messages: 0, ..facts(&Shape::usual()).channel },
+        channel: Channel { max_backlog: 1e9, max_messages: 0, ..facts(&Shape::usual()).channel },
         ..facts(&Shape::usual())
     };
     let part = |thread: u64| {
@@ -161,29 +161,33 @@
                 continue;
             }
             let mut guard = Guard::new(Facts { products: 3, at_home: 0b100, ..facts(&Shape::usual()) });
-            let listed = |host: u32| Listed {
+            let listed = |host: u32| HostEntry {
                 host: HostId(host),
                 weight: 1.0,
                 zone: ZoneId(zone_of(host)),
                 pod: PodId(0),
-                kind: KindId(0),
-                born: None,
-                standing: Standing::On,
+                instance_type: InstanceTypeId(0),
+                started_at: None,
+                availability: Availability::InService,
             };
             let entries = (0..hosts).map(listed).collect();
-            guard.hear(0.0, &Event::List { news: ListNews::Restored, entries });
+            guard.hear(0.0, &Event::List { update: ListUpdate::FromSnapshot, entries });
             let (proxy, zone, txns_per_s) = (ProxyId(0), ZoneId(home), 1.0);
-            guard.hear(0.0, &Event::Joined { proxy, zone, txns_per_s, fresh: true });
-            let (tbl, share) = (TblId(0), |host, weight| Order::Share { tbl: TblId(0), host, weight });
+            guard.hear(0.0, &Event::ProxyJoined { proxy, zone, txns_per_s, without_table: true });
+            let (table, share) =
+                (TableId(0), |host, weight| Order::SetEntry { table: TableId(0), host, weight });
             let lines = (0..hosts).filter(|host| serves(*host)).map(|host| share(HostId(host), 1.0));
-            let bind = Order::Bind { proxy, tbl, products: Products::one(ProductId(product)) };
+            let bind = Order::Bind { proxy, table, classes: ClassSet::one(ClassId(product)) };
             let place = guard.commit(0.0, &lines.chain([bind]).collect::<Vec<_>>());
             guard.answered(0.0, place);
-            let gate = |host, out| Order::Withdraw { host: HostId(host), out };
+            let gate = |host, withdrawn| Order::Withdraw { host: HostId(host), withdrawn };
             let others: Vec<u32> = (0..hosts).filter(|host| *host != left && serves(*host)).collect();
             for host in &others {
-                let (host, report) = (HostId(*host), LoadReport::default());
-                guard.hear(1.0, &Event::Probed { host, outcome: Outcome::TimedOut, took: 1.0, report });
+                let (host, load) = (HostId(*host), LoadReport::default());
+                guard.hear(
+                    1.0,
+                    &Event::ProbeResult { host, outcome: ProbeOutcome::TimedOut, duration: 1.0, load },
+                );
             }
             let shut: Vec<Order> = others.iter().map(|host| gate(*host, true)).collect();
             let mut expect = |guard: &mut Guard, orders: &[Order], good: bool| {
@@ -195,11 +199,14 @@
             guard.answered(2.0, place);
             expect(&mut guard, &[gate(left, true)], false);
             expect(&mut guard, &[share(HostId(left), 0.0)], false);
-            expect(&mut guard, &[Order::Clear { tbl }], false);
-            expect(&mut guard, &[Order::Bind { proxy, tbl: TblId(1), products: Products::ALL }], false);
+            expect(&mut guard, &[Order::ClearTable { table }], false);
+            expect(&mut guard, &[Order::Bind { proxy, table: TableId(1), classes: ClassSet::ALL }], false);
             if let Some(other) = others.first() {
-                let (host, report) = (HostId(*other), LoadReport::default());
-                guard.hear(3.0, &Event::Probed { host, outcome: Outcome::Answered, took: 1.0, report });
+                let (host, load) = (HostId(*other), LoadReport::default());
+                guard.hear(
+                    3.0,
+                    &Event::ProbeResult { host, outcome: ProbeOutcome::Answered, duration: 1.0, load },
+                );
                 expect(&mut guard, &[gate(*other, false), gate(left, true)], true);
             }
         }
@@ -290,17 +297,17 @@
 struct Truth {
     shape: Shape,
     faults: Vec<Gone>,
-    hosts: BTreeMap<HostId, Listed>,
+    hosts: BTreeMap<HostId, HostEntry>,
     failing: BTreeSet<HostId>,
     zones: BTreeMap<ProxyId, ZoneId>,
     on_the_way: VecDeque<(f64, Vec<Order>)>,
-    lines: BTreeMap<TblId, BTreeMap<HostId, f64>>,
+    lines: BTreeMap<TableId, BTreeMap<HostId, f64>>,
     out: BTreeSet<HostId>,
-    uses: BTreeMap<(ProxyId, ProductId), TblId>,
+    uses: BTreeMap<(ProxyId, ClassId), TableId>,
     looked: f64,
     over_since: BTreeMap<HostId, f64>,
     /// Proxies and products that are bare now, and whether an order that came to them made them so.
-    bare: BTreeMap<(ProxyId, ProductId), bool>,
+    bare: BTreeMap<(ProxyId, ClassId), bool>,
     seen: Broken,
 }
 
@@ -338,26 +345,28 @@
             Event::List { entries, .. } => {
                 self.hosts.extend(entries.iter().map(|entry| (entry.host, entry.clone())));
             }
-            Event::Joined { proxy, zone, .. } => drop(self.zones.insert(*proxy, *zone)),
-            Event::Probed { host, outcome: Outcome::Answered, .. } => drop(self.failing.remove(host)),
-            Event::Probed { host, .. } => drop(self.failing.insert(*host)),
+            Event::ProxyJoined { proxy, zone, .. } => drop(self.zones.insert(*proxy, *zone)),
+            Event::ProbeResult { host, outcome: ProbeOutcome::Answered, .. } => {
+                self.failing.remove(host);
+            }
+            Event::ProbeResult { host, .. } => drop(self.failing.insert(*host)),
             _ => {}
         }
     }
 
     fn carry_out(&mut self, order: &Order) {
         match order {
-            Order::Share { tbl, host, weight } if *weight > 0.0 => {
-                self.lines.entry(*tbl).or_default().insert(*host, *weight);
+            Order::SetEntry { table, host, weight } if *weight > 0.0 => {
+                self.lines.entry(*table).or_default().insert(*host, *weight);
             }
-            Order::Share { tbl, host, .. } => drop(self.lines.entry(*tbl).or_default().remove(host)),
-            Order::Clear { tbl } => drop(self.lines.remove(tbl)),
-            Order::Withdraw { host, out: true } => drop(self.out.insert(*host)),
-            Order::Withdraw { host, out: false } => drop(self.out.remove(host)),
-            Order::Bind { proxy, tbl, products } => {
-                let of = (0..self.shape.products.len() as u16).map(ProductId);
-                let of = of.filter(|id| *products == Products::ALL || products.0 & Products::one(*id).0 != 0);
-                self.uses.extend(of.map(|product| ((*proxy, product), *tbl)));
+            Order::SetEntry { table, host, .. } => drop(self.lines.entry(*table).or_default().remove(host)),
+            Order::ClearTable { table } => drop(self.lines.remove(table)),
+            Order::Withdraw { host, withdrawn: true } => drop(self.out.insert(*host)),
+            Order::Withdraw { host, withdrawn: false } => drop(self.out.remove(host)),
+            Order::Bind { proxy, table, classes } => {
+                let of = (0..self.shape.products.len() as u16).map(ClassId);
+                let of = of.filter(|id| *classes == ClassSet::ALL || classes.0 & ClassSet::one(*id).0 != 0);
+                self.uses.extend(of.map(|product| ((*proxy, product), *table)));
             }
             _ => {}
         }
@@ -366,16 +375,16 @@
     /// Who is bare now; of those who are it newly, whether orders did it.
     fn find_bare(&mut self, now: f64, ordered: bool) {
         let warmup = self.shape.warmup.clone();
-        let on = |listed: &&Listed| listed.standing == Standing::On;
-        let warm = |listed: &Listed| listed.born.is_none_or(|born| now >= born + warmup.within);
+        let on = |listed: &&HostEntry| listed.availability == Availability::InService;
+        let warm = |listed: &HostEntry| listed.started_at.is_none_or(|born| now >= born + warmup.duration);
         let ready = self.hosts.values().filter(on).any(|listed| {
             warm(listed) && !self.out.contains(&listed.host) && !self.failing.contains(&listed.host)
         });
         let serves = |host: &HostId| !self.out.contains(host) && !self.failing.contains(host);
         let bare =
-            |tbl: &TblId| ready && !self.lines.get(tbl).into_iter().flatten().any(|line| serves(line.0));
+            |tbl: &TableId| ready && !self.lines.get(tbl).into_iter().flatten().any(|line| serves(line.0));
         let of = self.uses.iter().filter(|used| bare(used.1)).map(|used| *used.0);
-        let before = |who: &(ProxyId, ProductId)| self.bare.get(who).copied().unwrap_or(ordered);
+        let before = |who: &(ProxyId, ClassId)| self.bare.get(who).copied().unwrap_or(ordered);
         self.bare = of.map(|who| (who, before(&who))).collect();
     }
 
@@ -383,8 +392,8 @@
     fn look(&mut self, now: f64) {
         let since = std::mem::replace(&mut self.looked, now);
         let warmup = self.shape.warmup.clone();
-        let on = |listed: &&Listed| listed.standing == Standing::On;
-        let warm = |listed: &Listed| listed.born.is_none_or(|born| now >= born + warmup.within);
+        let on = |listed: &&HostEntry| listed.availability == Availability::InService;
+        let warm = |listed: &HostEntry| listed.started_at.is_none_or(|born| now >= born + warmup.duration);
         let times: f64 = self
             .faults
             .iter()
@@ -406,15 +415,15 @@
         self.seen.bare_s += self.bare.len() as f64 * (now - since) / 1e3;
         self.seen.ordered_s += self.bare.values().filter(|by| **by).count() as f64 * (now - since) / 1e3;
         for listed in self.hosts.values().filter(on).filter(|listed| !warm(listed)) {
-            let age = (now - listed.born.unwrap_or(now)) / warmup.within;
-            let able = warmup.from + (1.0 - warmup.from) * age.clamp(0.0, 1.0);
-            let most = warmup.multiple * each * listed.weight * able;
+            let age = (now - listed.started_at.unwrap_or(now)) / warmup.duration;
+            let able = warmup.initial_capacity + (1.0 - warmup.initial_capacity) * age.clamp(0.0, 1.0);
+            let most = warmup.failure_load * each * listed.weight * able;
             if load.get(&listed.host).is_none_or(|load| *load <= most) {
                 self.over_since.remove(&listed.host);
                 continue;
             }
             let over = self.over_since.entry(listed.host).or_insert(now);
-            if *over >= 0.0 && now >= *over + warmup.fall_after {
+            if *over >= 0.0 && now >= *over + warmup.failure_after {
                 // Once for each time that it goes over.
                 *over = f64::MIN;
                 self.seen.pushed += 1;
@@ -468,14 +477,14 @@
     fn decide(&mut self, now: f64, events: &[Event]) -> Vec<Order> {
         for event in events {
             if let Event::List { entries, .. } = event {
-                self.born.extend(entries.iter().filter_map(|entry| Some((entry.host, entry.born?))));
+                self.born.extend(entries.iter().filter_map(|entry| Some((entry.host, entry.started_at?))));
             }
         }
         let mut orders = self.inner.decide(now, events);
         match self.how {
             Seeded::None => {}
             Seeded::BindsFirst => {
-                let lines = |order: &Order| matches!(order, Order::Share { weight, .. } if *weight > 0.0);
+                let lines = |order: &Order| matches!(order, Order::SetEntry { weight, .. } if *weight > 0.0);
                 let (late, on_time) = orders.into_iter().partition(lines);
                 self.late.push_back((now + 500.0, late));
                 orders = on_time;
@@ -485,7 +494,7 @@
             }
             Seeded::Heavy => {
                 for order in &mut orders {
-                    if let Order::Share { host, weight, .. } = order {
+                    if let Order::SetEntry { host, weight, .. } = order {
                         let fresh = self.born.get(host).is_some_and(|born| now < born + 15_000.0);
                         *weight *= if fresh { 6.0 } else { 1.0 };
                     }
--- a/crates/lab/src/levels.rs
+++ b/crates/lab/src/levels.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use amberarch_core::{LevelKind, ProductId, Tries, ZoneId};
+use amberarch_core::{ClassId, LevelKind, RetryPolicy, ZoneId};
 use amberarch_emulator::{Day, Fault as Gone, Reports, Shape, Trouble, World, WINDOW};
 use amberarch_service_levels::{Condition, Keep, Ladder, Level, Signal};
 use serde::Serialize;
@@ -21,13 +21,13 @@
 
 pub fn ladder(shape: &Shape) -> Ladder {
     let on = |signal, value, lasting| Condition { signal, value, lasting };
-    let down_to = |shares: &[(u16, f64)]| -> BTreeMap<ProductId, Keep> {
-        shares.iter().map(|(id, least)| (ProductId(*id), Keep { least: *least, most: 1.0 })).collect()
+    let down_to = |shares: &[(u16, f64)]| -> BTreeMap<ClassId, Keep> {
+        shares.iter().map(|(id, least)| (ClassId(*id), Keep { least: *least, most: 1.0 })).collect()
     };
     let level = |name: &str, keep, enter, leave, emergency| Level {
         name: name.into(),
         keep,
-        tries: Tries::AfterProof,
+        tries: RetryPolicy::AfterProof,
         enter,
         leave,
         stay: 20_000.0,
@@ -36,7 +36,7 @@
     };
     let quiet = vec![on(Signal::Pressure, 0.45, 6_000.0), on(Signal::Voided, 0.05, 6_000.0)];
     let levels = vec![
-        Level { tries: Tries::TwiceAfterAny, ..level("full", BTreeMap::new(), vec![], vec![], false) },
+        Level { tries: RetryPolicy::TwiceAfterAny, ..level("full", BTreeMap::new(), vec![], vec![], false) },
         level("no-extras", down_to(&[(0, 0.0)]), vec![on(Signal::Pressure, 0.8, 0.0)], quiet.clone(), false),
         level(
             "essentials",
@@ -148,8 +148,8 @@
     let world =
         |levels| World::new(Shape { levels, ..Shape::election() }, night.faults.clone(), Reports::Off, seed);
     let ways: [&(dyn Fn() -> Day + Sync); 3] =
-        [&|| world(LevelKind::Off).play(), &|| world(LevelKind::Share).play(), &|| {
-            world(LevelKind::Share).levelled(ladder(&Shape::election()), true).play()
+        [&|| world(LevelKind::Off).play(), &|| world(LevelKind::Fraction).play(), &|| {
+            world(LevelKind::Fraction).levelled(ladder(&Shape::election()), true).play()
         }];
     std::thread::scope(|scope| {
         let each = ways.map(|day| scope.spawn(day));
--- a/crates/lab/src/residency.rs
+++ b/crates/lab/src/residency.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use amberarch_core::{Event, LevelKind, MarkId, ProductId, ProxyId, Tries, ZoneId, Zones};
+use amberarch_core::{ClassId, Event, LevelKind, MarkId, ProxyId, RetryPolicy, ZoneId, Zones};
 use amberarch_emulator::{
     some_reply, standing, standing_plain, Arrivals, Care, Day, Fault as Gone, Reports, Ruled, Shape, Spoilt,
     Trial, Trouble, Window, World,
@@ -225,7 +225,7 @@
         Permit { tiers: vec![[ZoneId(from), ZoneId((from + 1) % zones)].into_iter().collect::<Zones>()] }
     };
     let pairs = (0..2).flat_map(|product| (0..zones).map(move |zone| (product, zone)));
-    let permits = pairs.map(|(product, zone)| ((ProductId(product), ZoneId(zone)), permit(product, zone)));
+    let permits = pairs.map(|(product, zone)| ((ClassId(product), ZoneId(zone)), permit(product, zone)));
     Reach { permits: permits.collect(), parts: vec![] }
 }
 
@@ -343,24 +343,24 @@
     const ALL: [u16; 3] = [0, 1, 2];
     let cases: [(&str, LevelKind, u16, &[u16], f64); 9] = [
         ("levels off", LevelKind::Off, 0, &[], 1.0),
-        ("levels on, none", LevelKind::Share, 0, &[], 1.0),
-        ("submits to 0.8", LevelKind::Share, 1, &ALL, 0.8),
-        ("submits to 0.6", LevelKind::Share, 1, &ALL, 0.6),
-        ("submits to 0.4", LevelKind::Share, 1, &ALL, 0.4),
-        ("pages of the third zone to 0.6", LevelKind::Share, 0, &[2], 0.6),
-        ("pages of the third zone to 0.3", LevelKind::Share, 0, &[2], 0.3),
-        ("pages of the second and third zone to 0.7", LevelKind::Share, 0, &[1, 2], 0.7),
-        ("pages of the second and third zone to 0.5", LevelKind::Share, 0, &[1, 2], 0.5),
+        ("levels on, none", LevelKind::Fraction, 0, &[], 1.0),
+        ("submits to 0.8", LevelKind::Fraction, 1, &ALL, 0.8),
+        ("submits to 0.6", LevelKind::Fraction, 1, &ALL, 0.6),
+        ("submits to 0.4", LevelKind::Fraction, 1, &ALL, 0.4),
+        ("pages of the third zone to 0.6", LevelKind::Fraction, 0, &[2], 0.6),
+        ("pages of the third zone to 0.3", LevelKind::Fraction, 0, &[2], 0.3),
+        ("pages of the second and third zone to 0.7", LevelKind::Fraction, 0, &[1, 2], 0.7),
+        ("pages of the second and third zone to 0.5", LevelKind::Fraction, 0, &[1, 2], 0.5),
     ];
     let draws = if how.quick { 1 } else { 10 };
     let hosts: Vec<u32> = (0..24).filter(|host| host % 3 == 1).collect();
     let lost = vec![Gone { from: 30e3, until: 80e3, what: Trouble::Leave { hosts } }];
-    let play = |(_, levels, product, zones, share): (&str, LevelKind, u16, &[u16], f64), draw| {
+    let play = |(_, levels, class, zones, max_share): (&str, LevelKind, u16, &[u16], f64), draw| {
         let shape = Shape { levels, ..Shape::usual() };
         let mut world = World::new(shape, lost.clone(), Reports::Off, how.seed * 1_000 + draw);
         for zone in zones.iter().copied().map(ZoneId) {
-            let (product, tries) = (ProductId(product), Tries::AfterProof);
-            world = world.told(32e3, Event::Bound { zone, product, share, tries });
+            let (class, max_tries) = (ClassId(class), RetryPolicy::AfterProof);
+            world = world.told(32e3, Event::ServiceBound { zone, class, max_share, max_tries });
         }
         world.governed(vec![(0.0, reach(1))], Care { judged: true, joint: true, deaf: false }).play()
     };
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use amberarch_core::{ProductId, ZoneId, Zones};
+use amberarch_core::{ClassId, ZoneId, Zones};
 use amberarch_shares::*;
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOutcome, Variable};
 use rand::rngs::StdRng;
@@ -59,7 +59,7 @@
     for zone in 0..zones as u16 {
         let near: Zones = [zone, (zone + 1) % zones as u16].into_iter().map(ZoneId).collect();
         for product in 0..facts.products.len() as u16 {
-            facts.permits.insert((ProductId(product), ZoneId(zone)), near);
+            facts.permits.insert((ClassId(product), ZoneId(zone)), near);
         }
     }
     let begun = Instant::now();
@@ -296,7 +296,7 @@
             );
             let _ = writeln!(text, "weight = {}\nguarantee_per_s = {}", one.weight, one.guarantee);
             let reach = (0..4u16).filter(|zone| one.reach[usize::from(*zone)]).map(ZoneId).collect();
-            facts.permits.insert((ProductId(at as u16), ZoneId(0)), reach);
+            facts.permits.insert((ClassId(at as u16), ZoneId(0)), reach);
         }
         let Ok(plan) = compiled(&text, &facts) else { continue };
         let Some(exact) = exact(&rooms, &ones) else { continue };
@@ -408,7 +408,7 @@
 
     /// Tells each steward what came in the last second: a fifth each, as chance has it.
     fn came(&mut self, rates: &[f64], rng: &mut StdRng) {
-        let owned: Vec<(ZoneId, ProductId, Claim)> = self.plan.owned().collect();
+        let owned: Vec<(ZoneId, ClassId, Claim)> = self.plan.owned().collect();
         for at in 0..STEWARDS {
             let came = owned.iter().map(|(zone, product, claim)| {
                 let mean = rates[claim.0 as usize] / STEWARDS as f64;
@@ -442,7 +442,7 @@
     };
     for zone in 0..2u16 {
         (0..20u16).for_each(|product| {
-            facts.permits.insert((ProductId(product), ZoneId(zone)), Zones::one(ZoneId(zone)));
+            facts.permits.insert((ClassId(product), ZoneId(zone)), Zones::one(ZoneId(zone)));
         });
     }
     Ok((compiled(&text, &facts)?, vec![1_000.0; 2]))
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -31,9 +31,17 @@
     marks: Vec<MarkId>,
 }
 
-fn listed(host: u32) -> Listed {
-    let (zone, kind) = (ZoneId((host % u32::from(ZONES)) as u16), KindId((host % 2) as u16));
-    Listed { host: HostId(host), weight: 1.0, zone, pod: PodId(0), kind, born: None, standing: Standing::On }
+fn listed(host: u32) -> HostEntry {
+    let (zone, instance_type) = (ZoneId((host % u32::from(ZONES)) as u16), InstanceTypeId((host % 2) as u16));
+    HostEntry {
+        host: HostId(host),
+        weight: 1.0,
+        zone,
+        pod: PodId(0),
+        instance_type,
+        started_at: None,
+        availability: Availability::InService,
+    }
 }
 
 /// Every tenth host has no traffic reports, so only its probes are evidence of its health.
@@ -43,28 +51,66 @@
 
 impl Fixture {
     /// `proxies` and `hosts` are those of the fleet; the proxies are divided among the controllers by zone.
-    fn new(proxies: u16, hosts: u32, stewards: u32, levels: LevelKind) -> Fixture {
+    fn new(proxies: u16, hosts: u32, controllers: u32, level_kind: LevelKind) -> Fixture {
         let zone = ZoneId(0);
-        let post = Post { seed: 1, zone, zones: ZONES, stewards, by_zone: true, slices: 0, may_probe: true };
+        let post = InstanceSettings {
+            seed: 1,
+            zone,
+            zone_count: ZONES,
+            controllers,
+            proxies_by_zone: true,
+            slice_count: 0,
+            may_probe: true,
+        };
         let lines_per_s = 20.0 * f64::from(proxies);
-        let (backlog, messages_over, transit, transit_worst) = (lines_per_s, 1e4, 200.0, 500.0);
-        let (head, messages) = (3.0, 1_000);
-        let channel = Channel { lines_per_s, head, backlog, messages, messages_over, transit, transit_worst };
-        let (count, usual_tries) = (u32::from(proxies), Tries::AfterProof);
-        let sidecars = Sidecars { count, standing: 12, bare_for: 3e3, levels, usual_tries, try_wait: 0.8 };
-        let warmup = Warmup { from: 0.2, within: 2e4, multiple: 3.0, fall_after: 2e3 };
-        let roster = Roster { asked: false, ask_within: 1e4, grace: 2e3, removal_not_binding: false };
-        let sums = Sums { every: 1e3, lines_per_s: 1e6 };
-        let (scope, own_zone, effect) = (Scope::All, false, Effect::InquiryLike);
-        let (sla, expiry, window, late_part) = (1e3, 3e3, 5e3, 0.2);
+        let (max_backlog, message_window, typical_transit, max_transit) = (lines_per_s, 1e4, 200.0, 500.0);
+        let (message_overhead, max_messages) = (3.0, 1_000);
+        let channel = Channel {
+            lines_per_s,
+            message_overhead,
+            max_backlog,
+            max_messages,
+            message_window,
+            typical_transit,
+            max_transit,
+        };
+        let (proxy_count, default_tries) = (u32::from(proxies), RetryPolicy::AfterProof);
+        let sidecars = ProxySettings {
+            proxy_count,
+            bootstrap_hosts: 12,
+            max_time_without_host: 3e3,
+            level_kind,
+            default_tries,
+            try_factor: 0.8,
+        };
+        let warmup = Warmup { initial_capacity: 0.2, duration: 2e4, failure_load: 3.0, failure_after: 2e3 };
+        let roster = HostListSettings {
+            on_request: false,
+            request_within: 1e4,
+            drain_grace: 2e3,
+            removal_not_binding: false,
+        };
+        let sums = ReportSettings { interval: 1e3, max_lines_per_s: 1e6 };
+        let (scope, home_zone_only, idempotency) = (DedupScope::All, false, Idempotency::Idempotent);
+        let (latency_target, deadline, dedup_window, late_value_fraction) = (1e3, 3e3, 5e3, 0.2);
         let product = |place: usize| {
-            let revenue = place as f64 + 1.0;
-            Product { sla, expiry, effect, scope, window, revenue, late_part, own_zone, writes: false }
+            let value = place as f64 + 1.0;
+            RequestClass {
+                latency_target,
+                deadline,
+                idempotency,
+                scope,
+                dedup_window,
+                value,
+                late_value_fraction,
+                home_zone_only,
+                writes: false,
+            }
         };
         let products = (0..PRODUCTS).map(product).collect();
         let steward = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
         let all = (0..proxies).map(|proxy| (ProxyId(proxy), ZoneId(proxy % ZONES)));
-        let own_proxies = all.filter(|(_, zone)| u32::from(zone.0) % stewards == 0).collect();
+        let own_proxies = all.filter(|(_, zone)| u32::from(zone.0) % controllers == 0).collect();
         let (hosts, next_host) = ((0..hosts).collect(), hosts);
         let mut fixture = Fixture {
             steward,
@@ -75,7 +121,7 @@
             failed_hosts: 0,
             marks: Vec::new(),
         };
-        fixture.decide(&[fixture.list(ListNews::Restored)]);
+        fixture.decide(&[fixture.list(ListUpdate::FromSnapshot)]);
         let joined = fixture.joined(0);
         fixture.decide(&joined);
         for _ in 0..4 {
@@ -87,18 +133,18 @@
         fixture
     }
 
-    fn list(&self, news: ListNews) -> Event {
-        Event::List { news, entries: self.hosts.iter().map(|host| listed(*host)).collect() }
+    fn list(&self, update: ListUpdate) -> Event {
+        Event::List { update, entries: self.hosts.iter().map(|host| listed(*host)).collect() }
     }
 
     /// Joins of all proxies from this index on, with their rates of txns.
     fn joined(&self, from: usize) -> Vec<Event> {
         let rate = |proxy: ProxyId| 5.0 + f64::from(proxy.0 % 7);
-        let joined = |&(proxy, zone): &(ProxyId, ZoneId)| Event::Joined {
+        let joined = |&(proxy, zone): &(ProxyId, ZoneId)| Event::ProxyJoined {
             proxy,
             zone,
             txns_per_s: rate(proxy),
-            fresh: false,
+            without_table: false,
         };
         self.proxies[from..].iter().map(joined).collect()
     }
@@ -107,30 +153,30 @@
     fn reports(&self) -> Vec<Event> {
         let proxy_report = |(proxy, _): &(ProxyId, ZoneId)| {
             let (proxy, txns) = (*proxy, 2 + u32::from(proxy.0 % 3));
-            (0..PRODUCTS as u16).map(ProductId).map(move |product| Event::Came {
+            (0..PRODUCTS as u16).map(ClassId).map(move |class| Event::ProxyReport {
                 proxy,
-                product,
+                class,
                 txns,
-                voided: 0,
-                over: 1e3,
+                failed: 0,
+                covered: 1e3,
             })
         };
         let mut zones: Vec<ZoneId> = self.proxies.iter().map(|proxy| proxy.1).collect();
         zones.sort();
         zones.dedup();
-        let report = LoadReport::default();
+        let load = LoadReport::default();
         let host_report = |host: &u32| {
             let host = *host;
-            let (mean, tries, over) = (100.0 + f64::from(host % 17), 20 + host % 5, 1e3);
+            let (mean_latency, tries, covered) = (100.0 + f64::from(host % 17), 20 + host % 5, 1e3);
             let of = move |zone: ZoneId| (zone.0 == host as u16 % ZONES).then_some(zone);
-            zones.iter().copied().filter_map(of).map(move |zone| Event::Met {
+            zones.iter().copied().filter_map(of).map(move |zone| Event::HostReport {
                 host: HostId(host),
                 zone,
-                over,
+                covered,
                 tries,
-                voided: 0,
-                mean,
-                report,
+                failed: 0,
+                mean_latency,
+                load,
             })
         };
         let host_reports = self.hosts.iter().filter(|host| !without_reports(**host)).flat_map(host_report);
@@ -151,8 +197,9 @@
     fn run_ticks(&mut self, ticks: u32) {
         for _ in 0..ticks {
             let marks = std::mem::take(&mut self.marks);
-            let answer =
-                |mark| self.proxies.iter().map(move |row| Event::Applied { proxy: row.0, mark, took: 9.0 });
+            let answer = |mark| {
+                self.proxies.iter().map(move |row| Event::MarkApplied { proxy: row.0, mark, duration: 9.0 })
+            };
             let answers: Vec<Event> = marks.into_iter().flat_map(answer).collect();
             self.decide(&answers);
             self.tick();
@@ -161,21 +208,24 @@
 
     fn tick(&mut self) -> Duration {
         self.now += 200.0;
-        self.decide(&[Event::Due { timer: TimerId(0) }])
+        self.decide(&[Event::TimerExpired { timer: TimerId(0) }])
     }
 
-    fn probe(&mut self, host: u32, outcome: Outcome) -> Duration {
-        self.decide(&[Event::Probed {
+    fn probe(&mut self, host: u32, outcome: ProbeOutcome) -> Duration {
+        self.decide(&[Event::ProbeResult {
             host: HostId(host),
             outcome,
-            took: 2.0,
-            report: LoadReport::default(),
+            duration: 2.0,
+            load: LoadReport::default(),
         }])
     }
 
-    fn probe_due(&mut self, host: u32, outcome: Outcome) -> Duration {
-        let (host, report) = (HostId(host), LoadReport::default());
-        self.decide(&[Event::Probed { host, outcome, took: 2.0, report }, Event::Due { timer: TimerId(0) }])
+    fn probe_due(&mut self, host: u32, outcome: ProbeOutcome) -> Duration {
+        let (host, load) = (HostId(host), LoadReport::default());
+        self.decide(&[
+            Event::ProbeResult { host, outcome, duration: 2.0, load },
+            Event::TimerExpired { timer: TimerId(0) },
+        ])
     }
 
     fn gate(&mut self) -> Duration {
@@ -183,12 +233,12 @@
             self.hosts.iter().copied().filter(|host| without_reports(*host)).collect();
         let host = without_reports[self.failed_hosts % without_reports.len()];
         self.failed_hosts += 1;
-        self.probe(host, Outcome::TimedOut);
-        self.probe(host, Outcome::TimedOut);
+        self.probe(host, ProbeOutcome::TimedOut);
+        self.probe(host, ProbeOutcome::TimedOut);
         self.now += 200.0;
-        let took = self.probe_due(host, Outcome::TimedOut);
-        self.probe(host, Outcome::Answered);
-        self.probe(host, Outcome::Answered);
+        let took = self.probe_due(host, ProbeOutcome::TimedOut);
+        self.probe(host, ProbeOutcome::Answered);
+        self.probe(host, ProbeOutcome::Answered);
         self.run_ticks(3);
         took
     }
@@ -201,7 +251,7 @@
         self.next_host += replaced as u32;
         self.hosts.extend(first..self.next_host);
         self.now += 200.0;
-        let took = self.decide(&[self.list(ListNews::Whole), Event::Due { timer: TimerId(0) }]);
+        let took = self.decide(&[self.list(ListUpdate::Full), Event::TimerExpired { timer: TimerId(0) }]);
         self.run_ticks(8);
         took
     }
@@ -213,8 +263,8 @@
         self.proxies.extend(new);
         let joined = self.joined(first_new);
         self.now += 200.0;
-        let took = self.decide(&[&joined[..], &[Event::Due { timer: TimerId(0) }]].concat());
-        let left = |row: (ProxyId, ZoneId)| Event::Left { proxy: row.0 };
+        let took = self.decide(&[&joined[..], &[Event::TimerExpired { timer: TimerId(0) }]].concat());
+        let left = |row: (ProxyId, ZoneId)| Event::ProxyLeft { proxy: row.0 };
         let left: Vec<Event> = self.proxies.drain(first_new..).map(left).collect();
         self.decide(&left);
         self.run_ticks(2);
@@ -225,7 +275,7 @@
         self.run_ticks(4);
         let reports = self.reports();
         self.now += 200.0;
-        self.decide(&[&reports[..], &[Event::Due { timer: TimerId(0) }]].concat())
+        self.decide(&[&reports[..], &[Event::TimerExpired { timer: TimerId(0) }]].concat())
     }
 }
 
@@ -241,7 +291,7 @@
         ("takeover", |fixture, size| fixture.takeover(800.min(size * 8 / 10))),
         ("replaced", |fixture, _| fixture.replace()),
     ];
-    let kinds = [(1, LevelKind::Off), (1, LevelKind::Rate), (5, LevelKind::Off)];
+    let kinds = [(1, LevelKind::Off), (1, LevelKind::PerSecond), (5, LevelKind::Off)];
     for (proxies, hosts) in [(100, 30), (1_000, 300), (10_000, 3_000)] {
         for (stewards, levels) in kinds {
             let mut fixture = None;
--- a/crates/policy/src/binds.rs
+++ b/crates/policy/src/binds.rs
@@ -45,8 +45,8 @@
         for (index, ((proxy, table), _)) in binds.iter().enumerate() {
             lines_ahead += self.cost(&[*proxy], self.bind_cost(table));
             let sent_at = self.now + TICK_MS + 1e3 * lines_ahead / channel.lines_per_s;
-            let applied_at = sent_at + channel.transit_worst;
-            if applied_at >= proxies[proxy].joined_at + list_settings.grace {
+            let applied_at = sent_at + channel.max_transit;
+            if applied_at >= proxies[proxy].joined_at + list_settings.drain_grace {
                 overdue = index + 1;
             }
         }
@@ -85,19 +85,19 @@
         limits: Limits,
         proxy: ProxyId,
         table: TableKey,
-        products: Products,
+        classes: ClassSet,
     ) -> Result<(), Refusal> {
         let controller = self.controller;
         let entries = self.published.tables().get(&table);
         let conforms =
             entries.is_some_and(|entries| !entries.keys().any(|id| controller.is_outside_reach(&table, id)));
         let lines_each = self.bind_cost(&table);
-        let bind = Order::Bind { proxy, tbl: self.published.table_id(table), products };
+        let bind = Order::Bind { proxy, table: self.published.table_id(table), classes };
         if !conforms {
             return Err(Refusal::OutsideReach);
         }
         self.enqueue(limits, &[proxy], lines_each, &[bind])?;
-        self.published.bind(proxy, table, products);
+        self.published.bind(proxy, table, classes);
         Ok(())
     }
 
@@ -117,7 +117,7 @@
         if !self.channel_refused || !self.lines_by_proxy.is_empty() {
             return None;
         }
-        let room = stall_detector.probe_budget(self.now, channel.transit_worst, channel.backlog)?;
+        let room = stall_detector.probe_budget(self.now, channel.max_transit, channel.max_backlog)?;
         let count = desired.binds.len();
         let first = stall_detector.next_bind.checked_rem(count)?;
         (first..first + count).map(|index| index % count).find_map(|index| {
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -12,14 +12,16 @@
 /// A probe only shows that a process runs. Succeeded real txns, even slow ones, outrank a probe that timed
 /// out (the host is busy) or that erred while real tries succeed; failing real txns outrank a probe that
 /// passed. An outranked probe counts neither as a pass nor as a failure.
-fn probe_verdict(outcome: Outcome, traffic: &TryStats) -> Option<bool> {
+fn probe_verdict(outcome: ProbeOutcome, traffic: &TryStats) -> Option<bool> {
     match outcome {
-        Outcome::Answered if traffic.tries >= 4.0 && traffic.failed_fraction() > 0.5 => None,
-        Outcome::Answered => Some(true),
-        Outcome::TimedOut if traffic.succeeded() >= 1.0 => None,
-        Outcome::Errored if traffic.tries >= 4.0 && traffic.failed_fraction() < 0.3 => None,
-        Outcome::Errored | Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset => Some(false),
-        Outcome::Full | Outcome::Unknown => None,
+        ProbeOutcome::Answered if traffic.tries >= 4.0 && traffic.failed_fraction() > 0.5 => None,
+        ProbeOutcome::Answered => Some(true),
+        ProbeOutcome::TimedOut if traffic.succeeded() >= 1.0 => None,
+        ProbeOutcome::Errored if traffic.tries >= 4.0 && traffic.failed_fraction() < 0.3 => None,
+        ProbeOutcome::Errored | ProbeOutcome::TimedOut | ProbeOutcome::Unreachable | ProbeOutcome::Reset => {
+            Some(false)
+        }
+        ProbeOutcome::Full | ProbeOutcome::Unknown => None,
     }
 }
 
@@ -58,18 +60,24 @@
 }
 
 impl Steward {
-    pub(crate) fn handle_probe(&mut self, now: f64, host: HostId, outcome: Outcome, report: &LoadReport) {
+    pub(crate) fn handle_probe(
+        &mut self,
+        now: f64,
+        host: HostId,
+        outcome: ProbeOutcome,
+        report: &LoadReport,
+    ) {
         // When traffic reports are late, the last ones received still show that a host is busy.
         let window = self.report_cover + BUCKET_MS + now - self.last_report_at;
         let Some(host) = self.hosts.get_mut(&host) else { return };
         // A host whose probes err is not gated if the remaining hosts could not carry its load: the probes
         // themselves may be at fault.
         let was_closed = host.gate.closed;
-        let exempt = outcome == Outcome::Errored && !was_closed && host.weight > self.gateable_weight;
+        let exempt = outcome == ProbeOutcome::Errored && !was_closed && host.weight > self.gateable_weight;
         let pass = probe_verdict(outcome, &host.traffic(now, window)).filter(|_| !exempt);
-        (host.utilization, host.observed_load) = (report.busy.or(host.utilization), None);
+        (host.utilization, host.observed_load) = (report.utilization.or(host.utilization), None);
         host.gate.record(now, pass, 1, 0.0);
-        if host.gate.closed && matches!(outcome, Outcome::Unreachable | Outcome::Reset) {
+        if host.gate.closed && matches!(outcome, ProbeOutcome::Unreachable | ProbeOutcome::Reset) {
             host.recovered_at = f64::INFINITY;
         } else if pass == Some(true) && host.recovered_at > now {
             (host.recovered_at, host.reports) = (now, BTreeMap::new());
@@ -87,12 +95,12 @@
         // covers a longer time.
         let report_lines = self.hosts.values().map(|host| host.reports.len()).sum::<usize>()
             + self.proxies.values().map(|proxy| proxy.demand.reported_classes()).sum::<usize>();
-        self.report_cover = (1_000.0 * report_lines as f64 / self.report_settings.lines_per_s)
+        self.report_cover = (1_000.0 * report_lines as f64 / self.report_settings.max_lines_per_s)
             .min(10_000.0)
-            .max(self.report_settings.every);
+            .max(self.report_settings.interval);
         let (window, long_window, latency_target) =
             (self.report_cover + BUCKET_MS, self.report_cover + 2_000.0, self.mean_latency_target);
-        let listed_hosts = || self.hosts.values().filter(|host| host.standing == Standing::On);
+        let listed_hosts = || self.hosts.values().filter(|host| host.standing == Availability::InService);
         let with_traffic =
             listed_hosts().map(|host| host.traffic(now, window)).filter(|traffic| traffic.tries >= 3.0);
         self.median_failed_fraction =
@@ -121,7 +129,7 @@
             |host: &Host| host.observed_load.filter(|load| now < load.1 + LOAD_VALID_MS).map(|load| load.0);
         let median_load = median(listed_hosts().filter_map(valid_load).collect());
         self.update_kind_factors(now);
-        for (id, host) in self.hosts.iter_mut().filter(|(_, host)| host.standing == Standing::On) {
+        for (id, host) in self.hosts.iter_mut().filter(|(_, host)| host.standing == Availability::InService) {
             let kind_factor = self
                 .kind_factors
                 .get(&host.kind)
@@ -163,7 +171,9 @@
             }
             let factor_changed =
                 host.latency_factor != std::mem::replace(&mut host.reported_factor, host.latency_factor);
-            orders.extend(factor_changed.then_some(Order::Learnt { host: *id, part: host.latency_factor }));
+            orders.extend(
+                factor_changed.then_some(Order::StoreHint { host: *id, latency_factor: host.latency_factor }),
+            );
             host.gate.closed &=
                 host.gate.consecutive_passes < PASSES_TO_RESTORE || now < host.gate.closed_until;
         }
--- a/crates/policy/src/hear.rs
+++ b/crates/policy/src/hear.rs
@@ -6,24 +6,25 @@
 impl Steward {
     pub(crate) fn handle_event(&mut self, now: f64, event: &Event) {
         match event {
-            Event::List { news: ListNews::Failed, .. } => {
+            Event::List { update: ListUpdate::Failed, .. } => {
                 let hashed = BuildHasherDefault::<DefaultHasher>::default();
                 let jitter =
                     0.75 + (hashed.hash_one((self.instance.seed, self.list_failures)) % 500) as f64 / 1e3;
                 let wait = 600.0 * 2f64.powi(self.list_failures.min(3)) * jitter;
                 (self.list_failures, self.list_request_at) = (self.list_failures + 1, now + wait);
             }
-            Event::List { news, entries } => self.update_hosts(now, *news, entries),
-            Event::Joined { proxy, zone, txns_per_s: rate, fresh } => {
+            Event::List { update, entries } => self.update_hosts(now, *update, entries),
+            Event::ProxyJoined { proxy, zone, txns_per_s: rate, without_table } => {
                 self.remove_proxy(*proxy);
-                self.backlog.proxy_joined(*proxy, *fresh);
-                self.published.proxy_joined(*proxy, *fresh);
-                self.backlog.add_newcomer(*proxy, self.channel.head + 1.0);
-                self.proxies.insert(*proxy, Proxy::new(now, *zone, *rate, *fresh));
+                self.backlog.proxy_joined(*proxy, *without_table);
+                self.published.proxy_joined(*proxy, *without_table);
+                self.backlog.add_newcomer(*proxy, self.channel.message_overhead + 1.0);
+                self.proxies.insert(*proxy, Proxy::new(now, *zone, *rate, *without_table));
             }
-            Event::Left { proxy } => self.remove_proxy(*proxy),
-            Event::Met { host, zone, tries, voided, mean, over, .. } => {
-                let covered_from = if *over > 1.5 * self.report_settings.every { now - over } else { now };
+            Event::ProxyLeft { proxy } => self.remove_proxy(*proxy),
+            Event::HostReport { host, zone, tries, failed, mean_latency, covered, .. } => {
+                let covered_from =
+                    if *covered > 1.5 * self.report_settings.interval { now - covered } else { now };
                 let (withdrawn, warmup) = (self.published.withdrawn.contains(host), &self.warmup);
                 let counts = |host: &&mut Host| {
                     host.capacity(now, warmup) >= 1.0 || !withdrawn && covered_from > host.restored_at
@@ -32,21 +33,22 @@
                     host.reports
                         .entry(*zone)
                         .or_default()
-                        .add(now, TryStats::new(*tries, *voided, *mean, *over));
+                        .add(now, TryStats::new(*tries, *failed, *mean_latency, *covered));
                     (host.has_new_report, self.last_report_at) = (true, now);
-                    host.observed_load = host.observed_load.filter(|observed| observed.1 > now - over / 2.0);
+                    host.observed_load =
+                        host.observed_load.filter(|observed| observed.1 > now - covered / 2.0);
                 }
             }
-            Event::Came { proxy, product, txns, voided, over } => {
+            Event::ProxyReport { proxy, class, txns, failed, covered } => {
                 let (proxy, report) =
-                    (self.proxies.get_mut(proxy), TryStats::new(*txns, *voided, 0.0, *over));
-                proxy.into_iter().for_each(|proxy| proxy.demand.add_report(now, *product, report));
+                    (self.proxies.get_mut(proxy), TryStats::new(*txns, *failed, 0.0, *covered));
+                proxy.into_iter().for_each(|proxy| proxy.demand.add_report(now, *class, report));
             }
-            Event::Probed { host, outcome, report, .. } => self.handle_probe(now, *host, *outcome, report),
-            Event::Load { host, load, age, sure } => {
+            Event::ProbeResult { host, outcome, load, .. } => self.handle_probe(now, *host, *outcome, load),
+            Event::LoadEstimate { host, load, age, confidence } => {
                 if let Some(host) = self.hosts.get_mut(host) {
                     let usable = |observed: &(f64, f64)| {
-                        *sure >= MIN_LOAD_CONFIDENCE && Some(observed.1) > host.cold_since
+                        *confidence >= MIN_LOAD_CONFIDENCE && Some(observed.1) > host.cold_since
                     };
                     host.observed_load = Some((*load, now - age)).filter(usable);
                     host.utilization = host.observed_load.map(|observed| observed.0).or(host.utilization);
@@ -54,27 +56,29 @@
             }
             // Hints avoid that latency factors have to be determined again. A host with reports is left
             // unchanged, and two passes open a gate closed by a hint.
-            Event::Hint { host, part, shut } => {
+            Event::WarmStartHint { host, latency_factor, gated } => {
                 if let Some(host) = self.hosts.get_mut(host).filter(|host| host.reports.is_empty()) {
                     (host.latency_factor, host.gate.closed) =
-                        (*part, host.gate.closed || *shut && host.gate.consecutive_passes == 0);
+                        (*latency_factor, host.gate.closed || *gated && host.gate.consecutive_passes == 0);
                 }
             }
-            Event::Bound { zone, product, share, tries } => {
-                self.service_bounds.insert((*zone, *product), (*share, *tries));
+            Event::ServiceBound { zone, class, max_share, max_tries } => {
+                self.service_bounds.insert((*zone, *class), (*max_share, *max_tries));
             }
-            Event::Reach { zone, product, zones } => {
-                self.plan_soon |= self.reach_rules.set(*zone, *product, *zones)
+            Event::ReachRule { zone, class, allowed_zones } => {
+                self.plan_soon |= self.reach_rules.set(*zone, *class, *allowed_zones)
             }
-            Event::Await { on } => self.levels_unknown = *on,
-            Event::Applied { proxy, mark, .. } => {
+            Event::LevelsUnknown { on } => self.levels_unknown = *on,
+            Event::MarkApplied { proxy, mark, .. } => {
                 let known = self.backlog.acknowledge(*proxy, *mark);
                 known.then(|| self.stall_detector.on_answer(now));
             }
-            Event::Together { first, last } => self.backlog.merge_calls(*first, *last),
-            Event::Again { mark } => self.backlog.duplicate_call(now, *mark),
-            Event::Parted { mark } => self.backlog.split_call(now, *mark, self.channel.head + 1.0),
-            Event::Behind { on } => {
+            Event::CallsMerged { first, last } => self.backlog.merge_calls(*first, *last),
+            Event::CallDuplicated { mark } => self.backlog.duplicate_call(now, *mark),
+            Event::CallSplit { mark } => {
+                self.backlog.split_call(now, *mark, self.channel.message_overhead + 1.0)
+            }
+            Event::RelayDelayed { on } => {
                 self.backlog.set_delayed(*on);
                 self.plan_soon |= !*on;
             }
@@ -88,24 +92,25 @@
         self.backlog.proxy_left(proxy);
     }
 
-    fn update_hosts(&mut self, now: f64, update: ListNews, entries: &[Listed]) {
+    fn update_hosts(&mut self, now: f64, update: ListUpdate, entries: &[HostEntry]) {
         (self.list_failures, self.plan_soon) = (0, true);
         // Before the first host no order was sent that could still hold one back.
         let first_list = self.hosts.is_empty();
         // Places are allocated in the order of weight, the lowest free one first, so that tables of one size
         // get similar total weights.
-        let listed = self.hosts.values().filter(|host| host.standing != Standing::Gone);
+        let listed = self.hosts.values().filter(|host| host.standing != Availability::Removed);
         let mut taken: PlaceAllocator = listed.map(|host| (host.zone, host.place)).collect();
-        let unlisted = self.hosts.values_mut().filter(|_| update != ListNews::Changes);
-        unlisted.for_each(|host| host.standing = Standing::Gone);
-        let mut entries: Vec<&Listed> = entries.iter().collect();
-        entries.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.kind.cmp(&b.kind)));
+        let unlisted = self.hosts.values_mut().filter(|_| update != ListUpdate::Changes);
+        unlisted.for_each(|host| host.standing = Availability::Removed);
+        let mut entries: Vec<&HostEntry> = entries.iter().collect();
+        entries.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.instance_type.cmp(&b.instance_type)));
         for entry in entries {
-            let (zone, standing, kind) = (entry.zone, entry.standing, entry.kind);
+            let (zone, standing, kind) = (entry.zone, entry.availability, entry.instance_type);
             let weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
             // A host that is new here may have been forgotten while it was withdrawn: it is restored like a
             // withdrawn one.
-            let is_new = update != ListNews::Restored && !first_list && !self.hosts.contains_key(&entry.host);
+            let is_new =
+                update != ListUpdate::FromSnapshot && !first_list && !self.hosts.contains_key(&entry.host);
             self.published.withdrawn.extend(is_new.then_some(entry.host));
             let free_place = taken.lowest_free(zone);
             #[rustfmt::skip]
@@ -118,8 +123,8 @@
             });
             (host.zone, host.standing, host.weight) = (zone, standing, weight);
             taken.reserve(zone, host.place);
-            let started_at = host.cold_since.unwrap_or(now - self.warmup.within);
-            if let Some(born) = entry.born.filter(|born| *born > started_at) {
+            let started_at = host.cold_since.unwrap_or(now - self.warmup.duration);
+            if let Some(born) = entry.started_at.filter(|born| *born > started_at) {
                 // Records from before the restart no longer apply.
                 (host.gate, host.cold_since) =
                     (Gate { closed: host.gate.closed, ..Gate::default() }, Some(born));
--- a/crates/policy/src/levels.rs
+++ b/crates/policy/src/levels.rs
@@ -72,39 +72,50 @@
             .collect();
         let goodput = reports.iter().map(TryStats::goodput).sum();
         let traffic = reports.into_iter().sum();
-        let next_update_at = if self.proxy_settings.levels == LevelKind::Off { f64::MAX } else { f64::MIN };
+        let next_update_at =
+            if self.proxy_settings.level_kind == LevelKind::Off { f64::MAX } else { f64::MIN };
         let level = self.levels.entry(zone).or_insert(Level {
             admitted_fraction: 1.0,
             next_update_at,
             overloaded: false,
         });
-        level.update(now, &traffic, goodput, &class_demands, (self.report_settings.every, self.report_cover));
+        level.update(
+            now,
+            &traffic,
+            goodput,
+            &class_demands,
+            (self.report_settings.interval, self.report_cover),
+        );
         // Sheds the txns with the least value per work first, and keeps a tenth of each request class unless
         // the budget of cold hosts requires less.
-        let value_per_work = |demand: &ClassDemand| demand.class.revenue / demand.class.sla;
+        let value_per_work = |demand: &ClassDemand| demand.class.value / demand.class.latency_target;
         class_demands.sort_by(|a, b| value_per_work(a).total_cmp(&value_per_work(b)));
         let max_fraction = cold_budget.unwrap_or(1.0);
         let mut shed = (1.0 - level.admitted_fraction.min(max_fraction))
             * class_demands.iter().map(|demand| demand.work).sum::<f64>();
         // A second try would be sent to the hosts with spare capacity, which are the cold ones.
-        let tries = if level.overloaded || cold_budget.is_some() { Tries::One } else { Tries::AfterProof };
+        let tries = if level.overloaded || cold_budget.is_some() {
+            RetryPolicy::One
+        } else {
+            RetryPolicy::AfterProof
+        };
         for demand in class_demands {
             let cut = f64::min(shed, f64::max(0.9, 1.0 - max_fraction) * demand.work);
             shed -= cut;
             let (max_share, max_tries) =
                 self.service_bounds.get(&(zone, demand.id)).copied().unwrap_or((1.0, tries));
             let (share, tries) = (max_share.min(1.0 - cut / demand.work.max(1e-9)), tries.min(max_tries));
-            let (reach, class_set) = (self.reach_rules.reach(zone, demand.id), Products::one(demand.id));
+            let (reach, class_set) = (self.reach_rules.reach(zone, demand.id), ClassSet::one(demand.id));
             // Residency takes precedence over service: a request class that no host may serve is rejected at
             // once.
             let open = view.entries[&(zone, reach)].iter().any(|entry| entry.open);
             let unservable = !open && self.reach_rules.governed(zone, class_set) == class_set;
-            let level = match self.proxy_settings.levels {
+            let level = match self.proxy_settings.level_kind {
                 LevelKind::Off => 1.0,
                 _ if unservable => 0.0,
-                LevelKind::Rate if share > 0.98 => 1e6,
-                LevelKind::Rate => rounded_rate_cap(demand.rates, share),
-                LevelKind::Share => (share * 20.0).round() / 20.0,
+                LevelKind::PerSecond if share > 0.98 => 1e6,
+                LevelKind::PerSecond => rounded_rate_cap(demand.rates, share),
+                LevelKind::Fraction => (share * 20.0).round() / 20.0,
             };
             let tables = desired.tables.keys().filter(|table| (table.0, table.1) == (zone, reach));
             desired.levels.extend(tables.map(|table| ((*table, class_set), (level, tries))));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -24,15 +24,15 @@
 
 /// The controller: it receives all events and decides on the orders to the proxies.
 pub struct Steward {
-    instance: Post,
+    instance: InstanceSettings,
     /// The request classes, in the order of their ids.
-    classes: Vec<Product>,
+    classes: Vec<RequestClass>,
     /// The mean latency target of all request classes, in ms.
     mean_latency_target: f64,
-    proxy_settings: Sidecars,
+    proxy_settings: ProxySettings,
     warmup: Warmup,
-    report_settings: Sums,
-    list_settings: Roster,
+    report_settings: ReportSettings,
+    list_settings: HostListSettings,
     /// Failed requests for the host list since the last success, and when to request it again.
     list_failures: i32,
     list_request_at: f64,
@@ -51,7 +51,7 @@
     spillover: Spillover,
     levels: BTreeMap<ZoneId, Level>,
     /// Upper bounds on admission from reduced service levels.
-    service_bounds: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
+    service_bounds: BTreeMap<(ZoneId, ClassId), (f64, RetryPolicy)>,
     /// The levels in force at proxies are not known yet: none is ordered.
     levels_unknown: bool,
     /// The median over all hosts of the fraction of tries that fail.
@@ -65,7 +65,7 @@
     /// Tries fail or are slow across the fleet.
     overloaded: bool,
     /// The latency factor of each instance type, and when it was last changed.
-    kind_factors: BTreeMap<KindId, (f64, f64)>,
+    kind_factors: BTreeMap<InstanceTypeId, (f64, f64)>,
     /// When the last host report arrived.
     last_report_at: f64,
     /// The time that one traffic report covers, in ms.
@@ -87,18 +87,19 @@
         events.iter().for_each(|event| self.handle_event(now, event));
         self.backlog.finish_departures();
         self.published.finish_departures();
-        let due =
-            std::mem::take(&mut self.first_decision) || events.iter().any(|e| matches!(e, Event::Due { .. }));
-        orders.extend(due.then_some(Order::Timer { after: TICK_MS, timer: TimerId(0) }));
+        let due = std::mem::take(&mut self.first_decision)
+            || events.iter().any(|e| matches!(e, Event::TimerExpired { .. }));
+        orders.extend(due.then_some(Order::StartTimer { after: TICK_MS, timer: TimerId(0) }));
         // Where the host list has to be requested, it is watched; after a failure it is requested again at
         // growing intervals.
-        if self.list_settings.asked && now >= self.list_request_at {
+        if self.list_settings.on_request && now >= self.list_request_at {
             self.list_request_at = f64::MAX;
-            orders.push(Order::Watch { on: true });
+            orders.push(Order::WatchList { on: true });
         }
         // Limits the use of CPU: the state is planned on the timer, and earlier only after a change of the
         // list or of gates. Instances with slices make no decisions yet.
-        if self.instance.slices == 0 && (due || self.plan_soon && now >= self.planned_at + TICK_MS / 4.0) {
+        if self.instance.slice_count == 0 && (due || self.plan_soon && now >= self.planned_at + TICK_MS / 4.0)
+        {
             self.assess_hosts(now, &mut orders);
             let desired = self.desired_state(now);
             self.backlog.expire_departed((now - self.planned_at) * self.channel.lines_per_s / 2e3);
@@ -113,13 +114,13 @@
     /// Creates a controller without hosts and proxies.
     #[rustfmt::skip]
     pub fn new(
-        instance: Post, classes: Vec<Product>, channel: Channel, proxy_settings: Sidecars, warmup: Warmup,
-        list_settings: Roster, report_settings: Sums,
+        instance: InstanceSettings, classes: Vec<RequestClass>, channel: Channel, proxy_settings: ProxySettings, warmup: Warmup,
+        list_settings: HostListSettings, report_settings: ReportSettings,
     ) -> Self {
         let mean_latency_target =
-            classes.iter().map(|class| class.sla).sum::<f64>() / classes.len().max(1) as f64;
+            classes.iter().map(|class| class.latency_target).sum::<f64>() / classes.len().max(1) as f64;
         let (reach_rules, published) =
-            (ReachRules::new(&classes, instance.zones), PublishedState::new(instance.zones));
+            (ReachRules::new(&classes, instance.zone_count), PublishedState::new(instance.zone_count));
         Steward {
             instance, classes, mean_latency_target, proxy_settings, warmup, report_settings, channel,
             list_settings, backlog: ChannelBacklog::default(), stall_detector: StallDetector::default(),
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -22,11 +22,11 @@
 /// What is known of a host, and its state of health.
 pub struct Host {
     pub zone: ZoneId,
-    pub kind: KindId,
+    pub kind: InstanceTypeId,
     /// Its position among the hosts of its zone; it determines the tables that name the host.
     pub place: u32,
     pub weight: f64,
-    pub standing: Standing,
+    pub standing: Availability,
     /// When it last started, as far as it is known to be recent.
     pub cold_since: Option<f64>,
     /// When it answered again after it was gone (infinity: it is still gone), and when it was last restored.
@@ -70,13 +70,13 @@
     }
     /// Whether the configured warm-up time since its listed start is over.
     pub fn is_warm(&self, now: f64, warmup: &Warmup) -> bool {
-        self.cold_since.is_none_or(|at| now >= at + warmup.within)
+        self.cold_since.is_none_or(|at| now >= at + warmup.duration)
     }
     /// The fraction of its full capacity that even the slowest warm-up has reached.
     pub fn capacity(&self, now: f64, warmup: &Warmup) -> f64 {
         let since = self.cold_since.or(Some(self.recovered_at).filter(|_| self.restart_unlisted(now)));
-        let age = since.map_or(2.0, |since| (now - since) / warmup.within);
-        f64::min(1.0, warmup.from + (1.0 - warmup.from) * age)
+        let age = since.map_or(2.0, |since| (now - since) / warmup.duration);
+        f64::min(1.0, warmup.initial_capacity + (1.0 - warmup.initial_capacity) * age)
     }
 
     /// Guards against hosts that are slower than listed: one whose succeeded answers are late compared with
@@ -126,12 +126,15 @@
     /// equal and reports are rare: the hosts of one type together show in one report period what a single
     /// host shows in three. Each host raises its factor again on its own.
     pub(crate) fn update_kind_factors(&mut self, now: f64) {
-        let open_hosts =
-            || self.hosts.values().filter(|host| host.standing == Standing::On && !host.gate.closed);
+        let open_hosts = || {
+            self.hosts.values().filter(|host| host.standing == Availability::InService && !host.gate.closed)
+        };
         let weights_differ =
             open_hosts().zip(open_hosts().skip(1)).any(|(host, other)| host.weight != other.weight);
-        let (mut traffic_by_kind, reports_rare) =
-            (BTreeMap::<KindId, TryStats>::new(), self.report_cover > 1.5 * self.report_settings.every);
+        let (mut traffic_by_kind, reports_rare) = (
+            BTreeMap::<InstanceTypeId, TryStats>::new(),
+            self.report_cover > 1.5 * self.report_settings.interval,
+        );
         let included = |host: &&Host| {
             reports_rare && !weights_differ && !self.overloaded && host.capacity(now, &self.warmup) >= 1.0
         };
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -37,7 +37,7 @@
     }
 
     fn fleet_view(&self, now: f64) -> FleetView {
-        let listed = self.hosts.iter().filter(|(_, host)| host.standing == Standing::On);
+        let listed = self.hosts.iter().filter(|(_, host)| host.standing == Availability::InService);
         let available =
             listed.filter_map(|(id, host)| Some((*id, host.weight_fraction(now, &self.warmup)?))).collect();
         let window = f64::max(5_000.0, self.report_cover + BUCKET_MS);
@@ -87,17 +87,19 @@
 
     /// Updates the fractions of weight that hosts of other zones have in a zone's tables.
     fn balance_zones(&mut self, now: f64, view: &FleetView) {
-        let zones = usize::from(self.instance.zones);
+        let zones = usize::from(self.instance.zone_count);
         let (mut weights, mut utilization) = (vec![0.0; zones], vec![Vec::new(); zones]);
         let open = |(id, host, _): &(HostId, &Host, f64)| !host.gate.closed && !view.withdrawn.contains(id);
-        for (_, host, fraction) in
-            self.available(view).filter(open).filter(|available| available.1.zone.0 < self.instance.zones)
+        for (_, host, fraction) in self
+            .available(view)
+            .filter(open)
+            .filter(|available| available.1.zone.0 < self.instance.zone_count)
         {
             weights[host.zone.0 as usize] += host.weight * fraction;
             utilization[host.zone.0 as usize].extend(host.utilization);
         }
         let (mut demands, movable) = self.reach_rules.zone_demands(&view.class_demands, &weights);
-        if self.instance.by_zone && self.instance.stewards > 1 {
+        if self.instance.proxies_by_zone && self.instance.controllers > 1 {
             // The zones of other controllers are assumed to be as loaded as ours, scaled by the utilization
             // that hosts report. The median is used because some reports may be wrong.
             let utilization: Vec<f64> = utilization.into_iter().map(median).collect();
@@ -151,9 +153,10 @@
         // The smallest tables have the size of those that proxies start with, or up to twice that.
         let leaves_zone = !tree.contains(zone, zone);
         let reachable = |host: &Host| host.zone == zone || leaves_zone && tree.contains(zone, host.zone);
-        let listed = |host: &&Host| reachable(host) && host.standing != Standing::Gone;
-        let count = self.hosts.values().filter(listed).count() as u32 / self.proxy_settings.standing.max(1);
-        let group_count = 1 << count.clamp(1, PublishedState::max_groups(self.instance.zones)).ilog2();
+        let listed = |host: &&Host| reachable(host) && host.standing != Availability::Removed;
+        let count =
+            self.hosts.values().filter(listed).count() as u32 / self.proxy_settings.bootstrap_hosts.max(1);
+        let group_count = 1 << count.clamp(1, PublishedState::max_groups(self.instance.zone_count)).ilog2();
         let mut open = open_weight_by_group(&view.entries[&(zone, tree)], group_count);
         // Where a request class must not leave the zone, a table with hosts of other zones alone is not
         // assigned.
@@ -165,7 +168,7 @@
                 .for_each(|(open, _)| *open = 0.0);
         }
         // While assignments are held, a proxy still moves away from a load at which cold hosts fail.
-        let gain = if now < self.hold_tables_until { self.warmup.multiple } else { 0.25 };
+        let gain = if now < self.hold_tables_until { self.warmup.failure_load } else { 0.25 };
         let uses_tree = |demand: &&ClassDemand| self.reach_rules.reach(zone, demand.id).tree() == tree;
         let class_demands: Vec<&ClassDemand> = view.class_demands[&zone].iter().filter(uses_tree).collect();
         assign_proxies(&mut self.proxies, (zone, tree), &class_demands, &open, gain);
@@ -187,7 +190,7 @@
         };
         let best_goodput = if self.best_goodput > 0.0 { self.best_goodput } else { f64::INFINITY };
         let cold_budget =
-            0.4 * self.warmup.multiple * best_goodput / classes.keys().map(load).sum::<f64>().max(1e-9);
+            0.4 * self.warmup.failure_load * best_goodput / classes.keys().map(load).sum::<f64>().max(1e-9);
         view.cold_zones.iter().any(meets_cold).then_some(cold_budget.min(1.0))
     }
 }
--- a/crates/policy/src/publish.rs
+++ b/crates/policy/src/publish.rs
@@ -34,7 +34,10 @@
         self.hosts.retain(|id, _| !gone.contains(id));
         if !lines_by_proxy.is_empty() {
             self.stall_detector.on_sent(now);
-            orders.push(Order::Mark { mark: self.backlog.record_sent(now, lines_by_proxy), everyone: false });
+            orders.push(Order::Mark {
+                mark: self.backlog.record_sent(now, lines_by_proxy),
+                all_proxies: false,
+            });
             self.backlog.record_broadcasts(broadcasts);
         }
     }
@@ -63,7 +66,7 @@
 
 impl Reply<'_> {
     fn is_listed_on(&self, host: HostId) -> bool {
-        self.controller.hosts.get(&host).is_some_and(|host| host.standing == Standing::On)
+        self.controller.hosts.get(&host).is_some_and(|host| host.standing == Availability::InService)
     }
 
     /// Drains, in the order of their hosts. A drain that finds no room yet keeps its position: guards against
@@ -98,7 +101,7 @@
 
     /// Withdraws the host from the recipients; returns whether the channel accepted the order.
     fn withdraw(&mut self, limits: Limits, host: HostId, recipients: &[ProxyId]) -> bool {
-        let taken = self.try_enqueue(limits, recipients, 1.0, &[Order::Withdraw { host, out: true }]);
+        let taken = self.try_enqueue(limits, recipients, 1.0, &[Order::Withdraw { host, withdrawn: true }]);
         self.published.withdrawn.extend(taken.then_some(host));
         taken
     }
@@ -130,7 +133,7 @@
             // Another table may have had its id before, and proxies may still hold its entries.
             let new_id = self.published.ensure_table(self.now, *table);
             let id = self.published.table_id(*table);
-            self.orders.extend(new_id.then_some(Order::Clear { tbl: id }));
+            self.orders.extend(new_id.then_some(Order::ClearTable { table: id }));
             let Some(in_force) = self.published.tables().get(table) else { continue };
             let withdrawn = &self.published.withdrawn;
             // Entries are removed once all restored hosts are in service. Otherwise the remaining hosts would
@@ -155,7 +158,7 @@
             let default_limits =
                 if changes.iter().any(|(host, _)| restored(host)) { RESTORE } else { base_limits };
             let limits = if lacks_usable_host || base_limits == DRAIN { DRAIN } else { default_limits };
-            let set_entry = |&(host, weight): &_| Order::Share { tbl: id, host, weight };
+            let set_entry = |&(host, weight): &_| Order::SetEntry { table: id, host, weight };
             let orders: Vec<Order> = changes.iter().map(set_entry).collect();
             if !orders.is_empty()
                 && self.try_enqueue(limits, &self.published.recipients(table), orders.len() as f64, &orders)
@@ -187,7 +190,7 @@
             let limits = if self.gives_first_usable_host(desired, host) { DRAIN } else { RESTORE };
             if ready
                 && !in_nonconforming
-                && self.try_enqueue(limits, &recipients, 1.0, &[Order::Withdraw { host, out: false }])
+                && self.try_enqueue(limits, &recipients, 1.0, &[Order::Withdraw { host, withdrawn: false }])
             {
                 self.published.withdrawn.remove(&host);
                 restored.push(host);
@@ -208,29 +211,30 @@
 
     /// Sends admission levels that differ from the published ones.
     fn set_levels(&mut self, base_limits: Limits, desired: &DesiredState) {
-        for (&(table, products), &(level, tries)) in
+        for (&(table, classes), &(level, tries)) in
             desired.levels.iter().filter(|_| !self.controller.levels_unknown)
         {
-            let differs = self.published.levels.get(&(table, products)) != Some(&(level, tries));
-            let rejected = level == 0.0 && self.controller.reach_rules.governed(table.0, products).0 != 0;
+            let differs = self.published.levels.get(&(table, classes)) != Some(&(level, tries));
+            let rejected = level == 0.0 && self.controller.reach_rules.governed(table.0, classes).0 != 0;
             let limits = if rejected && base_limits == ROUTINE { URGENT } else { base_limits };
-            let order = Order::Admit { tbl: self.published.table_id(table), products, level, tries };
+            let order = Order::Admit { table: self.published.table_id(table), classes, level, tries };
             let known = self.published.tables().contains_key(&table);
             let taken = differs
                 && known
                 && self.try_enqueue(limits, &self.published.recipients(&table), 1.0, &[order]);
-            self.published.levels.extend(taken.then_some(((table, products), (level, tries))));
+            self.published.levels.extend(taken.then_some(((table, classes), (level, tries))));
         }
     }
 
     /// Forgets hosts that left the list, are in no table and are unknown to proxies that are not bound yet;
     /// clears unused tables.
     fn forget_unlisted_hosts(&mut self, desired: &DesiredState) -> BTreeSet<HostId> {
-        self.orders
-            .extend(self.published.remove_unused_tables(desired).into_iter().map(|tbl| Order::Clear { tbl }));
-        let gone = self.controller.hosts.iter().filter(|(_, host)| host.standing == Standing::Gone);
+        self.orders.extend(
+            self.published.remove_unused_tables(desired).into_iter().map(|table| Order::ClearTable { table }),
+        );
+        let gone = self.controller.hosts.iter().filter(|(_, host)| host.standing == Availability::Removed);
         let gone = self.published.forget_hosts(gone.map(|(id, _)| *id), &self.controller.proxies);
-        self.orders.extend(gone.iter().map(|host| Order::Forget { host: *host }));
+        self.orders.extend(gone.iter().map(|host| Order::ForgetHost { host: *host }));
         gone
     }
 }
--- a/crates/policy/src/reply.rs
+++ b/crates/policy/src/reply.rs
@@ -37,7 +37,7 @@
             nonconforming: BTreeSet::new(),
             lines_by_proxy: BTreeMap::new(),
             backlog_lines: controller.backlog.lines(),
-            hosts_leaving: controller.hosts.values().any(|host| host.standing != Standing::On),
+            hosts_leaving: controller.hosts.values().any(|host| host.standing != Availability::InService),
             delayed_withdrawals: 0,
             channel_refused: false,
             unbound_proxies: BTreeMap::new(),
@@ -51,7 +51,8 @@
     /// messages.
     pub(crate) fn cost(&self, recipients: &[ProxyId], lines_each: f64) -> f64 {
         let new_recipients = recipients.iter().filter(|id| !self.lines_by_proxy.contains_key(id)).count();
-        lines_each * recipients.len() as f64 + (self.controller.channel.head + 1.0) * new_recipients as f64
+        lines_each * recipients.len() as f64
+            + (self.controller.channel.message_overhead + 1.0) * new_recipients as f64
     }
 
     /// Adds the orders if backlog and message limit allow; each recipient gets `lines_each` lines. Returns
@@ -73,9 +74,9 @@
     ) -> Result<(), Refusal> {
         let Steward { channel, backlog, .. } = self.controller;
         let (window, max_messages) =
-            (channel.messages_over + 2.0 * BUCKET_MS, limits.message_fraction * f64::from(channel.messages));
+            (channel.message_window + 2.0 * BUCKET_MS, limits.message_fraction * f64::from(channel.max_messages));
         let at_message_limit = |id: &ProxyId| {
-            channel.messages > 0 && backlog.messages(self.now, window, *id) + 1.0 > max_messages
+            channel.max_messages > 0 && backlog.messages(self.now, window, *id) + 1.0 > max_messages
         };
         let new_recipients: Vec<&ProxyId> =
             recipients.iter().filter(|id| !self.lines_by_proxy.contains_key(id)).collect();
@@ -94,7 +95,7 @@
         if backlog.is_delayed() && (limits == ROUTINE || limits == RESTORE) {
             return Err(Refusal::RelayUnreachable);
         }
-        let fits = self.backlog_lines + cost <= max_lines.min(limits.backlog_fraction * channel.backlog);
+        let fits = self.backlog_lines + cost <= max_lines.min(limits.backlog_fraction * channel.max_backlog);
         self.channel_refused |= !fits;
         if !fits {
             return Err(Refusal::ChannelFull);
@@ -105,7 +106,7 @@
         self.backlog_lines += cost;
         recipients
             .iter()
-            .for_each(|proxy| *self.lines_by_proxy.entry(*proxy).or_insert(channel.head + 1.0) += lines_each);
+            .for_each(|proxy| *self.lines_by_proxy.entry(*proxy).or_insert(channel.message_overhead + 1.0) += lines_each);
         self.orders.extend_from_slice(orders);
         Ok(())
     }
@@ -113,7 +114,7 @@
     /// Counts an order that found no room as queued, so that later orders do not use the room that becomes
     /// free; not where it can never fit.
     pub(crate) fn reserve_room(&mut self, limits: Limits, cost: f64) {
-        if cost <= limits.backlog_fraction * self.controller.channel.backlog {
+        if cost <= limits.backlog_fraction * self.controller.channel.max_backlog {
             self.backlog_lines += cost;
         }
     }
--- a/crates/policy/tests/policy/fleet.rs
+++ b/crates/policy/tests/policy/fleet.rs
@@ -20,42 +20,53 @@
 }
 
 /// A request class that may be served in all zones.
-pub fn product(effect: Effect) -> Product {
-    let (scope, own_zone, writes) = (Scope::All, false, effect != Effect::InquiryLike);
-    let (sla, expiry, window, revenue, late_part) = (1_000.0, 3_000.0, 5_000.0, 1.0, 0.2);
-    Product { sla, expiry, effect, scope, window, revenue, late_part, own_zone, writes }
+pub fn product(idempotency: Idempotency) -> RequestClass {
+    let (scope, home_zone_only, writes) = (DedupScope::All, false, idempotency != Idempotency::Idempotent);
+    let (latency_target, deadline, dedup_window, value, late_value_fraction) =
+        (1_000.0, 3_000.0, 5_000.0, 1.0, 0.2);
+    RequestClass {
+        latency_target,
+        deadline,
+        idempotency,
+        scope,
+        dedup_window,
+        value,
+        late_value_fraction,
+        home_zone_only,
+        writes,
+    }
 }
 
 impl Fleet {
     /// A fleet with one request class and without admission levels. Host h is in zone h modulo `zones`.
     pub fn new(zones: u16, hosts: u32) -> Fleet {
-        Fleet::with(zones, hosts, vec![product(Effect::InquiryLike)], LevelKind::Off)
+        Fleet::with(zones, hosts, vec![product(Idempotency::Idempotent)], LevelKind::Off)
     }
 
     /// The host list is sent only when the controller asks for it.
     pub fn with_list_on_request(zones: u16, hosts: u32) -> Fleet {
-        Fleet::build(zones, hosts, vec![product(Effect::InquiryLike)], LevelKind::Off, (true, 1), 300.0)
+        Fleet::build(zones, hosts, vec![product(Idempotency::Idempotent)], LevelKind::Off, (true, 1), 300.0)
     }
 
     /// One of two controllers, each with the proxies of its zone.
     pub fn one_of_two_controllers(zones: u16, hosts: u32) -> Fleet {
-        Fleet::build(zones, hosts, vec![product(Effect::InquiryLike)], LevelKind::Off, (false, 2), 300.0)
+        Fleet::build(zones, hosts, vec![product(Idempotency::Idempotent)], LevelKind::Off, (false, 2), 300.0)
     }
 
-    pub fn with(zones: u16, hosts: u32, products: Vec<Product>, levels: LevelKind) -> Fleet {
+    pub fn with(zones: u16, hosts: u32, products: Vec<RequestClass>, levels: LevelKind) -> Fleet {
         Fleet::build(zones, hosts, products, levels, (false, 1), 300.0)
     }
 
     /// A channel that sends 1,000 lines per second and lets `backlog` lines wait.
     pub fn with_channel(zones: u16, hosts: u32, backlog: f64) -> Fleet {
-        let products = vec![product(Effect::InquiryLike)];
+        let products = vec![product(Idempotency::Idempotent)];
         Fleet::build(zones, hosts, products, LevelKind::Off, (false, 1), backlog)
     }
 
     fn build(
         zones: u16,
         hosts: u32,
-        products: Vec<Product>,
+        products: Vec<RequestClass>,
         levels: LevelKind,
         (asked, stewards): (bool, u32),
         backlog: f64,
@@ -69,7 +80,7 @@
         Fleet::build_with_seed(
             seed,
             (1, 2),
-            vec![product(Effect::InquiryLike)],
+            vec![product(Idempotency::Idempotent)],
             LevelKind::Off,
             (true, 5),
             300.0,
@@ -78,55 +89,82 @@
 
     fn build_with_seed(
         seed: u64,
-        (zones, hosts): (u16, u32),
-        products: Vec<Product>,
-        levels: LevelKind,
-        (asked, stewards): (bool, u32),
-        backlog: f64,
+        (zone_count, hosts): (u16, u32),
+        products: Vec<RequestClass>,
+        level_kind: LevelKind,
+        (on_request, controllers): (bool, u32),
+        max_backlog: f64,
     ) -> Fleet {
         let zone = ZoneId(0);
-        let post = Post { seed, zone, zones, stewards, by_zone: true, slices: 0, may_probe: true };
+        let post = InstanceSettings {
+            seed,
+            zone,
+            zone_count,
+            controllers,
+            proxies_by_zone: true,
+            slice_count: 0,
+            may_probe: true,
+        };
         let channel = Channel {
             lines_per_s: 1_000.0,
-            head: 3.0,
-            backlog,
-            messages: 30,
-            messages_over: 10_000.0,
-            transit: 200.0,
-            transit_worst: 500.0,
+            message_overhead: 3.0,
+            max_backlog,
+            max_messages: 30,
+            message_window: 10_000.0,
+            typical_transit: 200.0,
+            max_transit: 500.0,
+        };
+        let default_tries = RetryPolicy::AfterProof;
+        let sidecars = ProxySettings {
+            proxy_count: 4,
+            bootstrap_hosts: 6,
+            max_time_without_host: 3_000.0,
+            level_kind,
+            default_tries,
+            try_factor: 0.8,
+        };
+        let warmup =
+            Warmup { initial_capacity: 0.2, duration: 20_000.0, failure_load: 3.0, failure_after: 2_000.0 };
+        let roster = HostListSettings {
+            on_request,
+            request_within: 1e4,
+            drain_grace: 2e3,
+            removal_not_binding: false,
         };
-        let usual_tries = Tries::AfterProof;
-        let sidecars =
-            Sidecars { count: 4, standing: 6, bare_for: 3_000.0, levels, usual_tries, try_wait: 0.8 };
-        let warmup = Warmup { from: 0.2, within: 20_000.0, multiple: 3.0, fall_after: 2_000.0 };
-        let roster = Roster { asked, ask_within: 1e4, grace: 2e3, removal_not_binding: false };
-        let sums = Sums { every: 1_000.0, lines_per_s: 100.0 };
+        let sums = ReportSettings { interval: 1_000.0, max_lines_per_s: 100.0 };
         let controller = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
         let (mark, trace) = (MarkId(0), String::new());
-        let mut fleet =
-            Fleet { controller, trace, now: 1_000.0, mark, zones, span: 1_000.0, reports: vec![] };
+        let mut fleet = Fleet {
+            controller,
+            trace,
+            now: 1_000.0,
+            mark,
+            zones: zone_count,
+            span: 1_000.0,
+            reports: vec![],
+        };
         let entries = (0..hosts).map(|host| fleet.entry(host)).collect();
-        fleet.send(&[Event::List { news: ListNews::Restored, entries }]);
+        fleet.send(&[Event::List { update: ListUpdate::FromSnapshot, entries }]);
         fleet
     }
 
     /// The list entry of a host with the default weight and zone.
-    pub fn entry(&self, host: u32) -> Listed {
-        Listed {
+    pub fn entry(&self, host: u32) -> HostEntry {
+        HostEntry {
             host: HostId(host),
             weight: 1.0,
             zone: ZoneId((host % u32::from(self.zones)) as u16),
             pod: PodId(0),
-            kind: KindId((host % 2) as u16),
-            born: None,
-            standing: Standing::On,
+            instance_type: InstanceTypeId((host % 2) as u16),
+            started_at: None,
+            availability: Availability::InService,
         }
     }
 
     /// Sends a list update for one host.
-    pub fn list_host(&mut self, host: u32, standing: Standing, born: Option<f64>) {
-        let entry = Listed { standing, born, ..self.entry(host) };
-        self.send(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
+    pub fn list_host(&mut self, host: u32, availability: Availability, started_at: Option<f64>) {
+        let entry = HostEntry { availability, started_at, ..self.entry(host) };
+        self.send(&[Event::List { update: ListUpdate::Changes, entries: vec![entry] }]);
     }
 
     pub fn join(&mut self, proxy: u16) {
@@ -135,43 +173,51 @@
 
     /// Proxies that join at the same time, each fresh or still with the tables of another controller.
     pub fn join_all(&mut self, proxies: &[(u16, bool)]) {
-        let joined = |&(proxy, fresh): &(u16, bool)| {
+        let joined = |&(proxy, without_table): &(u16, bool)| {
             let zone = ZoneId(proxy % self.zones);
-            Event::Joined { proxy: ProxyId(proxy), zone, txns_per_s: 10.0, fresh }
+            Event::ProxyJoined { proxy: ProxyId(proxy), zone, txns_per_s: 10.0, without_table }
         };
         let joined: Vec<Event> = proxies.iter().map(joined).collect();
         self.send(&joined);
     }
 
     /// Sends probe outcomes of one host, one per second.
-    pub fn probes(&mut self, host: u32, outcomes: &[Outcome]) {
+    pub fn probes(&mut self, host: u32, outcomes: &[ProbeOutcome]) {
         for outcome in outcomes {
             self.run(5);
             self.note(&format!("{outcome:?} host{host}").to_lowercase());
-            let (host, report) = (HostId(host), LoadReport::default());
-            self.send(&[Event::Probed { host, outcome: *outcome, took: 2.0, report }]);
+            let (host, load) = (HostId(host), LoadReport::default());
+            self.send(&[Event::ProbeResult { host, outcome: *outcome, duration: 2.0, load }]);
         }
     }
 
     /// A host report: the tries from a zone to a host. It is sent with the next events.
-    pub fn host_report(&mut self, host: u32, zone: u16, tries: u32, voided: u32, mean: f64) {
-        let (host, zone, report) = (HostId(host), ZoneId(zone), LoadReport::default());
-        self.reports.push(Event::Met { host, zone, over: self.span, tries, voided, mean, report });
+    pub fn host_report(&mut self, host: u32, zone: u16, tries: u32, failed: u32, mean_latency: f64) {
+        let (host, zone, load) = (HostId(host), ZoneId(zone), LoadReport::default());
+        self.reports.push(Event::HostReport {
+            host,
+            zone,
+            covered: self.span,
+            tries,
+            failed,
+            mean_latency,
+            load,
+        });
     }
 
     /// A proxy report: the requests of one class at a proxy. It is sent with the next events.
-    pub fn proxy_report(&mut self, proxy: u16, product: u16, txns: u32) {
-        let (proxy, product) = (ProxyId(proxy), ProductId(product));
-        self.reports.push(Event::Came { proxy, product, txns, voided: 0, over: 1_000.0 });
+    pub fn proxy_report(&mut self, proxy: u16, class: u16, txns: u32) {
+        let (proxy, class) = (ProxyId(proxy), ClassId(class));
+        self.reports.push(Event::ProxyReport { proxy, class, txns, failed: 0, covered: 1_000.0 });
     }
 
     /// Requests of the class that arrive in `zone` may be served only by hosts of `zones`.
-    pub fn set_reach(&mut self, zone: u16, product: u16, zones: &[u16]) {
-        let text = format!("reach of product{product} from zone{zone}: {zones:?}");
+    pub fn set_reach(&mut self, zone: u16, class: u16, allowed_zones: &[u16]) {
+        let text = format!("reach of product{class} from zone{zone}: {allowed_zones:?}");
         self.note(&text);
-        let (zone, product) = (ZoneId(zone), ProductId(product));
-        let zones = zones.iter().copied().map(ZoneId).collect();
-        self.send(&[Event::Reach { zone, product, zones }]);
+        let (zone, class) = (ZoneId(zone), ClassId(class));
+        let allowed_zones = allowed_zones.iter().copied().map(ZoneId).collect();
+        self.send(&[Event::ReachRule { zone, class, allowed_zones }]);
     }
 
     /// Four hosts serve well for four seconds, then the given hosts restart at the same time. The proxies go on
@@ -184,7 +230,7 @@
         }
         self.trace.clear();
         let born = Some(self.now);
-        hosts.iter().for_each(|host| self.list_host(*host, Standing::On, born));
+        hosts.iter().for_each(|host| self.list_host(*host, Availability::InService, born));
         for _ in 0..seconds {
             self.run(5);
             (0..proxies).for_each(|proxy| self.proxy_report(proxy, 0, 10));
@@ -197,15 +243,21 @@
     }
 
     /// Load estimates of hosts, observed `age` ms ago, with a confidence of `sure`. They are sent with the next events.
-    pub fn load_reports(&mut self, loads: &[(u32, f64)], age: f64, sure: f64) {
-        let load = |(host, load): &(u32, f64)| Event::Load { host: HostId(*host), load: *load, age, sure };
+    pub fn load_reports(&mut self, loads: &[(u32, f64)], age: f64, confidence: f64) {
+        let load = |(host, load): &(u32, f64)| Event::LoadEstimate {
+            host: HostId(*host),
+            load: *load,
+            age,
+            confidence,
+        };
         self.reports.extend(loads.iter().map(load));
     }
 
     /// The first `proxies` proxies acknowledge all marks so far.
     pub fn catch_up(&mut self, proxies: u16) {
         for mark in 0..40 {
-            let applied = |proxy| Event::Applied { proxy: ProxyId(proxy), mark: MarkId(mark), took: 300.0 };
+            let applied =
+                |proxy| Event::MarkApplied { proxy: ProxyId(proxy), mark: MarkId(mark), duration: 300.0 };
             self.send(&(0..proxies).map(applied).collect::<Vec<_>>());
         }
     }
@@ -225,7 +277,7 @@
 
     /// Sends events with a timer tick, so the trace also shows the orders that are decided on ticks.
     pub fn send(&mut self, events: &[Event]) {
-        let due = Event::Due { timer: TimerId(0) };
+        let due = Event::TimerExpired { timer: TimerId(0) };
         let reports = std::mem::take(&mut self.reports);
         let events: Vec<Event> = reports.into_iter().chain(events.iter().cloned()).chain([due]).collect();
         self.send_without_tick(&events);
@@ -235,20 +287,20 @@
     pub fn send_without_tick(&mut self, events: &[Event]) {
         for order in self.controller.decide(self.now, events) {
             let text = match order {
-                Order::Share { tbl, host, weight } => {
-                    format!("t{} host{} weight {weight}", tbl.0, host.0)
+                Order::SetEntry { table, host, weight } => {
+                    format!("t{} host{} weight {weight}", table.0, host.0)
                 }
-                Order::Withdraw { host, out: true } => format!("withdraw host{}", host.0),
-                Order::Withdraw { host, out: false } => format!("restore host{}", host.0),
-                Order::Bind { proxy, tbl, products } => {
-                    format!("bind proxy{} to t{} for {:b}", proxy.0, tbl.0, products.0)
+                Order::Withdraw { host, withdrawn: true } => format!("withdraw host{}", host.0),
+                Order::Withdraw { host, withdrawn: false } => format!("restore host{}", host.0),
+                Order::Bind { proxy, table, classes } => {
+                    format!("bind proxy{} to t{} for {:b}", proxy.0, table.0, classes.0)
                 }
-                Order::Admit { tbl, products, level, tries } => {
-                    format!("admit t{} for {:b}: {level} {tries:?}", tbl.0, products.0)
+                Order::Admit { table, classes, level, tries } => {
+                    format!("admit t{} for {:b}: {level} {tries:?}", table.0, classes.0)
                 }
-                Order::Watch { on } => format!("watch {on}"),
-                Order::Clear { tbl } => format!("clear t{}", tbl.0),
-                Order::Forget { host } => format!("forget host{}", host.0),
+                Order::WatchList { on } => format!("watch {on}"),
+                Order::ClearTable { table } => format!("clear t{}", table.0),
+                Order::ForgetHost { host } => format!("forget host{}", host.0),
                 Order::Mark { mark, .. } => {
                     self.mark = mark;
                     continue;
--- a/crates/policy/tests/policy/model.rs
+++ b/crates/policy/tests/policy/model.rs
@@ -22,12 +22,12 @@
     Listed {
         host: u32,
         zone: u16,
-        standing: Standing,
+        standing: Availability,
         fresh: bool,
     },
     Probed {
         host: u32,
-        outcome: Outcome,
+        outcome: ProbeOutcome,
     },
     Joined {
         proxy: u16,
@@ -50,11 +50,11 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let standing = prop_oneof![
-        4 => Just(Standing::On),
-        1 => Just(Standing::Draining),
-        1 => Just(Standing::Gone),
+        4 => Just(Availability::InService),
+        1 => Just(Availability::Draining),
+        1 => Just(Availability::Removed),
     ];
-    let outcome = prop_oneof![2 => Just(Outcome::Unreachable), 1 => Just(Outcome::Answered)];
+    let outcome = prop_oneof![2 => Just(ProbeOutcome::Unreachable), 1 => Just(ProbeOutcome::Answered)];
     prop_oneof![
         5 => (0..ZONES, 0u16..3, 0u128..16)
             .prop_map(|(zone, product, zones)| Step::Reach { zone, product, zones }),
@@ -75,15 +75,15 @@
 const HOSTS: u32 = 10;
 
 /// A host that a proxy may use for a request class, by the table it is bound to.
-type Use = (ProxyId, ProductId, HostId);
+type Use = (ProxyId, ClassId, HostId);
 
 #[derive(Default)]
 struct Model {
-    reaches: BTreeMap<(ZoneId, ProductId), Zones>,
+    reaches: BTreeMap<(ZoneId, ClassId), Zones>,
     hosts: BTreeMap<HostId, ZoneId>,
     proxies: BTreeMap<ProxyId, ZoneId>,
-    tables: BTreeMap<TblId, BTreeSet<HostId>>,
-    binds: BTreeMap<(ProxyId, ProductId), TblId>,
+    tables: BTreeMap<TableId, BTreeSet<HostId>>,
+    binds: BTreeMap<(ProxyId, ClassId), TableId>,
     withdrawn: BTreeSet<HostId>,
     /// Proxies that the orders of the current reply go to so far, and the last mark that was sent to each.
     recipients: BTreeSet<ProxyId>,
@@ -93,14 +93,16 @@
 impl Model {
     fn apply_event(&mut self, event: &Event) {
         match event {
-            Event::Reach { zone, product, zones } => drop(self.reaches.insert((*zone, *product), *zones)),
+            Event::ReachRule { zone, class, allowed_zones } => {
+                self.reaches.insert((*zone, *class), *allowed_zones);
+            }
             Event::List { entries, .. } => self.hosts.extend(entries.iter().map(|e| (e.host, e.zone))),
-            Event::Joined { proxy, zone, .. } => {
+            Event::ProxyJoined { proxy, zone, .. } => {
                 self.binds.retain(|(bound, _), _| bound != proxy);
                 self.marks.remove(proxy);
                 self.proxies.insert(*proxy, *zone);
             }
-            Event::Left { proxy } => {
+            Event::ProxyLeft { proxy } => {
                 self.binds.retain(|(bound, _), _| bound != proxy);
                 self.marks.remove(proxy);
                 self.proxies.remove(proxy);
@@ -111,11 +113,11 @@
 
     /// Proxies that the order goes to: those bound to the table, or to a table that names the host, or not bound yet.
     fn recipients_of(&self, order: &Order) -> Vec<ProxyId> {
-        let at = |tbl: &TblId| {
+        let at = |tbl: &TableId| {
             self.binds.iter().filter(|(_, used)| *used == tbl).map(|(bind, _)| bind.0).collect()
         };
         match order {
-            Order::Share { tbl, .. } | Order::Admit { tbl, .. } => at(tbl),
+            Order::SetEntry { table, .. } | Order::Admit { table, .. } => at(table),
             Order::Bind { proxy, .. } => vec![*proxy],
             Order::Withdraw { host, .. } => {
                 let tables = |of: &ProxyId| {
@@ -125,7 +127,7 @@
                         .map(|(_, tbl)| tbl)
                         .collect::<Vec<_>>()
                 };
-                let names = |tbl: &&TblId| self.tables.get(tbl).is_some_and(|hosts| hosts.contains(host));
+                let names = |tbl: &&TableId| self.tables.get(tbl).is_some_and(|hosts| hosts.contains(host));
                 let holds = |of: &&ProxyId| tables(of).is_empty() || tables(of).iter().any(names);
                 self.proxies.keys().filter(holds).copied().collect()
             }
@@ -135,26 +137,31 @@
 
     /// Each proxy acknowledges the last mark that was sent to it, as the relay does, and never any other mark.
     fn acknowledgements(&self) -> Vec<Event> {
-        let applied =
-            |(proxy, mark): (&ProxyId, &MarkId)| Event::Applied { proxy: *proxy, mark: *mark, took: 300.0 };
+        let applied = |(proxy, mark): (&ProxyId, &MarkId)| Event::MarkApplied {
+            proxy: *proxy,
+            mark: *mark,
+            duration: 300.0,
+        };
         self.marks.iter().map(applied).collect()
     }
 
     fn apply_order(&mut self, order: &Order) {
         self.recipients.extend(self.recipients_of(order));
         match order {
-            Order::Share { tbl, host, weight } => {
-                assert_ne!(*tbl, TblId::ALL);
-                let table = self.tables.entry(*tbl).or_default();
+            Order::SetEntry { table, host, weight } => {
+                assert_ne!(*table, TableId::ALL);
+                let table = self.tables.entry(*table).or_default();
                 let _ = if *weight > 0.0 { table.insert(*host) } else { table.remove(host) };
             }
-            Order::Clear { tbl } => drop(self.tables.remove(tbl)),
-            Order::Withdraw { host, out: true } => drop(self.withdrawn.insert(*host)),
-            Order::Withdraw { host, out: false } => drop(self.withdrawn.remove(host)),
-            Order::Bind { proxy, tbl, products } => {
-                assert!(self.proxies.contains_key(proxy) && *products != Products::ALL && *tbl != TblId::ALL);
-                let named = (0..3).map(ProductId).filter(|id| products.0 & Products::one(*id).0 != 0);
-                self.binds.extend(named.map(|id| ((*proxy, id), *tbl)));
+            Order::ClearTable { table } => drop(self.tables.remove(table)),
+            Order::Withdraw { host, withdrawn: true } => drop(self.withdrawn.insert(*host)),
+            Order::Withdraw { host, withdrawn: false } => drop(self.withdrawn.remove(host)),
+            Order::Bind { proxy, table, classes } => {
+                assert!(
+                    self.proxies.contains_key(proxy) && *classes != ClassSet::ALL && *table != TableId::ALL
+                );
+                let named = (0..3).map(ClassId).filter(|id| classes.0 & ClassSet::one(*id).0 != 0);
+                self.binds.extend(named.map(|id| ((*proxy, id), *table)));
             }
             Order::Mark { mark, .. } => {
                 self.marks
@@ -173,7 +180,7 @@
                 continue;
             };
             let hosts = self.tables.get(tbl).into_iter().flatten();
-            let hosts = hosts.filter(|host| !zones.has(self.hosts[host]));
+            let hosts = hosts.filter(|host| !zones.contains(self.hosts[host]));
             let hosts = hosts.filter(|host| !open || !self.withdrawn.contains(host));
             outside.extend(hosts.map(|host| (proxy, product, *host)));
         }
@@ -183,42 +190,55 @@
 
 /// Runs the steps and checks that no order adds a use outside a reach. With `ample` the channel has room for all
 /// orders, so no such use is left after any reply.
-fn run(steps: Vec<Step>, levels: LevelKind, ample: bool) -> Result<(), TestCaseError> {
-    let post = Post {
+fn run(steps: Vec<Step>, level_kind: LevelKind, ample: bool) -> Result<(), TestCaseError> {
+    let post = InstanceSettings {
         seed: 1,
         zone: ZoneId(0),
-        zones: ZONES,
-        stewards: 1,
-        by_zone: true,
-        slices: 0,
+        zone_count: ZONES,
+        controllers: 1,
+        proxies_by_zone: true,
+        slice_count: 0,
         may_probe: true,
     };
-    let confined = Product { own_zone: true, ..product(Effect::OnceOnly) };
-    let products = vec![product(Effect::InquiryLike), product(Effect::OnceOnly), confined];
-    let (backlog, messages, lines_per_s) = if ample { (1e9, 0, 1e9) } else { (40.0, 0, 500.0) };
+    let confined = RequestClass { home_zone_only: true, ..product(Idempotency::NonIdempotent) };
+    let products = vec![product(Idempotency::Idempotent), product(Idempotency::NonIdempotent), confined];
+    let (max_backlog, max_messages, lines_per_s) = if ample { (1e9, 0, 1e9) } else { (40.0, 0, 500.0) };
     let channel = Channel {
         lines_per_s,
-        head: 3.0,
-        backlog,
-        messages,
-        messages_over: 10_000.0,
-        transit: 200.0,
-        transit_worst: 500.0,
+        message_overhead: 3.0,
+        max_backlog,
+        max_messages,
+        message_window: 10_000.0,
+        typical_transit: 200.0,
+        max_transit: 500.0,
+    };
+    let (default_tries, max_time_without_host) = (RetryPolicy::AfterProof, 3_000.0);
+    let sidecars = ProxySettings {
+        proxy_count: 4,
+        bootstrap_hosts: 1,
+        max_time_without_host,
+        level_kind,
+        default_tries,
+        try_factor: 0.8,
+    };
+    let warmup =
+        Warmup { initial_capacity: 0.2, duration: 20_000.0, failure_load: 3.0, failure_after: 2_000.0 };
+    let roster = HostListSettings {
+        on_request: false,
+        request_within: 1e4,
+        drain_grace: 2e3,
+        removal_not_binding: false,
     };
-    let (usual_tries, bare_for) = (Tries::AfterProof, 3_000.0);
-    let sidecars = Sidecars { count: 4, standing: 1, bare_for, levels, usual_tries, try_wait: 0.8 };
-    let warmup = Warmup { from: 0.2, within: 20_000.0, multiple: 3.0, fall_after: 2_000.0 };
-    let roster = Roster { asked: false, ask_within: 1e4, grace: 2e3, removal_not_binding: false };
-    let sums = Sums { every: 1_000.0, lines_per_s: 100.0 };
+    let sums = ReportSettings { interval: 1_000.0, max_lines_per_s: 100.0 };
     let mut controller = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
-    let entry = |host: u32, zone: u16, standing, born| Listed {
+    let entry = |host: u32, zone: u16, availability, started_at| HostEntry {
         host: HostId(host),
         weight: 1.0,
         zone: ZoneId(zone),
         pod: PodId(0),
-        kind: KindId(0),
-        born,
-        standing,
+        instance_type: InstanceTypeId(0),
+        started_at,
+        availability,
     };
     let (mut model, mut now) = (Model::default(), 1_000.0);
     let mut decide = |model: &mut Model, now: f64, events: Vec<Event>| {
@@ -241,50 +261,51 @@
         prop_assert!(!ample || all.is_empty(), "still outside a reach after the reply: {all:?}");
         Ok(())
     };
-    let entries = (0..HOSTS).map(|host| entry(host, host as u16 % ZONES, Standing::On, None)).collect();
-    let mut events = vec![Event::List { news: ListNews::Restored, entries }];
-    events.extend((0..4).map(|proxy| Event::Joined {
+    let entries =
+        (0..HOSTS).map(|host| entry(host, host as u16 % ZONES, Availability::InService, None)).collect();
+    let mut events = vec![Event::List { update: ListUpdate::FromSnapshot, entries }];
+    events.extend((0..4).map(|proxy| Event::ProxyJoined {
         proxy: ProxyId(proxy),
         zone: ZoneId(proxy % ZONES),
         txns_per_s: 10.0,
-        fresh: true,
+        without_table: true,
     }));
     decide(&mut model, now, events)?;
     for step in steps {
-        let report = LoadReport::default();
-        let due = Event::Due { timer: TimerId(0) };
+        let load = LoadReport::default();
+        let due = Event::TimerExpired { timer: TimerId(0) };
         let events = match step {
-            Step::Reach { zone, product, zones } => {
-                let (zone, product) = (ZoneId(zone), ProductId(product));
-                vec![Event::Reach { zone, product, zones: Zones(zones) }]
+            Step::Reach { zone, product: class, zones: allowed_zones } => {
+                let (zone, class) = (ZoneId(zone), ClassId(class));
+                vec![Event::ReachRule { zone, class, allowed_zones: Zones(allowed_zones) }]
             }
-            Step::Listed { host, zone, standing, fresh } => {
-                let entries = vec![entry(host, zone, standing, fresh.then_some(now - 500.0))];
-                vec![Event::List { news: ListNews::Changes, entries }]
+            Step::Listed { host, zone, standing: availability, fresh } => {
+                let entries = vec![entry(host, zone, availability, fresh.then_some(now - 500.0))];
+                vec![Event::List { update: ListUpdate::Changes, entries }]
             }
             Step::Probed { host, outcome } => {
-                let event = Event::Probed { host: HostId(host), outcome, took: 2.0, report };
+                let event = Event::ProbeResult { host: HostId(host), outcome, duration: 2.0, load };
                 vec![event.clone(), event.clone(), event]
             }
             Step::Joined { proxy, zone } => {
-                vec![Event::Joined {
+                vec![Event::ProxyJoined {
                     proxy: ProxyId(proxy),
                     zone: ZoneId(zone),
                     txns_per_s: 9.0,
-                    fresh: false,
+                    without_table: false,
                 }]
             }
-            Step::Left { proxy } => vec![Event::Left { proxy: ProxyId(proxy) }],
-            Step::HostReports { voided, mean } => {
+            Step::Left { proxy } => vec![Event::ProxyLeft { proxy: ProxyId(proxy) }],
+            Step::HostReports { voided: failed, mean: mean_latency } => {
                 let pairs = (0..HOSTS).flat_map(|host| (0..ZONES).map(move |zone| (host, zone)));
-                let met = |(host, zone)| Event::Met {
+                let met = |(host, zone)| Event::HostReport {
                     host: HostId(host),
                     zone: ZoneId(zone),
-                    over: 1_000.0,
+                    covered: 1_000.0,
                     tries: 10,
-                    voided,
-                    mean,
-                    report,
+                    failed,
+                    mean_latency,
+                    load,
                 };
                 pairs.map(met).collect()
             }
@@ -303,15 +324,16 @@
     // With acknowledgements and time every use outside a reach ends, however small the channel is.
     for _ in 0..40 {
         now += 1_000.0;
-        let events = model.acknowledgements().into_iter().chain([Event::Due { timer: TimerId(0) }]).collect();
+        let events =
+            model.acknowledgements().into_iter().chain([Event::TimerExpired { timer: TimerId(0) }]).collect();
         decide(&mut model, now, events)?;
     }
     let left = model.outside(false);
     prop_assert!(left.is_empty(), "still outside a reach at the end: {left:?}");
     let bound: BTreeSet<_> = model.binds.keys().copied().collect();
-    let all = model.proxies.keys().flat_map(|proxy| (0..3).map(|id| (*proxy, ProductId(id)))).collect();
-    let governed = |(proxy, product): &&(ProxyId, ProductId)| {
-        let reach = model.reaches.get(&(model.proxies[proxy], *product));
+    let all = model.proxies.keys().flat_map(|proxy| (0..3).map(|id| (*proxy, ClassId(id)))).collect();
+    let governed = |(proxy, class): &&(ProxyId, ClassId)| {
+        let reach = model.reaches.get(&(model.proxies[proxy], *class));
         reach.is_some_and(|zones| *zones != Zones::ALL)
     };
     let unbound: Vec<_> = BTreeSet::difference(&all, &bound).filter(governed).collect();
@@ -326,7 +348,7 @@
     fn with_room_in_the_channel_no_class_is_outside_its_reach_after_any_reply(
         steps in prop::collection::vec(step(), 1..40),
     ) {
-        run(steps, LevelKind::Share, true)?;
+        run(steps, LevelKind::Fraction, true)?;
     }
 
     #[test]
@@ -342,7 +364,7 @@
 #[test]
 fn a_mark_whose_only_proxy_left_and_came_back_blocks_no_proxy() {
     let none = |zone| Step::Reach { zone, product: 0, zones: 0 };
-    let moved = Step::Listed { host: 0, zone: 1, standing: Standing::On, fresh: false };
+    let moved = Step::Listed { host: 0, zone: 1, standing: Availability::InService, fresh: false };
     let steps = vec![Step::Acknowledged, none(0), moved, none(2), Step::Joined { proxy: 0, zone: 0 }];
     run(steps, LevelKind::Off, false).unwrap();
 }
--- a/crates/policy/tests/policy/reach.rs
+++ b/crates/policy/tests/policy/reach.rs
@@ -7,8 +7,8 @@
 
 /// Two request classes that may go anywhere, with admission levels as fractions. Host h is in zone h modulo `zones`.
 fn two_products(zones: u16, hosts: u32) -> Fleet {
-    let products = vec![product(Effect::InquiryLike), product(Effect::OnceOnly)];
-    Fleet::with(zones, hosts, products, LevelKind::Share)
+    let products = vec![product(Idempotency::Idempotent), product(Idempotency::NonIdempotent)];
+    Fleet::with(zones, hosts, products, LevelKind::Fraction)
 }
 
 #[test]
@@ -42,7 +42,7 @@
     fleet.set_reach(0, 1, &[1, 2]);
     fleet.run(3);
     fleet.note("lifted");
-    fleet.send(&[Event::Reach { zone: ZoneId(0), product: ProductId(1), zones: Zones::ALL }]);
+    fleet.send(&[Event::ReachRule { zone: ZoneId(0), class: ClassId(1), allowed_zones: Zones::ALL }]);
     fleet.run(3);
     expect![[r#"
         1600 reach of product1 from zone0: [1, 2]
@@ -73,10 +73,10 @@
     fleet.join(0);
     fleet.run(3);
     fleet.take_trace();
-    let reach = |product, zone| Event::Reach {
+    let reach = |product, zone| Event::ReachRule {
         zone: ZoneId(0),
-        product: ProductId(product),
-        zones: Zones::one(ZoneId(zone)),
+        class: ClassId(product),
+        allowed_zones: Zones::one(ZoneId(zone)),
     };
     fleet.note("swapped");
     fleet.send(&[reach(0, 2), reach(1, 1)]);
@@ -100,12 +100,12 @@
     fleet.run(3);
     fleet.take_trace();
     for host in [0, 3] {
-        fleet.probes(host, &[Outcome::Unreachable; 3]);
+        fleet.probes(host, &[ProbeOutcome::Unreachable; 3]);
     }
     fleet.run(5);
     fleet.note("the other one is let go for good");
     for host in [1, 4] {
-        fleet.list_host(host, Standing::Gone, None);
+        fleet.list_host(host, Availability::Removed, None);
     }
     fleet.run(5);
     expect![[r#"
@@ -168,8 +168,8 @@
 
 #[test]
 fn a_class_confined_to_its_zone_stays_there_or_is_rejected() {
-    let confined = Product { own_zone: true, ..product(Effect::OnceOnly) };
-    let mut fleet = Fleet::with(2, 4, vec![product(Effect::InquiryLike), confined], LevelKind::Rate);
+    let confined = RequestClass { home_zone_only: true, ..product(Idempotency::NonIdempotent) };
+    let mut fleet = Fleet::with(2, 4, vec![product(Idempotency::Idempotent), confined], LevelKind::PerSecond);
     fleet.join(0);
     fleet.run(2);
     fleet.take_trace();
@@ -282,7 +282,7 @@
     fleet.run(3);
     fleet.take_trace();
     for host in [1, 4] {
-        fleet.probes(host, &[Outcome::Unreachable; 3]);
+        fleet.probes(host, &[ProbeOutcome::Unreachable; 3]);
     }
     fleet.run(3);
     let lines: Vec<&str> = fleet.trace.lines().filter(|line| !line.contains("unreachable")).collect();
@@ -298,7 +298,7 @@
 
 #[test]
 fn cold_hosts_within_a_reach_return_in_steps_and_limit_its_level() {
-    let mut fleet = Fleet::with(2, 4, vec![product(Effect::OnceOnly)], LevelKind::Share);
+    let mut fleet = Fleet::with(2, 4, vec![product(Idempotency::NonIdempotent)], LevelKind::Fraction);
     fleet.set_reach(0, 0, &[1]);
     fleet.join(0);
     fleet.restart(&[1, 3], 1, 24);
@@ -359,10 +359,10 @@
     fleet.join(0);
     fleet.run(2);
     fleet.take_trace();
-    let moved = |host| Listed { zone: ZoneId(0), ..fleet.entry(host) };
+    let moved = |host| HostEntry { zone: ZoneId(0), ..fleet.entry(host) };
     let entries = vec![moved(1), moved(3)];
     fleet.note("both hosts of zone1 are listed in zone0");
-    fleet.send(&[Event::List { news: ListNews::Changes, entries }]);
+    fleet.send(&[Event::List { update: ListUpdate::Changes, entries }]);
     fleet.run(2);
     expect![[r#"
         1400 both hosts of zone1 are listed in zone0
@@ -382,11 +382,11 @@
     (0..30).for_each(|proxy| fleet.join(2 * proxy));
     fleet.catch_up(60);
     fleet.take_trace();
-    let entry = Listed { weight: 2.0, ..fleet.entry(0) };
+    let entry = HostEntry { weight: 2.0, ..fleet.entry(0) };
     fleet.note("more weight for host0");
-    let (zone, product, zones) = (ZoneId(0), ProductId(1), Zones::one(ZoneId(1)));
-    let list = Event::List { news: ListNews::Changes, entries: vec![entry] };
-    fleet.send(&[list, Event::Reach { zone, product, zones }]);
+    let (zone, class, allowed_zones) = (ZoneId(0), ClassId(1), Zones::one(ZoneId(1)));
+    let list = Event::List { update: ListUpdate::Changes, entries: vec![entry] };
+    fleet.send(&[list, Event::ReachRule { zone, class, allowed_zones }]);
     let first = binds_and_weights(&fleet.take_trace());
     fleet.note("the channel has caught up");
     fleet.catch_up(60);
@@ -411,11 +411,11 @@
     fleet.set_reach(0, 0, &[1]);
     (0..21).for_each(|proxy| fleet.join(2 * proxy));
     fleet.take_trace();
-    let entries = vec![Listed { zone: ZoneId(0), ..fleet.entry(1) }];
+    let entries = vec![HostEntry { zone: ZoneId(0), ..fleet.entry(1) }];
     fleet.note("host1 moves to zone0, and a proxy joins");
     let (proxy, zone) = (ProxyId(42), ZoneId(0));
-    let joined = Event::Joined { proxy, zone, txns_per_s: 10.0, fresh: false };
-    fleet.send(&[Event::List { news: ListNews::Changes, entries }, joined]);
+    let joined = Event::ProxyJoined { proxy, zone, txns_per_s: 10.0, without_table: false };
+    fleet.send(&[Event::List { update: ListUpdate::Changes, entries }, joined]);
     fleet.note("the channel has caught up");
     fleet.catch_up(43);
     expect![[r#"
@@ -437,20 +437,22 @@
         fleet.run(2);
         fleet.catch_up(1);
     }
-    fleet.probes(1, &[Outcome::Errored; 3]);
+    fleet.probes(1, &[ProbeOutcome::Errored; 3]);
     fleet.catch_up(1);
-    fleet.probes(1, &[Outcome::Answered; 1]);
+    fleet.probes(1, &[ProbeOutcome::Answered; 1]);
     fleet.catch_up(1);
     // Thirteen lines wait, which leaves room for one more line, but not for a bind.
-    let entries =
-        (0..10).filter(|host| *host != 1).map(|host| Listed { weight: 2.0, ..fleet.entry(host) }).collect();
-    fleet.send(&[Event::List { news: ListNews::Changes, entries }]);
+    let entries = (0..10)
+        .filter(|host| *host != 1)
+        .map(|host| HostEntry { weight: 2.0, ..fleet.entry(host) })
+        .collect();
+    fleet.send(&[Event::List { update: ListUpdate::Changes, entries }]);
     fleet.take_trace();
     fleet.note("told of zone0, and host1 of zone1 answers again");
-    let (zone, product, report) = (ZoneId(0), ProductId(0), LoadReport::default());
-    let probed = Event::Probed { host: HostId(1), outcome: Outcome::Answered, took: 2.0, report };
+    let (zone, class, load) = (ZoneId(0), ClassId(0), LoadReport::default());
+    let probed = Event::ProbeResult { host: HostId(1), outcome: ProbeOutcome::Answered, duration: 2.0, load };
     fleet.now += 200.0;
-    fleet.send(&[probed, Event::Reach { zone, product, zones: Zones::one(zone) }]);
+    fleet.send(&[probed, Event::ReachRule { zone, class, allowed_zones: Zones::one(zone) }]);
     fleet.note("the channel has caught up");
     fleet.catch_up(1);
     expect![[r#"
@@ -471,13 +473,13 @@
 #[test]
 fn bounds_levels_and_hints_hold_within_a_reach() {
     let mut fleet = two_products(2, 4);
-    fleet.send(&[Event::Hint { host: HostId(1), part: 0.5, shut: false }]);
+    fleet.send(&[Event::WarmStartHint { host: HostId(1), latency_factor: 0.5, gated: false }]);
     fleet.set_reach(0, 1, &[1]);
     fleet.join(0);
     fleet.run(2);
     fleet.take_trace();
-    let (zone, product, tries) = (ZoneId(0), ProductId(1), Tries::One);
-    fleet.send(&[Event::Bound { zone, product, share: 0.4, tries }]);
+    let (zone, class, max_tries) = (ZoneId(0), ClassId(1), RetryPolicy::One);
+    fleet.send(&[Event::ServiceBound { zone, class, max_share: 0.4, max_tries }]);
     fleet.run(2);
     expect![[r#"
         1400 admit t54921 for 10: 0.4 One
--- a/crates/policy/tests/policy/stalls.rs
+++ b/crates/policy/tests/policy/stalls.rs
@@ -9,7 +9,7 @@
 impl Fleet {
     /// The proxy acknowledges the last mark.
     fn answer_last_mark(&mut self, proxy: u16) {
-        let applied = Event::Applied { proxy: ProxyId(proxy), mark: self.mark, took: 300.0 };
+        let applied = Event::MarkApplied { proxy: ProxyId(proxy), mark: self.mark, duration: 300.0 };
         self.send(&[applied]);
     }
 
@@ -31,7 +31,7 @@
     (0..PROXIES).for_each(|proxy| fleet.join(proxy));
     fleet.run(1);
     fleet.trace.clear();
-    fleet.list_host(0, Standing::Draining, None);
+    fleet.list_host(0, Availability::Draining, None);
     assert!(!fleet.trace.contains("withdraw"), "{}", fleet.trace);
     fleet
 }
@@ -74,7 +74,7 @@
     let mark = fleet.mark;
     for proxy in 0..PROXIES / 2 {
         fleet.run(2);
-        let applied = Event::Applied { proxy: ProxyId(proxy), mark, took: 300.0 };
+        let applied = Event::MarkApplied { proxy: ProxyId(proxy), mark, duration: 300.0 };
         fleet.send(&[applied]);
         if fleet.trace.contains("withdraw host0") {
             break;
@@ -95,7 +95,7 @@
     let first = fleet.mark;
     for proxy in 0..PROXIES {
         fleet.now += 50.0;
-        let applied = Event::Applied { proxy: ProxyId(proxy), mark: first, took: 300.0 };
+        let applied = Event::MarkApplied { proxy: ProxyId(proxy), mark: first, duration: 300.0 };
         fleet.send(&[applied]);
         if fleet.trace.contains("withdraw host0") {
             return;
@@ -114,16 +114,16 @@
     fleet.run(1);
     fleet.catch_up(2);
     fleet.trace.clear();
-    fleet.send(&[Event::Behind { on: true }]);
-    fleet.probes(1, &[Outcome::Unreachable; 3]);
+    fleet.send(&[Event::RelayDelayed { on: true }]);
+    fleet.probes(1, &[ProbeOutcome::Unreachable; 3]);
     assert!(!fleet.trace.contains("withdraw"), "{}", fleet.trace);
-    fleet.list_host(0, Standing::Draining, None);
+    fleet.list_host(0, Availability::Draining, None);
     fleet.join(2);
     fleet.run(1);
     assert!(fleet.trace.contains("withdraw host0"), "{}", fleet.trace);
     assert!(fleet.trace.contains("bind proxy2"), "{}", fleet.trace);
     assert!(!fleet.trace.contains("withdraw host1"), "{}", fleet.trace);
-    fleet.send_without_tick(&[Event::Behind { on: false }]);
+    fleet.send_without_tick(&[Event::RelayDelayed { on: false }]);
     fleet.run_until("withdraw host1", 300.0);
 }
 
@@ -133,7 +133,7 @@
     (0..2).for_each(|proxy| fleet.join(proxy));
     fleet.run(1);
     for host in 1..6 {
-        fleet.probes(host, &[Outcome::Unreachable; 3]);
+        fleet.probes(host, &[ProbeOutcome::Unreachable; 3]);
     }
     fleet.catch_up(2);
     let more: Vec<(u16, bool)> = (2..PROXIES).map(|proxy| (proxy, true)).collect();
@@ -150,7 +150,7 @@
     let mut fleet = with_one_open_host(640.0);
     // This was the last open host, so gates are ignored now. 562 lines may wait together with the withdrawal, and each
     // host that is restored takes 24 more.
-    fleet.list_host(0, Standing::Draining, None);
+    fleet.list_host(0, Availability::Draining, None);
     assert!(fleet.trace.contains("withdraw host0"), "{}", fleet.trace);
     assert!(fleet.trace.contains("restore host1"), "{}", fleet.trace);
     assert!(!fleet.trace.contains("restore host2"), "more than the first:\n{}", fleet.trace);
@@ -164,7 +164,7 @@
 fn where_no_table_serves_a_probe_goes_all_the_same() {
     let mut fleet = with_one_open_host(605.0);
     // This was the last open host, so gates are ignored now, but there is no room to restore the gated hosts.
-    fleet.list_host(0, Standing::Draining, None);
+    fleet.list_host(0, Availability::Draining, None);
     assert!(fleet.trace.contains("withdraw host0"), "{}", fleet.trace);
     assert!(!fleet.trace.contains("restore"), "{}", fleet.trace);
     fleet.trace.clear();
@@ -184,15 +184,15 @@
     (0..2).for_each(|proxy| fleet.join(proxy));
     fleet.run(1);
     fleet.catch_up(2);
-    fleet.list_host(0, Standing::Draining, None);
+    fleet.list_host(0, Availability::Draining, None);
     fleet.catch_up(2);
     let more: Vec<(u16, bool)> = (2..PROXIES).map(|proxy| (proxy, false)).collect();
     fleet.trace.clear();
     fleet.join_all(&more);
-    fleet.probes(1, &[Outcome::Unreachable; 3]);
-    fleet.probes(2, &[Outcome::Unreachable; 3]);
+    fleet.probes(1, &[ProbeOutcome::Unreachable; 3]);
+    fleet.probes(2, &[ProbeOutcome::Unreachable; 3]);
     for _ in 0..10 {
-        let applied = |proxy| Event::Applied { proxy: ProxyId(proxy), mark: fleet.mark, took: 300.0 };
+        let applied = |proxy| Event::MarkApplied { proxy: ProxyId(proxy), mark: fleet.mark, duration: 300.0 };
         let applied: Vec<Event> = (0..PROXIES).map(applied).collect();
         fleet.send(&applied);
         fleet.run(1);
--- a/crates/policy/tests/policy/traces.rs
+++ b/crates/policy/tests/policy/traces.rs
@@ -7,8 +7,8 @@
     let mut fleet = Fleet::new(1, 3);
     fleet.join(0);
     fleet.trace.clear();
-    fleet.probes(0, &[Outcome::Errored, Outcome::Errored, Outcome::Errored]);
-    fleet.probes(0, &[Outcome::Answered, Outcome::Answered]);
+    fleet.probes(0, &[ProbeOutcome::Errored, ProbeOutcome::Errored, ProbeOutcome::Errored]);
+    fleet.probes(0, &[ProbeOutcome::Answered, ProbeOutcome::Answered]);
     fleet.run(6);
     expect![[r#"
         2000 errored host0
@@ -28,8 +28,8 @@
     fleet.join(0);
     fleet.trace.clear();
     for _ in 0..3 {
-        fleet.probes(0, &[Outcome::Unreachable]);
-        fleet.probes(1, &[Outcome::Unreachable]);
+        fleet.probes(0, &[ProbeOutcome::Unreachable]);
+        fleet.probes(1, &[ProbeOutcome::Unreachable]);
     }
     expect![[r#"
         2000 unreachable host0
@@ -49,9 +49,9 @@
     let mut fleet = Fleet::new(1, 3);
     fleet.join(0);
     fleet.trace.clear();
-    fleet.list_host(1, Standing::Draining, None);
+    fleet.list_host(1, Availability::Draining, None);
     fleet.run(2);
-    fleet.list_host(1, Standing::On, Some(1_400.0));
+    fleet.list_host(1, Availability::InService, Some(1_400.0));
     fleet.run(110);
     expect![[r#"
         1000 withdraw host1
@@ -71,8 +71,8 @@
 /// (docs/incidents/nadi-campus.md).
 #[test]
 fn a_zone_that_restarts_cold_admits_what_its_hosts_can_serve() {
-    let confined = Product { own_zone: true, ..product(Effect::OnceOnly) };
-    let mut fleet = Fleet::with(2, 4, vec![confined], LevelKind::Share);
+    let confined = RequestClass { home_zone_only: true, ..product(Idempotency::NonIdempotent) };
+    let mut fleet = Fleet::with(2, 4, vec![confined], LevelKind::Fraction);
     fleet.join(0);
     fleet.join(1);
     fleet.restart(&[0, 2], 2, 30);
@@ -147,8 +147,8 @@
 
 #[test]
 fn levels_shed_the_least_value_per_work_and_rise_again() {
-    let cheap = Product { revenue: 0.5, ..product(Effect::InquiryLike) };
-    let mut fleet = Fleet::with(1, 2, vec![cheap, product(Effect::OnceOnly)], LevelKind::Share);
+    let cheap = RequestClass { value: 0.5, ..product(Idempotency::Idempotent) };
+    let mut fleet = Fleet::with(1, 2, vec![cheap, product(Idempotency::NonIdempotent)], LevelKind::Fraction);
     fleet.join(0);
     fleet.trace.clear();
     for second in 0..12 {
@@ -175,7 +175,7 @@
 fn a_failed_list_request_is_repeated_at_growing_intervals() {
     let mut fleet = Fleet::with_list_on_request(1, 2);
     for _ in 0..3 {
-        fleet.send(&[Event::List { news: ListNews::Failed, entries: vec![] }]);
+        fleet.send(&[Event::List { update: ListUpdate::Failed, entries: vec![] }]);
         fleet.run(20);
     }
     expect![[r#"
@@ -196,10 +196,10 @@
     fleet.note("no answer to any mark yet");
     fleet.run(5);
     for proxy in 0..6 {
-        fleet.send(&[Event::Applied { proxy: ProxyId(proxy), mark: MarkId(proxy), took: 300.0 }]);
+        fleet.send(&[Event::MarkApplied { proxy: ProxyId(proxy), mark: MarkId(proxy), duration: 300.0 }]);
     }
     fleet.note("proxy3 leaves and returns");
-    fleet.send(&[Event::Left { proxy: ProxyId(3) }]);
+    fleet.send(&[Event::ProxyLeft { proxy: ProxyId(3) }]);
     fleet.join(3);
     expect![[r#"
         1000 t0 host0 weight 1
@@ -259,8 +259,8 @@
         fleet.host_report(host, 0, 5, 0, 200.0);
     }
     fleet.trace.clear();
-    fleet.probes(0, &[Outcome::TimedOut; 4]);
-    fleet.probes(1, &[Outcome::Unreachable; 3]);
+    fleet.probes(0, &[ProbeOutcome::TimedOut; 4]);
+    fleet.probes(1, &[ProbeOutcome::Unreachable; 3]);
     expect![[r#"
         2000 timedout host0
         3000 timedout host0
@@ -280,10 +280,10 @@
     fleet.join(0);
     fleet.trace.clear();
     for host in [0, 2] {
-        fleet.probes(host, &[Outcome::Unreachable; 3]);
+        fleet.probes(host, &[ProbeOutcome::Unreachable; 3]);
     }
     for host in [0, 2] {
-        fleet.probes(host, &[Outcome::Answered; 3]);
+        fleet.probes(host, &[ProbeOutcome::Answered; 3]);
     }
     fleet.run(15);
     expect![[r#"
@@ -321,13 +321,13 @@
     fleet.join(0);
     fleet.join(1);
     for host in [0, 2, 4] {
-        fleet.probes(host, &[Outcome::Unreachable; 3]);
+        fleet.probes(host, &[ProbeOutcome::Unreachable; 3]);
     }
-    fleet.list_host(0, Standing::On, Some(fleet.now));
+    fleet.list_host(0, Availability::InService, Some(fleet.now));
     fleet.run(30);
     fleet.trace.clear();
     for host in [0, 2, 4] {
-        fleet.probes(host, &[Outcome::Answered; 2]);
+        fleet.probes(host, &[ProbeOutcome::Answered; 2]);
     }
     fleet.run(12);
     expect![[r#"
@@ -366,8 +366,8 @@
     }
     fleet.run(1);
     fleet.trace.clear();
-    fleet.list_host(0, Standing::On, Some(fleet.now - 4_000.0));
-    fleet.probes(0, &[Outcome::Answered; 2]);
+    fleet.list_host(0, Availability::InService, Some(fleet.now - 4_000.0));
+    fleet.probes(0, &[ProbeOutcome::Answered; 2]);
     fleet.run(2);
     expect![[r#"
         3200 admit t0 for 1: 1 One
@@ -386,7 +386,7 @@
     let mut fleet = Fleet::new(1, 24);
     let joins = |proxy: u16, txns_per_s: f64| {
         let (proxy, zone) = (ProxyId(proxy), ZoneId(0));
-        Event::Joined { proxy, zone, txns_per_s, fresh: true }
+        Event::ProxyJoined { proxy, zone, txns_per_s, without_table: true }
     };
     let mut events: Vec<Event> = (1..9).map(|proxy| joins(proxy, 5.0)).collect();
     events.push(joins(0, 30.0));
@@ -415,11 +415,11 @@
     fleet.join(0);
     fleet.run(2);
     fleet.note("the other zone says that it is far less busy");
-    let busy = |host: u32| Event::Probed {
+    let busy = |host: u32| Event::ProbeResult {
         host: HostId(host),
-        outcome: Outcome::Answered,
-        took: 2.0,
-        report: LoadReport { busy: Some([0.9, 0.3][host as usize % 2]), ..LoadReport::default() },
+        outcome: ProbeOutcome::Answered,
+        duration: 2.0,
+        load: LoadReport { utilization: Some([0.9, 0.3][host as usize % 2]), ..LoadReport::default() },
     };
     fleet.send(&(0..4).map(busy).collect::<Vec<_>>());
     expect![[r#"
@@ -436,7 +436,7 @@
 /// few connections, and the other tries failed at once.
 #[test]
 fn failed_tries_beside_quick_answers_lower_no_level() {
-    let mut fleet = Fleet::with(1, 2, vec![product(Effect::InquiryLike)], LevelKind::Share);
+    let mut fleet = Fleet::with(1, 2, vec![product(Idempotency::Idempotent)], LevelKind::Fraction);
     fleet.join(0);
     fleet.trace.clear();
     for mean in [200.0, 200.0, 700.0, 700.0] {
@@ -463,7 +463,7 @@
 fn a_cold_host_waits_until_the_tables_name_its_reduced_weight() {
     let mut fleet = Fleet::new(1, 4);
     (0..10).for_each(|proxy| fleet.join(proxy));
-    fleet.list_host(1, Standing::On, Some(fleet.now));
+    fleet.list_host(1, Availability::InService, Some(fleet.now));
     fleet.trace.clear();
     fleet.run(20);
     fleet.note("the channel has caught up");
@@ -488,7 +488,7 @@
     fleet.host_report(5, 0, 10, 0, 100.0);
     fleet.trace.clear();
     fleet.run(1);
-    (0..6).rev().for_each(|host| fleet.probes(host, &[Outcome::Errored; 3]));
+    (0..6).rev().for_each(|host| fleet.probes(host, &[ProbeOutcome::Errored; 3]));
     let gates: Vec<&str> = fleet.trace.lines().filter(|line| !line.contains("errored")).collect();
     expect![[r#"
         7200 withdraw host4
@@ -504,8 +504,8 @@
     (0..4).for_each(|proxy| fleet.join(proxy));
     fleet.run(1);
     fleet.trace.clear();
-    let report = LoadReport::default();
-    let fails = |host| Event::Probed { host, outcome: Outcome::Unreachable, took: 2.0, report };
+    let load = LoadReport::default();
+    let fails = |host| Event::ProbeResult { host, outcome: ProbeOutcome::Unreachable, duration: 2.0, load };
     let fails: Vec<Event> = [0, 1, 4, 5, 8, 9].map(HostId).map(fails).into();
     for _ in 0..3 {
         fleet.run(5);
@@ -573,8 +573,8 @@
     fleet.trace.clear();
     fleet.note("five of the six hosts of a table leave, and the sixth has just started anew");
     let started = fleet.now - 5_000.0;
-    fleet.list_host(0, Standing::On, Some(started));
-    [1, 8, 9, 16, 17].into_iter().for_each(|host| fleet.list_host(host, Standing::Draining, None));
+    fleet.list_host(0, Availability::InService, Some(started));
+    [1, 8, 9, 16, 17].into_iter().for_each(|host| fleet.list_host(host, Availability::Draining, None));
     (0..6).for_each(|_| few_connections(&mut fleet));
     let lines = fleet.trace.lines().filter(|line| line.contains("bind") || line.contains("leave"));
     expect![[r#"
@@ -588,15 +588,15 @@
 /// contains hosts of neighbour zones. Seen at full fleet size.
 #[test]
 fn a_table_without_open_hosts_of_its_zone_is_left_if_a_class_is_confined_to_the_zone() {
-    let confined = Product { own_zone: true, ..product(Effect::OnceOnly) };
-    let products = vec![product(Effect::InquiryLike), confined];
+    let confined = RequestClass { home_zone_only: true, ..product(Idempotency::NonIdempotent) };
+    let products = vec![product(Idempotency::Idempotent), confined];
     let mut fleet = Fleet::with(2, 24, products, LevelKind::Off);
     (0..6).for_each(|proxy| fleet.join(2 * proxy));
     fleet.catch_up(11);
     fleet.trace.clear();
     for host in (0..24).filter(|host| host % 4 == 0) {
         fleet.catch_up(11);
-        fleet.probes(host, &[Outcome::Unreachable; 3]);
+        fleet.probes(host, &[ProbeOutcome::Unreachable; 3]);
     }
     let lines = fleet.trace.lines().filter(|line| line.contains("withdraw") || line.contains("bind"));
     expect![[r#"
@@ -620,7 +620,7 @@
 fn hosts_less_than_half_warm_stay_withdrawn_while_all_are_slow() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
-    fleet.list_host(1, Standing::On, Some(fleet.now));
+    fleet.list_host(1, Availability::InService, Some(fleet.now));
     fleet.trace.clear();
     for _ in 0..14 {
         (0..4).filter(|host| *host != 1).for_each(|host| fleet.host_report(host, 0, 20, 0, 900.0));
@@ -641,12 +641,12 @@
 fn reports_from_before_a_restart_gate_no_host() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
-    fleet.probes(1, &[Outcome::Unreachable; 3]);
-    fleet.list_host(1, Standing::On, Some(fleet.now));
+    fleet.probes(1, &[ProbeOutcome::Unreachable; 3]);
+    fleet.list_host(1, Availability::InService, Some(fleet.now));
     fleet.trace.clear();
     for _ in 0..4 {
         (0..4).for_each(|host| fleet.host_report(host, 0, 6, if host == 1 { 6 } else { 0 }, 100.0));
-        fleet.probes(1, &[Outcome::Answered]);
+        fleet.probes(1, &[ProbeOutcome::Answered]);
     }
     expect![[r#"
         5000 answered host1
@@ -667,12 +667,12 @@
 fn an_unreachable_host_returns_at_a_quarter_weight_before_the_list_reports_its_restart() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
-    fleet.probes(1, &[Outcome::Unreachable; 3]);
+    fleet.probes(1, &[ProbeOutcome::Unreachable; 3]);
     fleet.trace.clear();
-    fleet.probes(1, &[Outcome::Answered; 2]);
+    fleet.probes(1, &[ProbeOutcome::Answered; 2]);
     let started = fleet.now - 300.0;
     fleet.note("host1 is listed with a new start");
-    fleet.list_host(1, Standing::On, Some(started));
+    fleet.list_host(1, Availability::InService, Some(started));
     fleet.run(50);
     expect![[r#"
         5000 answered host1
@@ -707,7 +707,7 @@
         host_reports(&mut fleet, 400.0);
     }
     fleet.note("a new host of the slow kind");
-    fleet.list_host(9, Standing::On, None);
+    fleet.list_host(9, Availability::InService, None);
     fleet.run(5);
     expect![[r#"
         1400 round 0
@@ -731,8 +731,8 @@
     // Listed weights that differ already state the capacity of an instance type.
     let mut fleet = Fleet::new(1, 8);
     fleet.join(0);
-    let entry = Listed { weight: 2.0, ..fleet.entry(0) };
-    fleet.send(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
+    let entry = HostEntry { weight: 2.0, ..fleet.entry(0) };
+    fleet.send(&[Event::List { update: ListUpdate::Changes, entries: vec![entry] }]);
     fleet.run(2);
     fleet.trace.clear();
     (0..4).for_each(|_| host_reports(&mut fleet, 400.0));
@@ -765,9 +765,9 @@
 fn reports_from_before_a_cold_host_was_restored_gate_no_host() {
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
-    fleet.probes(1, &[Outcome::Unreachable; 3]);
-    fleet.list_host(1, Standing::On, Some(fleet.now));
-    fleet.probes(1, &[Outcome::Answered; 2]);
+    fleet.probes(1, &[ProbeOutcome::Unreachable; 3]);
+    fleet.list_host(1, Availability::InService, Some(fleet.now));
+    fleet.probes(1, &[ProbeOutcome::Answered; 2]);
     fleet.run(10);
     fleet.trace.clear();
     fleet.note("sums of what was before");
@@ -792,19 +792,23 @@
 #[test]
 fn routine_orders_wait_for_no_more_than_the_channel_sends_soon() {
     let mut fleet = Fleet::with_channel(1, 4, 60_000.0);
-    let joined =
-        |proxy| Event::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), txns_per_s: 10.0, fresh: true };
+    let joined = |proxy| Event::ProxyJoined {
+        proxy: ProxyId(proxy),
+        zone: ZoneId(0),
+        txns_per_s: 10.0,
+        without_table: true,
+    };
     fleet.send(&(0..200).map(joined).collect::<Vec<_>>());
     fleet.catch_up(200);
     fleet.trace.clear();
     fleet.note("more weight for each host in turn, 1,000 lines");
     for host in 0..4 {
-        let entry = Listed { weight: 2.0 + f64::from(host), ..fleet.entry(host) };
-        fleet.send(&[Event::List { news: ListNews::Changes, entries: vec![entry] }]);
+        let entry = HostEntry { weight: 2.0 + f64::from(host), ..fleet.entry(host) };
+        fleet.send(&[Event::List { update: ListUpdate::Changes, entries: vec![entry] }]);
         fleet.run(1);
     }
     fleet.note("a drain goes ahead of what was not written");
-    fleet.list_host(3, Standing::Draining, None);
+    fleet.list_host(3, Availability::Draining, None);
     expect![[r#"
         1000 more weight for each host in turn, 1,000 lines
         1000 t0 host0 weight 2
@@ -820,18 +824,22 @@
 #[test]
 fn restoring_a_host_while_others_drain_delays_no_later_drain() {
     let mut fleet = Fleet::with_channel(1, 8, 60_000.0);
-    let joined =
-        |proxy| Event::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), txns_per_s: 10.0, fresh: true };
+    let joined = |proxy| Event::ProxyJoined {
+        proxy: ProxyId(proxy),
+        zone: ZoneId(0),
+        txns_per_s: 10.0,
+        without_table: true,
+    };
     fleet.send(&(0..200).map(joined).collect::<Vec<_>>());
     fleet.catch_up(200);
     fleet.trace.clear();
-    fleet.list_host(7, Standing::Draining, None);
-    fleet.list_host(6, Standing::Draining, None);
+    fleet.list_host(7, Availability::Draining, None);
+    fleet.list_host(6, Availability::Draining, None);
     fleet.note("no proxy answers; one starts anew, and is warm enough for a quarter");
-    fleet.list_host(7, Standing::On, Some(fleet.now - 3_000.0));
+    fleet.list_host(7, Availability::InService, Some(fleet.now - 3_000.0));
     fleet.run(3);
     fleet.note("another leaves");
-    fleet.list_host(5, Standing::Draining, None);
+    fleet.list_host(5, Availability::Draining, None);
     expect![[r#"
         1000 withdraw host7
         1000 withdraw host6
@@ -860,8 +868,12 @@
     let mut fleet = Fleet::new(1, 4);
     (0..14).for_each(|proxy| fleet.join(proxy));
     fleet.trace.clear();
-    let joined =
-        |proxy| Event::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), txns_per_s: 10.0, fresh: false };
+    let joined = |proxy| Event::ProxyJoined {
+        proxy: ProxyId(proxy),
+        zone: ZoneId(0),
+        txns_per_s: 10.0,
+        without_table: false,
+    };
     fleet.send(&(0..14).map(joined).collect::<Vec<_>>());
     fleet.run(4);
     expect![[r#"{"1000": 3, "1200": 6, "1400": 5}"#]].assert_eq(&binds(&fleet));
@@ -884,12 +896,12 @@
     let mut fleet = Fleet::new(1, 3);
     fleet.join(0);
     fleet.trace.clear();
-    fleet.send(&vec![Event::Again { mark: MarkId(0) }; 24]);
+    fleet.send(&vec![Event::CallDuplicated { mark: MarkId(0) }; 24]);
     fleet.note("repeated 24 times");
-    fleet.list_host(1, Standing::Draining, None);
+    fleet.list_host(1, Availability::Draining, None);
     fleet.note("all has left the channel");
     fleet.catch_up(1);
-    fleet.probes(0, &[Outcome::Unreachable, Outcome::Unreachable, Outcome::Unreachable]);
+    fleet.probes(0, &[ProbeOutcome::Unreachable, ProbeOutcome::Unreachable, ProbeOutcome::Unreachable]);
     fleet.run(50);
     expect![[r#"
         1000 repeated 24 times
@@ -911,11 +923,11 @@
     let mut fleet = Fleet::new(1, 3);
     fleet.join(0);
     fleet.trace.clear();
-    fleet.list_host(1, Standing::Gone, None);
+    fleet.list_host(1, Availability::Removed, None);
     fleet.host_report(1, 0, 6, 6, 0.0);
     fleet.run(5);
     fleet.note("it is listed again");
-    fleet.list_host(1, Standing::On, None);
+    fleet.list_host(1, Availability::InService, None);
     fleet.run(5);
     expect![[r#"
         1000 withdraw host1
@@ -975,7 +987,7 @@
     let mut fleet = Fleet::new(1, 4);
     fleet.join(0);
     fleet.run(5);
-    fleet.probes(2, &[Outcome::Unreachable, Outcome::Unreachable, Outcome::Unreachable]);
+    fleet.probes(2, &[ProbeOutcome::Unreachable, ProbeOutcome::Unreachable, ProbeOutcome::Unreachable]);
     fleet.trace.clear();
     fleet.note("unsure");
     fleet.load_reports(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 100.0, 0.4);
@@ -985,8 +997,8 @@
     fleet.run(2);
     fleet.note("a probe came later");
     fleet.load_reports(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 100.0, 1.0);
-    let (host, report) = (HostId(0), LoadReport::default());
-    fleet.send(&[Event::Probed { host, outcome: Outcome::Answered, took: 2.0, report }]);
+    let (host, load) = (HostId(0), LoadReport::default());
+    fleet.send(&[Event::ProbeResult { host, outcome: ProbeOutcome::Answered, duration: 2.0, load }]);
     fleet.run(2);
     fleet.note("a sum came later");
     fleet.load_reports(&[(0, 9.0), (1, 0.5), (2, 0.5), (3, 0.5)], 900.0, 1.0);
@@ -1012,24 +1024,29 @@
 /// A level of reduced service is set from outside: the smaller of it and the module's own level is admitted.
 #[test]
 fn a_bound_holds_for_its_product_and_zone_and_waits_while_nothing_is_known() {
-    let products = vec![product(Effect::InquiryLike), product(Effect::OnceOnly)];
-    let mut fleet = Fleet::with(1, 4, products, LevelKind::Share);
-    let (zone, tries) = (ZoneId(0), Tries::One);
-    fleet.send(&[Event::Await { on: true }]);
+    let products = vec![product(Idempotency::Idempotent), product(Idempotency::NonIdempotent)];
+    let mut fleet = Fleet::with(1, 4, products, LevelKind::Fraction);
+    let (zone, max_tries) = (ZoneId(0), RetryPolicy::One);
+    fleet.send(&[Event::LevelsUnknown { on: true }]);
     fleet.join(0);
     fleet.run(5);
     fleet.trace.clear();
     fleet.note("bounded, and waiting");
-    fleet.send(&[Event::Bound { zone, product: ProductId(0), share: 0.3, tries }]);
+    fleet.send(&[Event::ServiceBound { zone, class: ClassId(0), max_share: 0.3, max_tries }]);
     fleet.run(2);
     fleet.note("known");
-    fleet.send(&[Event::Await { on: false }]);
+    fleet.send(&[Event::LevelsUnknown { on: false }]);
     fleet.run(2);
     fleet.note("nothing of it is let in");
-    fleet.send(&[Event::Bound { zone, product: ProductId(0), share: 0.0, tries }]);
+    fleet.send(&[Event::ServiceBound { zone, class: ClassId(0), max_share: 0.0, max_tries }]);
     fleet.run(2);
     fleet.note("lifted");
-    fleet.send(&[Event::Bound { zone, product: ProductId(0), share: 1.0, tries: Tries::TwiceAfterAny }]);
+    fleet.send(&[Event::ServiceBound {
+        zone,
+        class: ClassId(0),
+        max_share: 1.0,
+        max_tries: RetryPolicy::TwiceAfterAny,
+    }]);
     fleet.run(2);
     expect![[r#"
         2000 bounded, and waiting
@@ -1049,12 +1066,13 @@
 #[test]
 fn hints_of_an_earlier_controller_reduce_weights_and_gate_until_newer_evidence_arrives() {
     let mut fleet = Fleet::new(1, 4);
-    let hint = |host, part, shut| Event::Hint { host: HostId(host), part, shut };
+    let hint =
+        |host, latency_factor, gated| Event::WarmStartHint { host: HostId(host), latency_factor, gated };
     fleet.trace.clear();
     fleet.send(&[hint(0, 0.5, false), hint(1, 1.0, true)]);
     fleet.join(0);
     fleet.run(3);
-    fleet.probes(1, &[Outcome::Answered, Outcome::Answered]);
+    fleet.probes(1, &[ProbeOutcome::Answered, ProbeOutcome::Answered]);
     fleet.host_report(2, 0, 10, 0, 100.0);
     fleet.run(1);
     fleet.note("a hint about what was seen");
@@ -1080,13 +1098,13 @@
 /// it, and restoring it at each of them took more lines than the channel allows.
 #[test]
 fn proxies_that_join_before_the_list_are_bound_within_the_channel_limit() {
-    let mut fleet = Fleet::with(1, 0, vec![product(Effect::InquiryLike)], LevelKind::Off);
+    let mut fleet = Fleet::with(1, 0, vec![product(Idempotency::Idempotent)], LevelKind::Off);
     (0..60).for_each(|proxy| fleet.join(proxy));
     fleet.run(10);
     assert!(!fleet.trace.contains("bind"), "nothing to bind to");
     fleet.trace.clear();
     let entries = (0..4).map(|host| fleet.entry(host)).collect();
-    fleet.send(&[Event::List { news: ListNews::Changes, entries }]);
+    fleet.send(&[Event::List { update: ListUpdate::Changes, entries }]);
     for _ in 0..40 {
         fleet.run(1);
         fleet.catch_up(60);
@@ -1147,8 +1165,8 @@
                 asks.push(fleet.now);
                 let entries = vec![];
                 // Discovery is down for thirty seconds.
-                let news = if fleet.now < 31_000.0 { ListNews::Failed } else { ListNews::Whole };
-                fleet.send(&[Event::List { news, entries }]);
+                let update = if fleet.now < 31_000.0 { ListUpdate::Failed } else { ListUpdate::Full };
+                fleet.send(&[Event::List { update, entries }]);
             }
         }
     }
@@ -1170,12 +1188,12 @@
     fleet.join(0);
     fleet.run(5);
     fleet.trace.clear();
-    let (host, report) = (HostId(1), LoadReport::default());
-    let (took, outcome) = (2.0, Outcome::Unreachable);
+    let (host, load) = (HostId(1), LoadReport::default());
+    let (duration, outcome) = (2.0, ProbeOutcome::Unreachable);
     for _ in 0..4 {
         fleet.now += 60.0;
         fleet.note("a probe fails");
-        fleet.send_without_tick(&[Event::Probed { host, outcome, took, report }]);
+        fleet.send_without_tick(&[Event::ProbeResult { host, outcome, duration, load }]);
     }
     expect![[r#"
         2060 a probe fails
--- a/crates/residency/src/compile.rs
+++ b/crates/residency/src/compile.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-use amberarch_core::{ProductId, ZoneId, Zones};
+use amberarch_core::{ClassId, ZoneId, Zones};
 use toml::Spanned;
 
 use crate::reach::{Governed, Permit, Reach};
@@ -15,7 +15,7 @@
     pub zones: Vec<String>,
     pub products: Vec<String>,
     /// Products that may be governed, by the operator's file.
-    pub govern: BTreeSet<ProductId>,
+    pub govern: BTreeSet<ClassId>,
 }
 
 /// Rules as they hold from the time they were compiled for.
@@ -34,7 +34,7 @@
 /// Why rules can't be used. Each has its place in the file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Unfit {
-    #[error("{count} zones: residency can tell {} apart", Zones::MOST)]
+    #[error("{count} zones: residency can tell {} apart", Zones::CAPACITY)]
     TooManyZones { count: usize },
     #[error("`{name}` is no zone and no label")]
     UnknownZone { name: String, span: Span },
@@ -125,11 +125,11 @@
 impl Plain<'_> {
     /// Not counting what others forbid.
     fn permit(&self, all: Zones) -> Permit {
-        let mut left = all.less(self.forbid);
+        let mut left = all.difference(self.forbid);
         let tiers = std::iter::once(self.permit.unwrap_or(all)).chain(self.fallback.iter().copied());
         let tiers = tiers.map(|tier| {
-            let tier = tier.and(left);
-            left = left.less(tier);
+            let tier = tier.intersection(left);
+            left = left.difference(tier);
             tier
         });
         Permit { tiers: tiers.filter(|tier| !tier.is_empty()).collect() }
@@ -142,7 +142,7 @@
 /// The first thing that is wrong: a name that is not known, rules that contradict each other or never apply, a
 /// product left without a zone, an end in the past.
 pub fn compile(section: &Section, facts: &Facts, unix_ms: f64) -> Result<Compiled, Unfit> {
-    if facts.zones.len() > usize::from(Zones::MOST) {
+    if facts.zones.len() > usize::from(Zones::CAPACITY) {
         return Err(Unfit::TooManyZones { count: facts.zones.len() });
     }
     let names = Names::new(section, facts)?;
@@ -227,15 +227,15 @@
             let found = label.or(place.map(|place| Zones::one(ZoneId(place as u16))));
             found.ok_or_else(|| Unfit::UnknownZone { name: name.get_ref().clone(), span: name.span() })
         };
-        named.iter().try_fold(Zones::NONE, |all, name| Ok(all.or(one(name)?)))
+        named.iter().try_fold(Zones::NONE, |all, name| Ok(all.union(one(name)?)))
     }
 
-    fn products(&self, named: &[Spanned<String>]) -> Result<Vec<ProductId>, Unfit> {
+    fn products(&self, named: &[Spanned<String>]) -> Result<Vec<ClassId>, Unfit> {
         let one = |name: &Spanned<String>| {
             let (product, span) = (name.get_ref().clone(), name.span());
             let place = self.facts.products.iter().position(|known| *known == product);
             let Some(place) = place else { return Err(Unfit::UnknownProduct { name: product, span }) };
-            let id = ProductId(place as u16);
+            let id = ClassId(place as u16);
             match self.facts.govern.contains(&id) {
                 true => Ok(id),
                 false => Err(Unfit::NotGoverned { product, span }),
@@ -261,7 +261,7 @@
             (None, Some(products)) => (self.products(products)?, self.all),
             _ => return Err(Unfit::Subject { rule: name.into(), span: whole }),
         };
-        let from = from(&rule.from)?.and(comes);
+        let from = from(&rule.from)?.intersection(comes);
         if rule.never && !rule.fallback.is_empty() {
             return Err(Unfit::NeverFallback { rule: name.into(), span });
         }
@@ -282,7 +282,7 @@
                 Some(end)
             }
         };
-        let pairs = products.iter().flat_map(|product| from.each().map(move |zone| (*product, zone)));
+        let pairs = products.iter().flat_map(|product| from.iter().map(move |zone| (*product, zone)));
         let plain = Plain {
             name,
             span,
@@ -321,7 +321,8 @@
         let permitting = of.iter().filter(|rule| !excepted || rule.ends.is_some());
         let steps = permitting.map(|rule| (*rule, rule.permit(self.all)));
         let forbidding = of.iter().filter(|rule| !rule.forbid.is_empty());
-        let forbids = forbidding.map(|rule| (*rule, Permit { tiers: vec![self.all.less(rule.forbid)] }));
+        let forbids =
+            forbidding.map(|rule| (*rule, Permit { tiers: vec![self.all.difference(rule.forbid)] }));
         let mut steps: Vec<(&Plain, Option<Permit>)> =
             steps.chain(forbids).map(|(rule, permit)| (rule, Some(permit))).collect();
         steps.extend(of.iter().filter(|rule| rule.never).map(|rule| (*rule, None)));
@@ -333,9 +334,9 @@
                 None => {
                     let firsts = of.iter().filter(|rule| !excepted || rule.ends.is_some());
                     let first = firsts.fold(self.all, |all, rule| {
-                        all.and(rule.permit(self.all).tiers.first().copied().unwrap_or_default())
+                        all.intersection(rule.permit(self.all).tiers.first().copied().unwrap_or_default())
                     });
-                    let tier = first.and(before.all());
+                    let tier = first.intersection(before.all());
                     Permit { tiers: Some(tier).filter(|tier| !tier.is_empty()).into_iter().collect() }
                 }
             };
@@ -344,9 +345,9 @@
                 let (rule, span) = (rule.name.to_string(), rule.span.clone());
                 let clash = |other: &&&Plain| {
                     other.name != rule
-                        && permit
-                            .as_ref()
-                            .is_none_or(|permit| permit.all().and(other.permit(self.all).all()).is_empty())
+                        && permit.as_ref().is_none_or(|permit| {
+                            permit.all().intersection(other.permit(self.all).all()).is_empty()
+                        })
                 };
                 let other = of.iter().find(clash).copied().or(last.filter(|last| last.name != rule));
                 return Err(match other {
