--- a/crates/residency/src/judge.rs
+++ b/crates/residency/src/judge.rs
@@ -58,8 +58,8 @@
     pub proxy: ProxyId,
     /// Its home zone.
     pub from: ZoneId,
-    pub product: ProductId,
-    pub tbl: Option<TblId>,
+    pub product: ClassId,
+    pub tbl: Option<TableId>,
     pub host: Option<HostId>,
     /// Where the host is listed; none: it never was.
     pub zone: Option<ZoneId>,
@@ -126,14 +126,14 @@
 /// What may come back once a repeat ends, so that it can be bounded then.
 #[derive(Clone, Copy, Debug)]
 enum Loose {
-    Line(TblId, HostId),
+    Line(TableId, HostId),
     Use(ProxyId),
     Host(HostId),
 }
 
 /// How to undo an order of a reply that is refused.
 enum Undo {
-    Line(TblId, HostId, Option<Vec<Span>>),
+    Line(TableId, HostId, Option<Vec<Span>>),
     Host(HostId, Vec<Span>),
     Uses(ProxyId, Vec<Use>),
 }
@@ -146,12 +146,12 @@
     reach: InUse,
     /// What holds for products of a mask that come to a zone.
     allowed: BTreeMap<(ZoneId, u64), Zones>,
-    tables: BTreeMap<TblId, Table>,
+    tables: BTreeMap<TableId, Table>,
     hosts: BTreeMap<HostId, Host>,
     proxies: BTreeMap<ProxyId, Proxy>,
     unproven: BTreeMap<Pair, BTreeSet<ProxyId>>,
     /// Lines that may be outside the reach in a proxy's hands; no other is.
-    suspects: BTreeSet<(TblId, HostId)>,
+    suspects: BTreeSet<(TableId, HostId)>,
     /// Who left, and which hosts changed their zone, in order of time.
     departed: VecDeque<(f64, ProxyId)>,
     moved: VecDeque<(f64, HostId)>,
@@ -182,7 +182,7 @@
     undo: Vec<Undo>,
 }
 
-type Pair = (ZoneId, ProductId);
+type Pair = (ZoneId, ClassId);
 
 impl Judge {
     /// For so many products. `grace` is that of the drain, in ms.
@@ -218,7 +218,7 @@
 
     /// The list names a host in a zone. Standing does not count here: a host that drains is shut out by the
     /// decisions, and one that is gone still has its place.
-    pub fn listed(&mut self, now: f64, host: HostId, zone: ZoneId, _standing: Standing) {
+    pub fn listed(&mut self, now: f64, host: HostId, zone: ZoneId, _standing: Availability) {
         self.advance(now);
         let known = self.hosts.entry(host).or_default();
         known.forgotten = false;
@@ -489,13 +489,13 @@
     pub fn gave_up(&mut self, orders: &[Order]) {
         for order in orders {
             match order {
-                Order::Share { tbl, host, weight } if *weight <= 0.0 => self.reopen_line(*tbl, *host),
-                Order::Clear { tbl } => {
-                    let hosts = self.tables.get(tbl).map(|table| table.lines.keys().copied().collect());
+                Order::SetEntry { table, host, weight } if *weight <= 0.0 => self.reopen_line(*table, *host),
+                Order::ClearTable { table } => {
+                    let hosts = self.tables.get(table).map(|table| table.lines.keys().copied().collect());
                     let hosts: Vec<HostId> = hosts.unwrap_or_default();
-                    hosts.into_iter().for_each(|host| self.reopen_line(*tbl, host));
+                    hosts.into_iter().for_each(|host| self.reopen_line(*table, host));
                 }
-                Order::Withdraw { host, out: true } => {
+                Order::Withdraw { host, withdrawn: true } => {
                     let Some(known) = self.hosts.get_mut(host) else { continue };
                     reopen(&mut known.inside);
                     self.suspects.extend(known.tables.iter().map(|tbl| (*tbl, *host)));
@@ -569,11 +569,11 @@
     pub fn mends(&mut self, now: f64) -> Vec<Order> {
         self.advance(now);
         let mut orders = Vec::new();
-        for (tbl, host) in self.suspects.iter().copied().collect::<Vec<_>>() {
-            let spans = self.tables.get(&tbl).and_then(|table| table.lines.get(&host));
+        for (table, host) in self.suspects.iter().copied().collect::<Vec<_>>() {
+            let spans = self.tables.get(&table).and_then(|table| table.lines.get(&host));
             let stands = spans.and_then(|spans| spans.last()).is_some_and(|last| last.to == OPEN);
-            if stands && self.held(tbl, host).is_some() {
-                orders.push(Order::Share { tbl, host, weight: 0.0 });
+            if stands && self.held(table, host).is_some() {
+                orders.push(Order::SetEntry { table, host, weight: 0.0 });
             }
         }
         orders
@@ -668,7 +668,7 @@
         for order in orders {
             match order {
                 Order::Mark { mark, .. } => self.sent(*mark),
-                Order::Forget { host } => self.forgotten(*host),
+                Order::ForgetHost { host } => self.forgotten(*host),
                 _ => {}
             }
         }
@@ -692,23 +692,23 @@
     /// Takes one order up, with how to undo it.
     fn take(&mut self, order: &Order) -> Result<(), Witness> {
         match order {
-            Order::Share { tbl, host, weight } if *weight > 0.0 => self.line(*tbl, *host),
-            Order::Share { tbl, host, .. } => {
+            Order::SetEntry { table, host, weight } if *weight > 0.0 => self.line(*table, *host),
+            Order::SetEntry { table, host, .. } => {
                 self.at += 1;
-                self.unset_line(*tbl, *host);
+                self.unset_line(*table, *host);
                 Ok(())
             }
-            Order::Clear { tbl } => {
+            Order::ClearTable { table } => {
                 self.at += 1;
-                let all = *tbl == TblId::ALL;
-                let tables = self.tables.iter().filter(|(known, _)| all || *known == tbl);
+                let all = *table == TableId::ALL;
+                let tables = self.tables.iter().filter(|(known, _)| all || *known == table);
                 let lines = tables.flat_map(|(tbl, table)| table.lines.keys().map(move |host| (*tbl, *host)));
                 for (tbl, host) in lines.collect::<Vec<_>>() {
                     self.unset_line(tbl, host);
                 }
                 Ok(())
             }
-            Order::Withdraw { host, out: true } => {
+            Order::Withdraw { host, withdrawn: true } => {
                 self.at += 1;
                 let (at, quiet) = (self.at, self.quiet);
                 let known = self.hosts.entry(*host).or_default();
@@ -718,16 +718,16 @@
                 }
                 Ok(())
             }
-            Order::Withdraw { host, out: false } => self.let_in(*host),
-            Order::Bind { proxy, tbl, products } => self.bind(*proxy, *tbl, *products),
+            Order::Withdraw { host, withdrawn: false } => self.let_in(*host),
+            Order::Bind { proxy, table, classes } => self.bind(*proxy, *table, *classes),
             _ => Ok(()),
         }
     }
 
-    fn line(&mut self, tbl: TblId, host: HostId) -> Result<(), Witness> {
+    fn line(&mut self, tbl: TableId, host: HostId) -> Result<(), Witness> {
         self.at += 1;
-        if tbl == TblId::ALL {
-            let (proxy, from, product) = (ProxyId(0), ZoneId(0), ProductId(0));
+        if tbl == TableId::ALL {
+            let (proxy, from, product) = (ProxyId(0), ZoneId(0), ClassId(0));
             let (tbl, host, zone, how) = (Some(tbl), Some(host), None, How::AllTables);
             return Err(Witness { proxy, from, product, tbl, host, zone, how });
         }
@@ -750,15 +750,15 @@
         known.tables.insert(tbl);
         table.named = table
             .named
-            .map(|named| known.places.iter().fold(named, |all, place| all.or(Zones::one(place.0))));
+            .map(|named| known.places.iter().fold(named, |all, place| all.union(Zones::one(place.0))));
         // What is not listed, or in a zone that no set can tell apart, is in no set.
-        if known.places.is_empty() || known.places.iter().any(|place| place.0 .0 >= Zones::MOST) {
+        if known.places.is_empty() || known.places.iter().any(|place| place.0 .0 >= Zones::CAPACITY) {
             table.named = None;
         }
         Ok(())
     }
 
-    fn unset_line(&mut self, tbl: TblId, host: HostId) {
+    fn unset_line(&mut self, tbl: TableId, host: HostId) {
         let (at, quiet) = (self.at, self.quiet);
         let Some(table) = self.tables.get_mut(&tbl) else { return };
         let Some(spans) = table.lines.get_mut(&host) else { return };
@@ -789,14 +789,14 @@
         Ok(())
     }
 
-    fn bind(&mut self, proxy: ProxyId, tbl: TblId, products: Products) -> Result<(), Witness> {
+    fn bind(&mut self, proxy: ProxyId, tbl: TableId, products: ClassSet) -> Result<(), Witness> {
         self.at += 1;
         let (at, quiet) = (self.at, self.quiet);
-        let mask = if products == Products::ALL { self.products } else { products.0 & self.products };
-        let joined = |known: &&Proxy| known.left.is_none() && tbl != TblId::ALL;
+        let mask = if products == ClassSet::ALL { self.products } else { products.0 & self.products };
+        let joined = |known: &&Proxy| known.left.is_none() && tbl != TableId::ALL;
         let Some(known) = self.proxies.get(&proxy).filter(joined) else {
-            let how = if tbl == TblId::ALL { How::AllTables } else { How::NotJoined };
-            let (from, product, tbl) = (ZoneId(0), ProductId(0), Some(tbl));
+            let how = if tbl == TableId::ALL { How::AllTables } else { How::NotJoined };
+            let (from, product, tbl) = (ZoneId(0), ClassId(0), Some(tbl));
             return Err(Witness { proxy, from, product, tbl, host: None, zone: None, how });
         };
         let (zone, before) = (known.zone, known.uses.clone());
@@ -861,7 +861,7 @@
 
     /// What a proxy used, of a zone that it was in, gives way to what it uses now. Returns the tables that it is
     /// in anew, or for longer.
-    fn regroup(&mut self, proxy: ProxyId, zone: ZoneId, before: Vec<Use>) -> BTreeSet<TblId> {
+    fn regroup(&mut self, proxy: ProxyId, zone: ZoneId, before: Vec<Use>) -> BTreeSet<TableId> {
         let mut widened = BTreeSet::new();
         let Some(known) = self.proxies.get(&proxy) else { return widened };
         let uses = |zone: ZoneId, uses: &[Use]| uses.iter().map(|held| (zone, *held)).collect::<Vec<_>>();
@@ -907,7 +907,7 @@
         gone
     }
 
-    fn reopen_line(&mut self, tbl: TblId, host: HostId) {
+    fn reopen_line(&mut self, tbl: TableId, host: HostId) {
         let spans = self.tables.get_mut(&tbl).and_then(|table| table.lines.get_mut(&host));
         if let Some(spans) = spans {
             reopen(spans);
@@ -921,11 +921,11 @@
         *self
             .allowed
             .entry((zone, mask))
-            .or_insert_with(|| each(mask).fold(Zones::ALL, |all, product| all.and(of(product))))
+            .or_insert_with(|| each(mask).fold(Zones::ALL, |all, product| all.intersection(of(product))))
     }
 
     /// Those who use the table now or may again, and may not be served by the host.
-    fn strangers(&mut self, tbl: TblId, host: HostId) -> Vec<(ZoneId, u64)> {
+    fn strangers(&mut self, tbl: TableId, host: HostId) -> Vec<(ZoneId, u64)> {
         let Some(table) = self.tables.get(&tbl) else { return vec![] };
         let live = table.groups.iter().filter(|(_, group)| group.after(self.at)).map(|(key, _)| *key);
         let mut live: Vec<(ZoneId, u64)> = live.collect();
@@ -939,7 +939,7 @@
     /// Whether one of them may hold the line, now or while a call is carried out again.
     fn outside(
         &self,
-        tbl: TblId,
+        tbl: TableId,
         host: HostId,
         strangers: Vec<(ZoneId, u64)>,
         parts: &[Part; 2],
@@ -967,10 +967,10 @@
         proxy: ProxyId,
         zone: ZoneId,
         uses: &[Use],
-        (tbl, mask): (TblId, u64),
+        (tbl, mask): (TableId, u64),
         host: HostId,
         [line, inside]: &[Part; 2],
-    ) -> Option<ProductId> {
+    ) -> Option<ClassId> {
         let sure = !self.doubts.contains_key(&proxy);
         each(mask).find(|product| {
             let zones = self.reach.get(&(*product, zone)).copied().unwrap_or(Zones::ALL);
@@ -981,7 +981,7 @@
     }
 
     /// Hosts that the table's lines name at that place or later, that are let in then, and lie outside.
-    fn named_outside(&mut self, tbl: TblId, allowed: Zones, at: At) -> Vec<HostId> {
+    fn named_outside(&mut self, tbl: TableId, allowed: Zones, at: At) -> Vec<HostId> {
         if allowed == Zones::ALL {
             return vec![];
         }
@@ -989,7 +989,7 @@
         let hosts = &self.hosts;
         let zones = |host: &HostId| {
             let places = hosts[host].places.iter();
-            let nowhere = hosts[host].places.is_empty() || places.clone().any(|p| p.0 .0 >= Zones::MOST);
+            let nowhere = hosts[host].places.is_empty() || places.clone().any(|p| p.0 .0 >= Zones::CAPACITY);
             if nowhere {
                 Zones::ALL
             } else {
@@ -998,9 +998,9 @@
         };
         let named = table
             .named
-            .unwrap_or_else(|| table.lines.keys().fold(Zones::NONE, |all, host| all.or(zones(host))));
+            .unwrap_or_else(|| table.lines.keys().fold(Zones::NONE, |all, host| all.union(zones(host))));
         table.named = Some(named);
-        if named.less(allowed).is_empty() {
+        if named.difference(allowed).is_empty() {
             return vec![];
         }
         let outside = table.lines.iter().filter(|(host, spans)| {
@@ -1011,7 +1011,7 @@
     }
 
     /// Looks at all lines of a table again, before it is said that all is settled.
-    fn suspect(&mut self, tbl: TblId) {
+    fn suspect(&mut self, tbl: TableId) {
         let Some(table) = self.tables.get(&tbl) else { return };
         let groups: Vec<(ZoneId, u64)> = table.groups.keys().copied().collect();
         let allowed: Vec<Zones> = groups.into_iter().map(|(zone, mask)| self.allowed(zone, mask)).collect();
@@ -1024,7 +1024,7 @@
     }
 
     /// Who may hold the line while it lies outside.
-    fn held(&mut self, tbl: TblId, host: HostId) -> Option<Witness> {
+    fn held(&mut self, tbl: TableId, host: HostId) -> Option<Witness> {
         let keys: Vec<(ZoneId, u64)> = self.tables.get(&tbl)?.groups.keys().copied().collect();
         for (zone, mask) in keys {
             let allowed = self.allowed(zone, mask);
@@ -1054,15 +1054,15 @@
     }
 
     /// The first product of the mask that the host may not serve.
-    fn product(&self, zone: ZoneId, mask: u64, host: HostId) -> ProductId {
-        let within = |product: &ProductId| {
+    fn product(&self, zone: ZoneId, mask: u64, host: HostId) -> ClassId {
+        let within = |product: &ClassId| {
             let zones = self.reach.get(&(*product, zone)).copied().unwrap_or(Zones::ALL);
             self.hosts.get(&host).is_some_and(|host| host.within(zones))
         };
-        each(mask).find(|product| !within(product)).unwrap_or(ProductId(0))
+        each(mask).find(|product| !within(product)).unwrap_or(ClassId(0))
     }
 }
 
-fn each(mask: u64) -> impl Iterator<Item = ProductId> {
-    (0..64).filter(move |place| mask & (1 << place) != 0).map(ProductId)
+fn each(mask: u64) -> impl Iterator<Item = ClassId> {
+    (0..64).filter(move |place| mask & (1 << place) != 0).map(ClassId)
 }
--- a/crates/residency/src/model.rs
+++ b/crates/residency/src/model.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use amberarch_core::{HostId, ProxyId, TblId, ZoneId, Zones};
+use amberarch_core::{HostId, ProxyId, TableId, ZoneId, Zones};
 
 /// A place in the line of orders: what stands after so many of them.
 pub type At = u64;
@@ -82,7 +82,7 @@
     }
 
     /// Of a proxy's being at a table for a product. Where a bind may never have been carried out, it ended nothing.
-    pub fn at(tbl: TblId, product: u64, uses: &[Use], sure: bool) -> Part {
+    pub fn at(tbl: TableId, product: u64, uses: &[Use], sure: bool) -> Part {
         let own = uses.iter().filter(|held| held.mask & product != 0);
         let (there, elsewhere): (Vec<&Use>, Vec<&Use>) = own.partition(|held| held.tbl == tbl);
         let off = elsewhere.into_iter().filter(|_| sure).map(|held| (held.span.from, held.span.to));
@@ -117,7 +117,7 @@
 /// Some products of a proxy at a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Use {
-    pub tbl: TblId,
+    pub tbl: TableId,
     pub mask: u64,
     pub span: Span,
 }
@@ -211,7 +211,7 @@
     /// While it is let in. One that was never shut out is.
     pub inside: Vec<Span>,
     /// Tables whose lines may name it.
-    pub tables: BTreeSet<TblId>,
+    pub tables: BTreeSet<TableId>,
     pub forgotten: bool,
 }
 
@@ -225,7 +225,7 @@
     /// Whether it may serve where only these zones may: a host that changed its zone counts for both, until the
     /// grace of the old one ends. One that was never listed is nowhere.
     pub fn within(&self, zones: Zones) -> bool {
-        zones == Zones::ALL || self.places.iter().any(|(zone, _)| zones.has(*zone))
+        zones == Zones::ALL || self.places.iter().any(|(zone, _)| zones.contains(*zone))
     }
     pub fn zone(&self) -> Option<ZoneId> {
         self.places.last().map(|place| place.0)
--- a/crates/residency/src/plain.rs
+++ b/crates/residency/src/plain.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{HostId, Order, ProductId, Products, ProxyId, TblId, ZoneId, Zones};
+use amberarch_core::{ClassId, ClassSet, HostId, Order, ProxyId, TableId, ZoneId, Zones};
 
 use crate::reach::InUse;
 
@@ -14,8 +14,8 @@
     pub reach: InUse,
     pub hosts: BTreeMap<HostId, ZoneId>,
     pub zones: BTreeMap<ProxyId, ZoneId>,
-    pub tables: BTreeMap<TblId, BTreeSet<HostId>>,
-    pub binds: BTreeMap<(ProxyId, ProductId), TblId>,
+    pub tables: BTreeMap<TableId, BTreeSet<HostId>>,
+    pub binds: BTreeMap<(ProxyId, ClassId), TableId>,
     pub out: BTreeSet<HostId>,
 }
 
@@ -23,31 +23,30 @@
     /// Whether the order is one that can widen; it is carried out.
     pub fn carry_out(&mut self, order: &Order) -> bool {
         match order {
-            Order::Share { tbl, host, weight } if *weight > 0.0 => {
-                self.tables.entry(*tbl).or_default().insert(*host);
+            Order::SetEntry { table, host, weight } if *weight > 0.0 => {
+                self.tables.entry(*table).or_default().insert(*host);
                 true
             }
-            Order::Share { tbl, host, .. } => {
-                self.tables.get_mut(tbl).map(|lines| lines.remove(host));
+            Order::SetEntry { table, host, .. } => {
+                self.tables.get_mut(table).map(|lines| lines.remove(host));
                 false
             }
-            Order::Clear { tbl } => {
-                self.tables.remove(tbl);
+            Order::ClearTable { table } => {
+                self.tables.remove(table);
                 false
             }
-            Order::Withdraw { host, out: true } => {
+            Order::Withdraw { host, withdrawn: true } => {
                 self.out.insert(*host);
                 false
             }
-            Order::Withdraw { host, out: false } => {
+            Order::Withdraw { host, withdrawn: false } => {
                 self.out.remove(host);
                 true
             }
-            Order::Bind { proxy, tbl, products } => {
-                let named =
-                    |id: &ProductId| *products == Products::ALL || products.0 & Products::one(*id).0 != 0;
-                let ids = (0..self.products).map(ProductId).filter(named);
-                self.binds.extend(ids.map(|id| ((*proxy, id), *tbl)));
+            Order::Bind { proxy, table, classes } => {
+                let named = |id: &ClassId| *classes == ClassSet::ALL || classes.0 & ClassSet::one(*id).0 != 0;
+                let ids = (0..self.products).map(ClassId).filter(named);
+                self.binds.extend(ids.map(|id| ((*proxy, id), *table)));
                 true
             }
             _ => false,
@@ -55,19 +54,19 @@
     }
 
     /// The hosts outside the reach that a proxy may use for a product.
-    pub fn outside(&self, proxy: ProxyId, product: ProductId, tbl: TblId) -> Option<HostId> {
+    pub fn outside(&self, proxy: ProxyId, product: ClassId, tbl: TableId) -> Option<HostId> {
         let zone = self.zones.get(&proxy)?;
         let allowed = self.reach.get(&(product, *zone)).copied().unwrap_or(Zones::ALL);
         let beyond = |host: &&HostId| {
             !self.out.contains(host)
                 && allowed != Zones::ALL
-                && !self.hosts.get(host).is_some_and(|zone| allowed.has(*zone))
+                && !self.hosts.get(host).is_some_and(|zone| allowed.contains(*zone))
         };
         self.tables.get(&tbl)?.iter().find(beyond).copied()
     }
 
     /// All that is outside in anyone's hands.
-    pub fn all_outside(&self) -> Option<(ProxyId, ProductId, HostId)> {
+    pub fn all_outside(&self) -> Option<(ProxyId, ClassId, HostId)> {
         self.binds.iter().find_map(|((proxy, product), tbl)| {
             Some((*proxy, *product, self.outside(*proxy, *product, *tbl)?))
         })
@@ -79,14 +78,14 @@
         let (mut lines, mut binds, mut out) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         for order in orders {
             match order {
-                Order::Share { tbl, .. } | Order::Clear { tbl } => {
-                    lines.entry(*tbl).or_insert_with(|| self.tables.get(tbl).cloned());
+                Order::SetEntry { table, .. } | Order::ClearTable { table } => {
+                    lines.entry(*table).or_insert_with(|| self.tables.get(table).cloned());
                 }
                 Order::Withdraw { host, .. } => {
                     out.entry(*host).or_insert_with(|| self.out.contains(host));
                 }
                 Order::Bind { proxy, .. } => {
-                    for product in (0..self.products).map(ProductId) {
+                    for product in (0..self.products).map(ClassId) {
                         let key = (*proxy, product);
                         binds.entry(key).or_insert_with(|| self.binds.get(&key).copied());
                     }
--- a/crates/residency/src/reach.rs
+++ b/crates/residency/src/reach.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use amberarch_core::{Event, HostId, Listed, ProductId, ZoneId, Zones};
+use amberarch_core::{ClassId, Event, HostEntry, HostId, ZoneId, Zones};
 
 /// Of one product at one home zone: the zones that may serve it, in the order in which they are used. A later tier
 /// is used only while no earlier one has a host.
@@ -15,30 +15,30 @@
 impl Permit {
     /// All that may ever serve it.
     pub fn all(&self) -> Zones {
-        self.tiers.iter().fold(Zones::NONE, |all, tier| all.or(*tier))
+        self.tiers.iter().fold(Zones::NONE, |all, tier| all.union(*tier))
     }
 
     /// The zones that may serve it now, where those are the zones that have a host: of the first tier that has one.
     pub fn in_use(&self, there: Zones) -> Zones {
-        let tier = self.tiers.iter().find(|tier| !tier.and(there).is_empty());
+        let tier = self.tiers.iter().find(|tier| !tier.intersection(there).is_empty());
         tier.or(self.tiers.first()).copied().unwrap_or_default()
     }
 
     /// What both permit, each zone as late as the one that has it later.
     pub fn within(&self, other: &Permit) -> Permit {
-        let rank = |permit: &Permit, zone| permit.tiers.iter().position(|tier| tier.has(zone));
+        let rank = |permit: &Permit, zone| permit.tiers.iter().position(|tier| tier.contains(zone));
         let mut tiers: BTreeMap<usize, Zones> = BTreeMap::new();
-        for zone in self.all().and(other.all()).each() {
+        for zone in self.all().intersection(other.all()).iter() {
             let last = rank(self, zone).max(rank(other, zone)).unwrap_or_default();
             let tier = tiers.entry(last).or_default();
-            *tier = tier.or(Zones::one(zone));
+            *tier = tier.union(Zones::one(zone));
         }
         Permit { tiers: tiers.into_values().collect() }
     }
 }
 
 /// A product and the zone whose proxies it comes to.
-pub type Governed = (ProductId, ZoneId);
+pub type Governed = (ClassId, ZoneId);
 
 /// The zones that may serve each governed pair now.
 pub type InUse = BTreeMap<Governed, Zones>;
@@ -83,7 +83,7 @@
         let mut all = InUse::new();
         for (pair, zones) in self.parts.iter().flat_map(|part| part.in_use(there)) {
             let both = all.entry(pair).or_insert(Zones::ALL);
-            *both = both.and(zones);
+            *both = both.intersection(zones);
         }
         all
     }
@@ -100,7 +100,7 @@
 
 /// Of a host that is listed twice only the last row counts. Decisions sort rows, by weight or otherwise, so without
 /// it they could take a host to be in one zone and the judge in another, and order without end what it leaves out.
-pub fn last_rows(entries: &mut Vec<Listed>) {
+pub fn last_rows(entries: &mut Vec<HostEntry>) {
     let last: BTreeMap<HostId, usize> = entries.iter().enumerate().map(|(at, row)| (row.host, at)).collect();
     let mut at = 0..;
     entries.retain(|row| last.get(&row.host).copied() == at.next());
@@ -116,14 +116,16 @@
     let pairs: BTreeSet<Governed> = before.keys().chain(after.keys()).copied().collect();
     let of = |all: &InUse, pair| all.get(pair).copied().unwrap_or(Zones::ALL);
     let differing = pairs.iter().filter(|pair| of(before, pair) != of(after, pair));
-    differing.map(|pair| Event::Reach { product: pair.0, zone: pair.1, zones: of(after, pair) }).collect()
+    differing
+        .map(|pair| Event::ReachRule { class: pair.0, zone: pair.1, allowed_zones: of(after, pair) })
+        .collect()
 }
 
 /// Why a change can't be made without harm: a pair that would be left without a host while both hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("while both hold, product {} from zone {} has no host in a permitted zone", product.0, from.0)]
 pub struct Bare {
-    pub product: ProductId,
+    pub product: ClassId,
     pub from: ZoneId,
     /// What both permit; none of it has a host in service.
     pub zones: Zones,
@@ -131,7 +133,7 @@
 
 /// More comes for these zones alone than their hosts carry.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{demand:.1} a second may be served in {} zone(s) alone, which carry {carries:.1}", zones.each().count())]
+#[error("{demand:.1} a second may be served in {} zone(s) alone, which carry {carries:.1}", zones.iter().count())]
 pub struct Over {
     pub zones: Zones,
     /// Whose demand that is.
@@ -166,7 +168,7 @@
 ) -> Result<(), Bare> {
     let there = there(hosts);
     for (pair, zones) in joint.in_use(there) {
-        if zones.and(there).is_empty() && !meanwhile.contains(&pair) {
+        if zones.intersection(there).is_empty() && !meanwhile.contains(&pair) {
             return Err(Bare { product: pair.0, from: pair.1, zones });
         }
     }
@@ -212,7 +214,7 @@
         }
         let mut end = None;
         while let Some(kind) = queue.pop_front() {
-            for zone in (0..zones.len()).filter(|zone| kinds[kind].0.has(zones[*zone].0)) {
+            for zone in (0..zones.len()).filter(|zone| kinds[kind].0.contains(zones[*zone].0)) {
                 if from_kind[zone].is_some() {
                     continue;
                 }
@@ -239,7 +241,7 @@
             let reached: Vec<(Zones, f64)> = (0..kinds.len()).filter_map(of).collect();
             let pairs = demand.iter().filter(|(_, rate)| **rate > 0.0).map(|(pair, _)| *pair);
             let pairs = pairs.filter(|pair| reached.iter().any(|(zones, _)| *zones == zones_of(pair)));
-            let named_room = zones.iter().filter(|(zone, _)| named.has(*zone)).map(|(_, room)| room);
+            let named_room = zones.iter().filter(|(zone, _)| named.contains(*zone)).map(|(_, room)| room);
             return Err(Over {
                 zones: named,
                 pairs: pairs.collect(),
--- a/crates/residency/tests/residency/judge.rs
+++ b/crates/residency/tests/residency/judge.rs
@@ -14,35 +14,35 @@
 const NOWHERE: HostId = HostId(9);
 const P: ProxyId = ProxyId(0);
 const Q: ProxyId = ProxyId(1);
-const TABLE: TblId = TblId(0);
-const OTHER: TblId = TblId(1);
+const TABLE: TableId = TableId(0);
+const OTHER: TableId = TableId(1);
 
-fn line(tbl: TblId, host: HostId) -> Order {
-    Order::Share { tbl, host, weight: 1.0 }
+fn line(table: TableId, host: HostId) -> Order {
+    Order::SetEntry { table, host, weight: 1.0 }
 }
-fn gone(tbl: TblId, host: HostId) -> Order {
-    Order::Share { tbl, host, weight: 0.0 }
+fn gone(table: TableId, host: HostId) -> Order {
+    Order::SetEntry { table, host, weight: 0.0 }
 }
-fn bind(proxy: ProxyId, tbl: TblId) -> Order {
-    Order::Bind { proxy, tbl, products: Products::ALL }
+fn bind(proxy: ProxyId, table: TableId) -> Order {
+    Order::Bind { proxy, table, classes: ClassSet::ALL }
 }
-fn out(host: HostId, out: bool) -> Order {
-    Order::Withdraw { host, out }
+fn out(host: HostId, withdrawn: bool) -> Order {
+    Order::Withdraw { host, withdrawn }
 }
 fn mark(mark: u16) -> Order {
-    Order::Mark { mark: MarkId(mark), everyone: false }
+    Order::Mark { mark: MarkId(mark), all_proxies: false }
 }
 
 /// The one product from zone A may be served in these zones alone.
 fn within(zones: &[ZoneId]) -> InUse {
-    InUse::from([((ProductId(0), A), zones.iter().copied().collect())])
+    InUse::from([((ClassId(0), A), zones.iter().copied().collect())])
 }
 
 /// Two proxies in zone A that hold nothing of ours yet.
 fn judge(zones: &[ZoneId]) -> Judge {
     let mut judge = Judge::new(2, GRACE);
-    judge.listed(0.0, IN_A, A, Standing::On);
-    judge.listed(0.0, IN_B, B, Standing::On);
+    judge.listed(0.0, IN_A, A, Availability::InService);
+    judge.listed(0.0, IN_B, B, Availability::InService);
     judge.reach(0.0, within(zones));
     [P, Q].into_iter().for_each(|proxy| judge.joined(0.0, proxy, A, true));
     judge
@@ -75,7 +75,7 @@
     let breach = judge.judge(200.0, &[line(OTHER, IN_A), line(TABLE, IN_B)]).expect_err("B is not permitted");
     assert_eq!((breach.order, breach.witness.how), (1, How::Line));
     let told = breach.witness;
-    assert_eq!((told.proxy, told.from, told.product), (P, A, ProductId(0)));
+    assert_eq!((told.proxy, told.from, told.product), (P, A, ClassId(0)));
     assert_eq!((told.tbl, told.host, told.zone), (Some(TABLE), Some(IN_B), Some(B)));
     assert!(told.to_string().contains("proxy 0") && !breach.advice().is_empty());
     // Where nobody uses it, it may stand; then nobody may be bound to it.
@@ -86,16 +86,19 @@
     assert_eq!(how(&mut judge, &[out(IN_B, false)]), Some(How::LetIn));
     assert_eq!(how(&mut judge, &[line(TABLE, NOWHERE)]), Some(How::Line), "it was never listed");
     assert_eq!(how(&mut judge, &[bind(ProxyId(7), TABLE)]), Some(How::NotJoined));
-    assert_eq!(how(&mut judge, &[line(TblId::ALL, IN_A)]), Some(How::AllTables));
+    assert_eq!(how(&mut judge, &[line(TableId::ALL, IN_A)]), Some(How::AllTables));
 }
 
 #[test]
 fn what_is_not_governed_and_what_narrows_passes() {
     let mut judge = steady(&[A]);
-    let second = Order::Bind { proxy: P, tbl: OTHER, products: Products::one(ProductId(1)) };
+    let second = Order::Bind { proxy: P, table: OTHER, classes: ClassSet::one(ClassId(1)) };
     assert_eq!(how(&mut judge, &[line(OTHER, IN_B), second]), None, "the second product is not governed");
     judge.reach(300.0, within(&[]));
-    assert_eq!(how(&mut judge, &[out(IN_B, true), gone(TABLE, IN_A), Order::Clear { tbl: TABLE }]), None);
+    assert_eq!(
+        how(&mut judge, &[out(IN_B, true), gone(TABLE, IN_A), Order::ClearTable { table: TABLE }]),
+        None
+    );
     assert_eq!(how(&mut judge, &[line(TABLE, IN_A)]), Some(How::Line));
 }
 
@@ -242,7 +245,7 @@
 #[test]
 fn a_host_changes_its_zone_and_counts_for_both_until_the_grace_ends() {
     let mut judge = steady(&[A]);
-    judge.listed(1_000.0, IN_A, B, Standing::On);
+    judge.listed(1_000.0, IN_A, B, Availability::InService);
     assert_eq!(unsettled(&mut judge, 1_000.0 + GRACE - 1.0), None);
     assert_eq!(unsettled(&mut judge, 1_000.0 + GRACE), Some(How::Held));
     assert!(judge.judge(2_100.0, &[line(TABLE, IN_A)]).is_err());
@@ -250,8 +253,8 @@
     let mut judge = steady(&[A]);
     for round in 0..10 {
         let now = 1_000.0 + 500.0 * f64::from(round);
-        judge.listed(now, IN_A, B, Standing::On);
-        judge.listed(now, IN_A, A, Standing::On);
+        judge.listed(now, IN_A, B, Availability::InService);
+        judge.listed(now, IN_A, A, Availability::InService);
         assert_eq!(unsettled(&mut judge, now), None);
     }
 }
@@ -270,11 +273,11 @@
     let refused = |judge: &mut Judge, order| judge.judge(2_100.0, &[order]).err().map(|no| no.witness.how);
     assert_eq!(refused(&mut judge, line(OTHER, IN_A)), Some(How::Line));
     assert_eq!(refused(&mut judge, bind(Q, TABLE)), Some(How::Bind));
-    judge.listed(2_200.0, IN_A, A, Standing::On);
+    judge.listed(2_200.0, IN_A, A, Availability::InService);
     assert_eq!(unsettled(&mut judge, 2_200.0), None);
     // Within the grace.
     judge.lost(3_000.0, IN_A);
-    judge.listed(3_500.0, IN_A, A, Standing::On);
+    judge.listed(3_500.0, IN_A, A, Availability::InService);
     assert_eq!(unsettled(&mut judge, 3_000.0 + 2.0 * GRACE), None);
 }
 
--- a/crates/residency/tests/residency/midst.rs
+++ b/crates/residency/tests/residency/midst.rs
@@ -10,7 +10,7 @@
 fn submits(zones: &[u16]) -> Reach {
     let zones: Zones = zones.iter().copied().map(ZoneId).collect();
     let tiers = if zones.is_empty() { vec![] } else { vec![zones] };
-    let pair = |from| ((ProductId(SUBMITS as u16), ZoneId(from)), Permit { tiers: tiers.clone() });
+    let pair = |from| ((ClassId(SUBMITS as u16), ZoneId(from)), Permit { tiers: tiers.clone() });
     Reach { permits: (0..4).map(pair).collect(), parts: vec![] }
 }
 
@@ -56,14 +56,14 @@
         assert_eq!(day.ruled.refused, 0, "{rows:?}: {:?}", day.ruled);
         assert!(served(&day, 10, 90) > 0.95, "{rows:?}: {}", served(&day, 10, 90));
     }
-    let row = |host, zone| Listed {
+    let row = |host, zone| HostEntry {
         host: HostId(host),
         weight: 1.0,
         zone: ZoneId(zone),
         pod: PodId(0),
-        kind: KindId(0),
-        born: None,
-        standing: Standing::On,
+        instance_type: InstanceTypeId(0),
+        started_at: None,
+        availability: Availability::InService,
     };
     let mut rows = vec![row(1, 0), row(2, 0), row(1, 1), row(3, 2), row(1, 2), row(2, 0)];
     last_rows(&mut rows);
@@ -135,15 +135,15 @@
 }
 
 const LINGER: f64 = 5_000.0;
-const PRODUCT: ProductId = ProductId(SUBMITS as u16);
+const PRODUCT: ClassId = ClassId(SUBMITS as u16);
 const HOME: ZoneId = ZoneId(0);
 const P: ProxyId = ProxyId(0);
-const TABLE: TblId = TblId(0);
+const TABLE: TableId = TableId(0);
 
 /// A steward's judge, with hosts 1 and 2 in the zones of their numbers.
 fn judge(proxies: &[ProxyId], reach: &Reach) -> Judge {
     let mut judge = Judge::new(2, 1_000.0);
-    (1..3).for_each(|at| judge.listed(0.0, HostId(at), ZoneId(at as u16), Standing::On));
+    (1..3).for_each(|at| judge.listed(0.0, HostId(at), ZoneId(at as u16), Availability::InService));
     holds(&mut judge, 0.0, reach);
     for proxy in proxies {
         judge.joined(0.0, *proxy, HOME, true);
@@ -157,13 +157,13 @@
 }
 
 fn line(host: u32, weight: f64) -> Order {
-    Order::Share { tbl: TABLE, host: HostId(host), weight }
+    Order::SetEntry { table: TABLE, host: HostId(host), weight }
 }
 fn bind(proxy: ProxyId) -> Order {
-    Order::Bind { proxy, tbl: TABLE, products: Products::one(PRODUCT) }
+    Order::Bind { proxy, table: TABLE, classes: ClassSet::one(PRODUCT) }
 }
 fn mark(mark: u16) -> Order {
-    Order::Mark { mark: MarkId(mark), everyone: true }
+    Order::Mark { mark: MarkId(mark), all_proxies: true }
 }
 
 /// The change waits for all stewards: what a proxy has from the one that it left counts at one of them at all times.
--- a/crates/residency/tests/residency/reach.rs
+++ b/crates/residency/tests/residency/reach.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{Event, ProductId, ZoneId, Zones};
+use amberarch_core::{ClassId, Event, ZoneId, Zones};
 use amberarch_residency::{bare, difference, over, there, Governed, InUse, Permit, Reach};
 use proptest::prelude::*;
 
@@ -10,7 +10,7 @@
     zones.iter().copied().map(ZoneId).collect()
 }
 
-const PAIR: Governed = (ProductId(0), ZoneId(0));
+const PAIR: Governed = (ClassId(0), ZoneId(0));
 
 fn reach(tiers: &[&[u16]]) -> Reach {
     let permit = Permit { tiers: tiers.iter().map(|tier| zones(tier)).collect() };
@@ -23,7 +23,7 @@
     assert_eq!(joint.in_use(zones(&[1, 2]))[&PAIR], Zones::NONE);
     let hosts = BTreeMap::from([(ZoneId(1), 3), (ZoneId(2), 3)]);
     let told = bare(&joint, &hosts, &BTreeSet::new()).expect_err("nothing is left");
-    assert_eq!((told.product, told.from, told.zones), (ProductId(0), ZoneId(0), Zones::NONE));
+    assert_eq!((told.product, told.from, told.zones), (ClassId(0), ZoneId(0), Zones::NONE));
     assert!(!told.advice().is_empty());
     assert_eq!(
         bare(&joint, &hosts, &BTreeSet::from([PAIR])),
@@ -49,7 +49,7 @@
     };
     let all = with(&[(1, 2), (2, 2)]);
     let lost = with(&[(1, 0), (2, 2)]);
-    let told = |zones| vec![Event::Reach { zone: ZoneId(0), product: ProductId(0), zones }];
+    let told = |allowed_zones| vec![Event::ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones }];
     assert_eq!(difference(&InUse::new(), &all), told(zones(&[1])));
     assert_eq!(difference(&all, &lost), told(zones(&[2])));
     // One host more or less there is no news.
@@ -63,12 +63,12 @@
 fn what_can_not_be_known_is_declined_at_once() {
     let unknown = Reach::declining([PAIR]);
     assert_eq!(unknown.in_use(Zones::ALL)[&PAIR], Zones::NONE);
-    assert_eq!(unknown.zones((ProductId(1), ZoneId(0))), Zones::ALL);
+    assert_eq!(unknown.zones((ClassId(1), ZoneId(0))), Zones::ALL);
 }
 
 #[test]
 fn more_comes_for_two_zones_than_they_carry() {
-    let pair = |product| (ProductId(product), ZoneId(0));
+    let pair = |product| (ClassId(product), ZoneId(0));
     let in_use = InUse::from([(pair(0), zones(&[0])), (pair(1), zones(&[0, 1])), (pair(2), Zones::NONE)]);
     let capacity = BTreeMap::from([(ZoneId(0), 100.0), (ZoneId(1), 100.0), (ZoneId(2), 1_000.0)]);
     let demand = |rates: [f64; 4]| (0..4).map(pair).zip(rates).collect::<BTreeMap<_, _>>();
@@ -85,14 +85,14 @@
     let permit = prop::collection::vec(0..16u128, 0..3).prop_map(|sets| {
         let mut left = Zones(15);
         let tier = |set| {
-            let tier = Zones(set).and(left);
-            left = left.less(tier);
+            let tier = Zones(set).intersection(left);
+            left = left.difference(tier);
             tier
         };
         Permit { tiers: sets.into_iter().map(tier).filter(|tier| !tier.is_empty()).collect() }
     });
     prop::collection::btree_map((0..2u16, 0..2u16), permit, 0..4).prop_map(|permits| Reach {
-        permits: permits.into_iter().map(|((p, z), permit)| ((ProductId(p), ZoneId(z)), permit)).collect(),
+        permits: permits.into_iter().map(|((p, z), permit)| ((ClassId(p), ZoneId(z)), permit)).collect(),
         parts: vec![],
     })
 }
@@ -103,9 +103,9 @@
     fn joint_is_within_both(a in drawn(), b in drawn(), there in 0..16u128) {
         let (joint, there) = (a.joint(&b), Zones(there));
         let of = |reach: &Reach, pair| reach.in_use(there).get(&pair).copied().unwrap_or(Zones::ALL);
-        for pair in (0..2).flat_map(|p| (0..2).map(move |z| (ProductId(p), ZoneId(z)))) {
-            prop_assert_eq!(of(&joint, pair), of(&a, pair).and(of(&b, pair)));
-            prop_assert!(of(&joint, pair).less(joint.zones(pair)).is_empty());
+        for pair in (0..2).flat_map(|p| (0..2).map(move |z| (ClassId(p), ZoneId(z)))) {
+            prop_assert_eq!(of(&joint, pair), of(&a, pair).intersection(of(&b, pair)));
+            prop_assert!(of(&joint, pair).difference(joint.zones(pair)).is_empty());
         }
     }
 
@@ -115,7 +115,7 @@
         sets in prop::collection::vec((1..16u128, 0..50u32), 1..5),
         rooms in prop::collection::vec(0..60u32, 4),
     ) {
-        let pair = |at: usize| (ProductId(at as u16), ZoneId(0));
+        let pair = |at: usize| (ClassId(at as u16), ZoneId(0));
         let in_use: InUse = sets.iter().enumerate().map(|(at, (set, _))| (pair(at), Zones(*set))).collect();
         let demand = sets.iter().enumerate().map(|(at, (_, rate))| (pair(at), f64::from(*rate))).collect();
         let capacity = (0..4).map(|zone| (ZoneId(zone), f64::from(rooms[usize::from(zone)]))).collect();
--- a/crates/residency/tests/residency/rules.rs
+++ b/crates/residency/tests/residency/rules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{ProductId, ZoneId, Zones};
+use amberarch_core::{ClassId, ZoneId, Zones};
 use amberarch_operator::Fault;
 use amberarch_residency::{compile, Compiled, Facts, Section, Unfit};
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
     Facts {
         zones: names(&["teika", "purvs", "imanta", "berga"]),
         products: names(&["pages", "submits", "exports"]),
-        govern: BTreeSet::from([ProductId(0), ProductId(1)]),
+        govern: BTreeSet::from([ClassId(0), ClassId(1)]),
     }
 }
 
@@ -34,7 +34,7 @@
 }
 
 fn tiers(compiled: &Compiled, product: u16, home: u16) -> Vec<Zones> {
-    compiled.reach.permits[&(ProductId(product), ZoneId(home))].tiers.clone()
+    compiled.reach.permits[&(ClassId(product), ZoneId(home))].tiers.clone()
 }
 
 const HEAD: &str = r#"
@@ -64,10 +64,7 @@
     );
     let found = compiled(&text).expect("it fits");
     assert_eq!(tiers(&found, 1, 0), [zones(&[0]), zones(&[2]), zones(&[3])]);
-    assert!(
-        !found.reach.permits.contains_key(&(ProductId(1), ZoneId(2))),
-        "the council's come from two zones"
-    );
+    assert!(!found.reach.permits.contains_key(&(ClassId(1), ZoneId(2))), "the council's come from two zones");
     assert_eq!(tiers(&found, 0, 3), [zones(&[0, 1, 2])]);
     assert_eq!(found.reach.classes().len(), 2);
     assert_eq!(found.until, None);
@@ -293,12 +290,12 @@
             }
             prop_assert_eq!(found.reach.permits.len(), by_pair.len());
             for ((product, zone), rules) in by_pair {
-                let permit = &found.reach.permits[&(ProductId(product), ZoneId(zone))];
+                let permit = &found.reach.permits[&(ClassId(product), ZoneId(zone))];
                 prop_assert!(!permit.tiers.is_empty());
                 for rule in rules {
                     let first = rule.permit.clone().unwrap_or_else(|| (0..4).collect());
                     let ever: BTreeSet<u16> = rule.fallback.iter().flatten().chain(&first).copied().collect();
-                    for zone in permit.all().each() {
+                    for zone in permit.all().iter() {
                         prop_assert!(ever.contains(&zone.0) && !rule.forbid.contains(&zone.0));
                         prop_assert!(!rule.never || first.contains(&zone.0));
                     }
--- a/crates/rig/src/drill/drawn.rs
+++ b/crates/rig/src/drill/drawn.rs
@@ -54,15 +54,15 @@
         let proxies = self.0.random_range(20..140);
         let lines_per_s = f64::from(proxies) * self.0.random_range(20.0..40.0);
         let backlog_ms = self.0.random_range(1_000.0..2_600.0);
-        let transit = self.0.random_range(100.0..300.0);
+        let typical_transit = self.0.random_range(100.0..300.0);
         let channel = Channel {
             lines_per_s,
-            head: self.0.random_range(3..8u32).into(),
-            backlog: lines_per_s * backlog_ms / 1e3,
-            messages: 30,
-            messages_over: 10_000.0,
-            transit,
-            transit_worst: 2.5 * transit,
+            message_overhead: self.0.random_range(3..8u32).into(),
+            max_backlog: lines_per_s * backlog_ms / 1e3,
+            max_messages: 30,
+            message_window: 10_000.0,
+            typical_transit,
+            max_transit: 2.5 * typical_transit,
         };
         let zones = self.0.random_range(1..5);
         Settings {
--- a/crates/rig/src/drill/mod.rs
+++ b/crates/rig/src/drill/mod.rs
@@ -324,7 +324,7 @@
     let history = recorder.0.take();
     let verdicts = Verdicts::of(&history, settings);
     let (most_waiting, passed, orders) = relay.limits();
-    let (calls, backlog) = (relay.calls(), settings.channel.backlog);
+    let (calls, backlog) = (relay.calls(), settings.channel.max_backlog);
     let (lag, trace) = (lag.longest(), relay.take_trace());
     Ok(Drilled {
         history,
--- a/crates/rig/src/drill/proxies.rs
+++ b/crates/rig/src/drill/proxies.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use amberarch_core::{HostId, Order, ProductId, ProxyId, ZoneId};
+use amberarch_core::{ClassId, HostId, Order, ProxyId, ZoneId};
 use amberarch_emulator::Proxy;
 use amberarch_histories::What;
 use rand::seq::SliceRandom;
@@ -84,7 +84,7 @@
     }
 
     /// The hosts that a proxy sends requests of the class to, each with its part of them.
-    pub fn shares(&self, number: ProxyId, class: ProductId) -> Vec<(HostId, f64)> {
+    pub fn shares(&self, number: ProxyId, class: ClassId) -> Vec<(HostId, f64)> {
         let held = self.held.borrow();
         let lines: Vec<(HostId, f64)> = held[usize::from(number.0)].proxy.open(class).collect();
         let all: f64 = lines.iter().map(|line| line.1).sum();
@@ -93,7 +93,7 @@
 
     fn tells(&self, number: ProxyId) {
         let held = &mut self.held.borrow_mut()[usize::from(number.0)];
-        let classes = (0..CLASSES.len() as u16).map(ProductId);
+        let classes = (0..CLASSES.len() as u16).map(ClassId);
         let open = |class| held.proxy.open(class).map(|line| line.0).collect::<Vec<_>>();
         let sends_to: BTreeSet<HostId> = classes.flat_map(open).collect();
         if sends_to != held.sends_to {
--- a/crates/rig/src/drill/relay.rs
+++ b/crates/rig/src/drill/relay.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use amberarch_core::{HostId, Order, ProductId, ProxyId};
+use amberarch_core::{ClassId, HostId, Order, ProxyId};
 use amberarch_emulator::{Message, Relay as Channel};
 use amberarch_histories::What;
 use serde_json::{json, Value};
@@ -155,10 +155,10 @@
         let at = self.now();
         let outcome = outcome.to_string();
         match read_order(order, self) {
-            Some(Order::Bind { proxy, tbl, .. }) => {
-                self.trace.borrow_mut().record(at, Some(proxy), Step::BindCalled { table: tbl, outcome });
+            Some(Order::Bind { proxy, table, .. }) => {
+                self.trace.borrow_mut().record(at, Some(proxy), Step::BindCalled { table, outcome });
             }
-            Some(Order::Withdraw { host, out: true }) => {
+            Some(Order::Withdraw { host, withdrawn: true }) => {
                 self.trace.borrow_mut().record(at, None, Step::WithdrawCalled { host, outcome });
             }
             _ => {}
@@ -483,8 +483,8 @@
         Some(HostId(self.hosts.iter().position(|host| host == name)? as u32))
     }
 
-    fn class(&self, name: &str) -> Option<ProductId> {
-        Some(ProductId(CLASSES.iter().position(|class| class.0 == name)? as u16))
+    fn class(&self, name: &str) -> Option<ClassId> {
+        Some(ClassId(CLASSES.iter().position(|class| class.0 == name)? as u16))
     }
 
     fn joined(&self, proxy: ProxyId) -> bool {
--- a/crates/rig/src/drill/settings.rs
+++ b/crates/rig/src/drill/settings.rs
@@ -73,12 +73,12 @@
     pub fn usual(seed: u64) -> Settings {
         let channel = Channel {
             lines_per_s: 2_200.0,
-            head: 6.0,
-            backlog: 5_800.0,
-            messages: 30,
-            messages_over: 10_000.0,
-            transit: 207.0,
-            transit_worst: 517.5,
+            message_overhead: 6.0,
+            max_backlog: 5_800.0,
+            max_messages: 30,
+            message_window: 10_000.0,
+            typical_transit: 207.0,
+            max_transit: 517.5,
         };
         Settings {
             zones: ["north", "middle", "south"].map(String::from).into(),
@@ -129,9 +129,9 @@
             "familyInfo": {
                 "agents": 3 * u32::from(self.proxies), "bootstrap": self.standing, "shards": 0, "zonal": false,
                 "classOwnZone": none, "classWrites": none, "defaultRetry": 0, "tryFactor": 0.8, "levelKind": "off",
-                "emptyFor": ns(EMPTY_FOR), "egressPerS": channel.lines_per_s, "backlog": channel.backlog,
-                "overhead": channel.head, "reloadsMax": channel.messages, "messagesOver": ns(channel.messages_over),
-                "propagation": ns(channel.transit), "worstTransit": ns(channel.transit_worst),
+                "emptyFor": ns(EMPTY_FOR), "egressPerS": channel.lines_per_s, "backlog": channel.max_backlog,
+                "overhead": channel.message_overhead, "reloadsMax": channel.max_messages, "messagesOver": ns(channel.message_window),
+                "propagation": ns(channel.typical_transit), "worstTransit": ns(channel.max_transit),
                 "reportEvery": ns(2_000.0), "reportsPerS": 120.0,
             },
             "loadInfo": {"how": "off", "columns": []},
--- a/crates/rig/src/drill/trace.rs
+++ b/crates/rig/src/drill/trace.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use amberarch_core::{HostId, Order, ProxyId, TblId};
+use amberarch_core::{HostId, Order, ProxyId, TableId};
 use amberarch_emulator::Message;
 
 /// One step of an order or of its proxy.
@@ -14,7 +14,7 @@
     Left,
     /// A call binds the proxy; what the relay did with the call.
     BindCalled {
-        table: TblId,
+        table: TableId,
         outcome: String,
     },
     /// A call withdraws the host.
@@ -24,7 +24,7 @@
     },
     /// The proxy applied a message with these.
     Applied {
-        bound_to: Option<TblId>,
+        bound_to: Option<TableId>,
         withdrawn: Vec<HostId>,
         /// How long after its due time the drill handed the message over, ms.
         lag: f64,
@@ -63,8 +63,8 @@
         let mut withdrawn = Vec::new();
         for order in &message.orders {
             match order {
-                Order::Bind { tbl, .. } => bound_to = Some(*tbl),
-                Order::Withdraw { host, out: true } => withdrawn.push(*host),
+                Order::Bind { table, .. } => bound_to = Some(*table),
+                Order::Withdraw { host, withdrawn: true } => withdrawn.push(*host),
                 _ => {}
             }
         }
--- a/crates/rig/src/drill/traffic.rs
+++ b/crates/rig/src/drill/traffic.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use amberarch_core::{ProductId, ProxyId};
+use amberarch_core::{ClassId, ProxyId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -83,7 +83,7 @@
             for (place, (class, _, part)) in CLASSES.iter().enumerate() {
                 let asked = self.varied(self.rates[usize::from(proxy)] * part * seconds);
                 came.push(Came { proxy, class, tries: asked.round() as u32 });
-                for (host, share) in self.proxies.shares(ProxyId(proxy), ProductId(place as u16)) {
+                for (host, share) in self.proxies.shares(ProxyId(proxy), ClassId(place as u16)) {
                     tries[zone][host.0 as usize] += asked * share;
                 }
             }
--- a/crates/rig/src/proxies.rs
+++ b/crates/rig/src/proxies.rs
@@ -157,7 +157,7 @@
     /// True where it holds nothing that was ordered.
     pub fn fresh(&self, proxy: u16) -> bool {
         let seat = self.seats[usize::from(proxy)].proxy.borrow();
-        (0..self.products.len() as u16).all(|id| seat.open(ProductId(id)).next().is_none())
+        (0..self.products.len() as u16).all(|id| seat.open(ClassId(id)).next().is_none())
     }
 
     pub fn leaves(&self, proxy: u16) {
@@ -213,7 +213,7 @@
     fn tells(&self, me: u16, seat: &Seat) {
         let proxy = seat.proxy.borrow();
         for (place, product) in self.products.iter().enumerate() {
-            let id = ProductId(place as u16);
+            let id = ClassId(place as u16);
             let open = proxy.open(id).filter(|_| proxy.level(id).0 > 0.0);
             let zones: BTreeSet<String> =
                 open.map(|(host, _)| self.hosts[host.0 as usize].zone.clone()).collect();
@@ -249,7 +249,7 @@
         self.asked.set(self.asked.get() + 1);
         let place = chance.random_range(0..self.products.len());
         let place = self.wanted.get().unwrap_or(place);
-        let (id, Asked { name, once_only, tenant }) = (ProductId(place as u16), self.products[place].clone());
+        let (id, Asked { name, once_only, tenant }) = (ClassId(place as u16), self.products[place].clone());
         let home = seat.zone.clone();
         let product = name.to_string();
         let tenant = tenant.map(String::from);
@@ -272,11 +272,11 @@
             end = if answered { End::Settled } else { End::Voided };
             let more = match (ran, tries) {
                 _ if answered => false,
-                (_, Tries::One) => false,
-                (false, Tries::AfterProof | Tries::AfterAny) => again < 1,
-                (true, Tries::AfterProof) => false,
-                (true, Tries::AfterAny) => again < 1 && !once_only,
-                (ran, Tries::TwiceAfterAny) => !(ran && once_only),
+                (_, RetryPolicy::One) => false,
+                (false, RetryPolicy::AfterProof | RetryPolicy::AfterAny) => again < 1,
+                (true, RetryPolicy::AfterProof) => false,
+                (true, RetryPolicy::AfterAny) => again < 1 && !once_only,
+                (ran, RetryPolicy::TwiceAfterAny) => !(ran && once_only),
             };
             if !more {
                 break;
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -31,7 +31,7 @@
     /// Answers to marks are lost.
     pub loses_marks: Cell<bool>,
     readers: RefCell<Vec<mpsc::UnboundedSender<String>>>,
-    tables: RefCell<BTreeMap<TblId, BTreeMap<HostId, f64>>>,
+    tables: RefCell<BTreeMap<TableId, BTreeMap<HostId, f64>>>,
     out: RefCell<BTreeSet<HostId>>,
     levels: RefCell<Vec<Order>>,
     pub calls: Cell<u64>,
@@ -120,12 +120,12 @@
     fn stands(&self) -> Vec<Order> {
         let tables = self.tables.borrow();
         let shares = tables.iter().flat_map(|(tbl, lines)| {
-            lines.iter().map(|(host, weight)| Order::Share { tbl: *tbl, host: *host, weight: *weight })
+            lines.iter().map(|(host, weight)| Order::SetEntry { table: *tbl, host: *host, weight: *weight })
         });
         let out = self.out.borrow();
         // One that it let in again is let in at a proxy that comes from elsewhere too.
         let hosts = (0..self.world.hosts.len() as u32).map(HostId);
-        let gates = hosts.map(|host| Order::Withdraw { host, out: out.contains(&host) });
+        let gates = hosts.map(|host| Order::Withdraw { host, withdrawn: out.contains(&host) });
         shares.chain(gates).chain(self.levels.borrow().iter().cloned()).collect()
     }
 
@@ -155,20 +155,20 @@
 
     fn keep(&self, order: &Order) {
         match order {
-            Order::Share { tbl, host, weight } => {
+            Order::SetEntry { table, host, weight } => {
                 let mut tables = self.tables.borrow_mut();
-                let table = tables.entry(*tbl).or_default();
+                let table = tables.entry(*table).or_default();
                 match *weight > 0.0 {
                     true => drop(table.insert(*host, *weight)),
                     false => drop(table.remove(host)),
                 }
             }
-            Order::Clear { tbl } => drop(self.tables.borrow_mut().remove(tbl)),
-            Order::Withdraw { host, out: true } => drop(self.out.borrow_mut().insert(*host)),
-            Order::Withdraw { host, out: false } => drop(self.out.borrow_mut().remove(host)),
-            Order::Admit { tbl, products, .. } => {
+            Order::ClearTable { table } => drop(self.tables.borrow_mut().remove(table)),
+            Order::Withdraw { host, withdrawn: true } => drop(self.out.borrow_mut().insert(*host)),
+            Order::Withdraw { host, withdrawn: false } => drop(self.out.borrow_mut().remove(host)),
+            Order::Admit { table, classes, .. } => {
                 let mut levels = self.levels.borrow_mut();
-                let same = |other: &Order| matches!(other, Order::Admit { tbl: t, products: p, .. } if t == tbl && p == products);
+                let same = |other: &Order| matches!(other, Order::Admit { table: t, classes: p, .. } if t == table && p == classes);
                 levels.retain(|other| !same(other));
                 levels.push(order.clone());
             }
@@ -182,8 +182,8 @@
         Some(HostId(self.world.hosts.iter().position(|host| host.name == name)? as u32))
     }
 
-    fn class(&self, name: &str) -> Option<ProductId> {
-        Some(ProductId(self.world.products.iter().position(|product| product.name == name)? as u16))
+    fn class(&self, name: &str) -> Option<ClassId> {
+        Some(ClassId(self.world.products.iter().position(|product| product.name == name)? as u16))
     }
 
     fn joined(&self, proxy: ProxyId) -> bool {
--- a/crates/service-levels/benches/plans.rs
+++ b/crates/service-levels/benches/plans.rs
@@ -26,7 +26,7 @@
                 own_zone: product % 4 == 0,
             };
             work += demand.rate * demand.work;
-            demands.insert((zone, ProductId(product)), demand);
+            demands.insert((zone, ClassId(product)), demand);
         }
         capacities.insert(zone, work * [0.5, 0.9, 1.3][usize::from(zone.0)]);
     }
@@ -57,29 +57,30 @@
 fn evaluations(c: &mut Criterion) {
     let mut group = c.benchmark_group("looks");
     group.warm_up_time(Duration::from_millis(300)).measurement_time(Duration::from_secs(2)).sample_size(10);
-    let product = |effect, revenue| Product {
-        sla: 400.0,
-        expiry: 1_200.0,
-        effect,
-        scope: Scope::All,
-        window: 5_000.0,
-        revenue,
-        late_part: 0.2,
-        own_zone: false,
+    let class = |idempotency, value| RequestClass {
+        latency_target: 400.0,
+        deadline: 1_200.0,
+        idempotency,
+        scope: DedupScope::All,
+        dedup_window: 5_000.0,
+        value,
+        late_value_fraction: 0.2,
+        home_zone_only: false,
         writes: false,
     };
     let names = ["detail-page", "results-page", "tally-submit"];
-    let kinds = [(Effect::InquiryLike, 0.3), (Effect::InquiryLike, 1.0), (Effect::OnceOnly, 3.0)];
-    let products: Vec<(String, Product)> = names
+    let kinds =
+        [(Idempotency::Idempotent, 0.3), (Idempotency::Idempotent, 1.0), (Idempotency::NonIdempotent, 3.0)];
+    let products: Vec<(String, RequestClass)> = names
         .iter()
         .map(|name| name.to_string())
-        .zip(kinds.map(|(effect, value)| product(effect, value)))
+        .zip(kinds.map(|(idempotency, value)| class(idempotency, value)))
         .collect();
     let leave = vec![Condition { signal: Signal::Pressure, value: 0.6, lasting: 6_000.0 }];
     let level = |name: &str, least: &[(u16, f64)], over: Option<f64>| Level {
         name: name.into(),
-        keep: least.iter().map(|(id, least)| (ProductId(*id), Keep { least: *least, most: 1.0 })).collect(),
-        tries: Tries::AfterProof,
+        keep: least.iter().map(|(id, least)| (ClassId(*id), Keep { least: *least, most: 1.0 })).collect(),
+        tries: RetryPolicy::AfterProof,
         enter: over
             .map(|value| Condition { signal: Signal::Pressure, value, lasting: 0.0 })
             .into_iter()
@@ -92,13 +93,16 @@
     let levels = vec![level("full", &[], None), level("no-extras", &[(0, 0.0)], Some(0.8))];
     for proxies in [1_000u16, 10_000] {
         let ladder = Ladder::new(levels.clone(), &products).expect("a valid ladder");
-        let sums = Sums { every: 2_000.0, lines_per_s: 1e6 };
-        let classes = products.iter().map(|(_, product)| product.clone()).collect();
+        let sums = ReportSettings { interval: 2_000.0, max_lines_per_s: 1e6 };
+        let classes = products.iter().map(|(_, class)| class.clone()).collect();
         let mut levels = ServiceLevels::new(ladder, 3, classes, &sums, true);
         let mut now = 0.0;
         for proxy in 0..proxies {
             let zone = ZoneId(proxy % 3);
-            levels.hear(now, &Event::Joined { proxy: ProxyId(proxy), zone, txns_per_s: 10.0, fresh: true });
+            levels.hear(
+                now,
+                &Event::ProxyJoined { proxy: ProxyId(proxy), zone, txns_per_s: 10.0, without_table: true },
+            );
         }
         group.bench_function(BenchmarkId::new("proxies", proxies), |b| {
             b.iter(|| {
@@ -106,8 +110,11 @@
                 // A fifth of the proxies reports in each evaluation, as they do over a report period.
                 let part = (now / 400.0) as u16 % 5;
                 for proxy in (0..proxies).filter(|proxy| proxy % 5 == part).map(ProxyId) {
-                    for product in (0..3).map(ProductId) {
-                        levels.hear(now, &Event::Came { proxy, product, txns: 10, voided: 0, over: 2_000.0 });
+                    for class in (0..3).map(ClassId) {
+                        levels.hear(
+                            now,
+                            &Event::ProxyReport { proxy, class, txns: 10, failed: 0, covered: 2_000.0 },
+                        );
                     }
                 }
                 black_box(levels.look(now))
--- a/crates/service-levels/src/ladder.rs
+++ b/crates/service-levels/src/ladder.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use amberarch_core::{Effect, Product, ProductId, Tries};
+use amberarch_core::{ClassId, Idempotency, RequestClass, RetryPolicy};
 
 /// A measured property of a zone; 0 means that nothing is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -66,8 +66,8 @@
 pub struct Level {
     pub name: String,
     /// Request classes that are not named are admitted in full.
-    pub keep: BTreeMap<ProductId, Keep>,
-    pub tries: Tries,
+    pub keep: BTreeMap<ClassId, Keep>,
+    pub tries: RetryPolicy,
     /// The level is entered when any of these holds in a zone with a significant part of the traffic.
     pub enter: Vec<Condition>,
     /// The level is left when all of these hold in all zones.
@@ -81,7 +81,7 @@
 }
 
 impl Level {
-    pub fn keep(&self, class: ProductId) -> Keep {
+    pub fn keep(&self, class: ClassId) -> Keep {
         self.keep.get(&class).copied().unwrap_or(Keep::ALL)
     }
 }
@@ -139,15 +139,15 @@
 pub struct Ladder(Vec<Level>);
 
 /// Value per unit of work of a request class; the latency target stands in for the work of one request.
-pub fn value_density(class: &Product) -> f64 {
-    class.revenue / class.sla.max(1e-9)
+pub fn value_density(class: &RequestClass) -> f64 {
+    class.value / class.latency_target.max(1e-9)
 }
 
 impl Ladder {
     /// # Errors
     /// The first fault found: a ladder with a missing or overlapping condition, an unreachable level, or a
     /// non-idempotent class that is shed before one of lower value density.
-    pub fn new(levels: Vec<Level>, classes: &[(String, Product)]) -> Result<Ladder, LadderError> {
+    pub fn new(levels: Vec<Level>, classes: &[(String, RequestClass)]) -> Result<Ladder, LadderError> {
         let Some(full) = levels.first().filter(|_| levels.len() > 1) else {
             return Err(LadderError::TooShort);
         };
@@ -203,7 +203,7 @@
             if let Some(deeper) = unreachable_by {
                 return Err(LadderError::Unreachable(index, name(), deeper.name.clone()));
             }
-            let ids = (0..classes.len() as u16).map(ProductId);
+            let ids = (0..classes.len() as u16).map(ClassId);
             if ids.clone().any(|id| level.keep(id).least > above.keep(id).least) {
                 return Err(LadderError::KeepsMoreThanPrevious(index, name(), above.name.clone()));
             }
@@ -230,16 +230,18 @@
 impl Level {
     /// Finds a non-idempotent class that may be shed further than an idempotent class of lower value
     /// density.
-    fn misordered_classes(&self, classes: &[(String, Product)]) -> Option<(String, String)> {
-        let each = || (0..).map(ProductId).zip(classes);
-        each().filter(|(_, (_, class))| class.effect == Effect::OnceOnly).find_map(|(id, (name, once))| {
-            let less = each().find(|(other, (_, class))| {
-                class.effect == Effect::InquiryLike
-                    && value_density(class) < value_density(once)
-                    && (self.keep(*other).least > self.keep(id).least
-                        || self.keep(*other).most > self.keep(id).most)
-            });
-            less.map(|(_, (less, _))| (name.clone(), less.clone()))
-        })
+    fn misordered_classes(&self, classes: &[(String, RequestClass)]) -> Option<(String, String)> {
+        let each = || (0..).map(ClassId).zip(classes);
+        each().filter(|(_, (_, class))| class.idempotency == Idempotency::NonIdempotent).find_map(
+            |(id, (name, once))| {
+                let less = each().find(|(other, (_, class))| {
+                    class.idempotency == Idempotency::Idempotent
+                        && value_density(class) < value_density(once)
+                        && (self.keep(*other).least > self.keep(id).least
+                            || self.keep(*other).most > self.keep(id).most)
+                });
+                less.map(|(_, (less, _))| (name.clone(), less.clone()))
+            },
+        )
     }
 }
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -64,13 +64,13 @@
     /// Conditions that have to hold before the next level up is restored.
     pub lifts: Vec<Condition>,
     pub zones: BTreeMap<ZoneId, ZoneStats>,
-    pub shares: BTreeMap<(ZoneId, ProductId), f64>,
+    pub shares: BTreeMap<(ZoneId, ClassId), f64>,
 }
 
 /// Evaluates the ladder of levels against the signals of the zones and emits the resulting bounds.
 pub struct ServiceLevels {
     ladder: Ladder,
-    classes: Vec<Product>,
+    classes: Vec<RequestClass>,
     /// If false, levels are evaluated, reported and logged, but no bounds are sent.
     acts: bool,
     signals: Signals,
@@ -80,7 +80,7 @@
     shares: Shares,
     /// Level and sum of the report rounds for which `shares` was computed.
     planned_for: Option<(usize, u64)>,
-    sent_bounds: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
+    sent_bounds: BTreeMap<(ZoneId, ClassId), (f64, RetryPolicy)>,
     /// The decisions were told to wait until the level in force is detected.
     await_sent: bool,
     started_at: Option<f64>,
@@ -91,7 +91,13 @@
 }
 
 impl ServiceLevels {
-    pub fn new(ladder: Ladder, zones: u16, classes: Vec<Product>, sums: &Sums, acts: bool) -> ServiceLevels {
+    pub fn new(
+        ladder: Ladder,
+        zones: u16,
+        classes: Vec<RequestClass>,
+        sums: &ReportSettings,
+        acts: bool,
+    ) -> ServiceLevels {
         ServiceLevels {
             ladder,
             signals: Signals::new(zones, sums, &classes),
@@ -113,7 +119,7 @@
 
     pub fn hear(&mut self, now: f64, event: &Event) {
         self.started_at.get_or_insert(now);
-        if let Event::Joined { fresh: false, .. } = event {
+        if let Event::ProxyJoined { without_table: false, .. } = event {
             // Proxies that join later come from another controller and bring its level; this controller's
             // bounds are sent to them again.
             self.prior_state_found |= self.machine.is_none();
@@ -139,7 +145,7 @@
         let change = self.machine.take().and_then(|mut machine| {
             let fits = |level: usize| fits_capacity(&self.demands(level), &self.capacities());
             let level = &self.ladder.levels()[machine.level()];
-            let at_max_share = |((_, id), share): (&(ZoneId, ProductId), &f64)| {
+            let at_max_share = |((_, id), share): (&(ZoneId, ClassId), &f64)| {
                 *share >= level.keep(*id).most - MIN_SHARE_CHANGE
             };
             let at_max_shares = self.shares.iter().all(at_max_share);
@@ -243,7 +249,7 @@
         let active_zones = || self.zone_stats.values().filter(|stats| stats.proxies > 0);
         if active_zones().any(|stats| stats.round < ROUNDS_TO_DETECT || stats.arrival_rates.is_empty()) {
             let first = !std::mem::replace(&mut self.await_sent, self.acts);
-            return if first && self.acts { vec![Event::Await { on: true }] } else { vec![] };
+            return if first && self.acts { vec![Event::LevelsUnknown { on: true }] } else { vec![] };
         }
         // The ratio of tries to arrivals shows how much of a zone's traffic was admitted.
         let (mut detected, mut admitted) = (0, 1.0);
@@ -276,7 +282,7 @@
         self.update_shares();
         let mut events = self.emit_bounds();
         if std::mem::take(&mut self.await_sent) {
-            events.push(Event::Await { on: false });
+            events.push(Event::LevelsUnknown { on: false });
         }
         events
     }
@@ -294,10 +300,10 @@
             }
             estimate.round = stats.round;
             let Some(pressure) = stats.values.get(&Signal::Pressure).copied() else { continue };
-            let admitted_fraction = |id: &ProductId| self.shares.get(&(*zone, *id)).copied().unwrap_or(1.0);
+            let admitted_fraction = |id: &ClassId| self.shares.get(&(*zone, *id)).copied().unwrap_or(1.0);
             let (mut rate, mut work) = (1e-9, 0.0);
             for (id, arrivals) in &stats.arrival_rates {
-                let sla = self.classes.get(usize::from(id.0)).map_or(0.0, |class| class.sla);
+                let sla = self.classes.get(usize::from(id.0)).map_or(0.0, |class| class.latency_target);
                 rate += arrivals * admitted_fraction(id);
                 work += arrivals * admitted_fraction(id) * sla;
             }
@@ -337,7 +343,8 @@
             for (id, rate) in &stats.arrival_rates {
                 let Some(class) = self.classes.get(usize::from(id.0)) else { continue };
                 let Keep { least, most } = level.keep(*id);
-                let (rate, work, value, own_zone) = (*rate, class.sla, class.revenue, class.own_zone);
+                let (rate, work, value, own_zone) =
+                    (*rate, class.latency_target, class.value, class.home_zone_only);
                 demands.insert((*zone, *id), Demand { rate, work, value, least, most, own_zone });
             }
         }
@@ -364,16 +371,17 @@
             return vec![];
         }
         let current = self.machine.as_ref().map_or(0, LevelMachine::level);
-        let tries = self.ladder.levels()[current].tries;
+        let max_tries = self.ladder.levels()[current].tries;
         let mut events = Vec::new();
-        for (&(zone, product), &share) in &self.shares {
-            let wanted = (share, tries);
-            let sent = self.sent_bounds.get(&(zone, product)).copied().unwrap_or((1.0, Tries::TwiceAfterAny));
+        for (&(zone, class), &max_share) in &self.shares {
+            let wanted = (max_share, max_tries);
+            let sent =
+                self.sent_bounds.get(&(zone, class)).copied().unwrap_or((1.0, RetryPolicy::TwiceAfterAny));
             // Changes to or from 0 and 1 are always sent, so that no class stays shed because of rounding.
-            let end = (share >= 1.0) != (sent.0 >= 1.0) || (share <= 0.0) != (sent.0 <= 0.0);
-            if (share - sent.0).abs() >= MIN_SHARE_CHANGE || end || sent.1 != tries {
-                self.sent_bounds.insert((zone, product), wanted);
-                events.push(Event::Bound { zone, product, share, tries });
+            let end = (max_share >= 1.0) != (sent.0 >= 1.0) || (max_share <= 0.0) != (sent.0 <= 0.0);
+            if (max_share - sent.0).abs() >= MIN_SHARE_CHANGE || end || sent.1 != max_tries {
+                self.sent_bounds.insert((zone, class), wanted);
+                events.push(Event::ServiceBound { zone, class, max_share, max_tries });
             }
         }
         events
--- a/crates/service-levels/src/plan.rs
+++ b/crates/service-levels/src/plan.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use amberarch_core::{ProductId, ZoneId};
+use amberarch_core::{ClassId, ZoneId};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOutcome};
 
 /// The arrivals of a request class in a zone, as input to the plan.
@@ -21,11 +21,11 @@
     pub own_zone: bool,
 }
 
-pub type Demands = BTreeMap<(ZoneId, ProductId), Demand>;
+pub type Demands = BTreeMap<(ZoneId, ClassId), Demand>;
 /// Work per second that a zone's hosts can do; infinite where no limit was observed.
 pub type Capacities = BTreeMap<ZoneId, f64>;
 /// Admitted share, from 0 to 1, of each request class in each zone.
-pub type Shares = BTreeMap<(ZoneId, ProductId), f64>;
+pub type Shares = BTreeMap<(ZoneId, ClassId), f64>;
 
 /// Work that crosses zones counts for this fraction less, so that at equal value it stays in its zone, yet
 /// is never shed for that.
@@ -45,7 +45,7 @@
     let density = |demand: &Demand| demand.value / demand.work.max(1e-9);
     let max_density = demands.values().map(density).fold(1e-9, f64::max);
     let mut zone_flows: BTreeMap<ZoneId, Vec<(microlp::Variable, f64)>> = BTreeMap::new();
-    let mut flows: BTreeMap<(ZoneId, ProductId), Vec<microlp::Variable>> = BTreeMap::new();
+    let mut flows: BTreeMap<(ZoneId, ClassId), Vec<microlp::Variable>> = BTreeMap::new();
     for ((zone, product), demand) in demands.iter().filter(|(_, demand)| demand.rate > 0.0) {
         // A flow is the work done in one zone for arrivals in another.
         let requested_work = demand.rate * demand.work;
@@ -76,7 +76,7 @@
         problem.add_constraint(terms, ComparisonOp::Le, *capacity);
     }
     let SolveOutcome::Solution(solution) = problem.solve().ok()? else { return None };
-    let share = |(key, demand): (&(ZoneId, ProductId), &Demand)| {
+    let share = |(key, demand): (&(ZoneId, ClassId), &Demand)| {
         let served =
             flows.get(key).map(|class_flows| class_flows.iter().map(|flow| solution[*flow]).sum::<f64>());
         let share = served.map_or(demand.most, |served| served / (demand.rate * demand.work).max(1e-12));
@@ -89,7 +89,7 @@
 pub fn greedy_shares(demands: &Demands, capacities: &Capacities) -> Shares {
     let mut shares: Shares = demands.iter().map(|(key, demand)| (*key, demand.most)).collect();
     for (zone, capacity) in capacities {
-        let mut zone_demands: Vec<(&(ZoneId, ProductId), &Demand)> =
+        let mut zone_demands: Vec<(&(ZoneId, ClassId), &Demand)> =
             demands.iter().filter(|((origin, _), _)| origin == zone).collect();
         zone_demands.sort_by(|a, b| (a.1.value / a.1.work).total_cmp(&(b.1.value / b.1.work)));
         let mut excess = zone_demands.iter().map(|(_, d)| d.most * d.rate * d.work).sum::<f64>() - capacity;
--- a/crates/service-levels/src/signals.rs
+++ b/crates/service-levels/src/signals.rs
@@ -49,7 +49,7 @@
 struct HostState {
     zone: ZoneId,
     weight: f64,
-    standing: Standing,
+    standing: Availability,
     withdrawn: bool,
     /// Estimated load and the time of the estimate, in ms.
     load: Option<(f64, f64)>,
@@ -62,7 +62,7 @@
     pub round: u64,
     pub values: BTreeMap<Signal, f64>,
     /// Arriving txns per second by request class, including those that are refused.
-    pub arrival_rates: BTreeMap<ProductId, f64>,
+    pub arrival_rates: BTreeMap<ClassId, f64>,
     /// Successful answers per second, and all tries per second.
     pub successes_per_s: f64,
     pub tries_per_s: f64,
@@ -79,16 +79,16 @@
     hosts: BTreeMap<HostId, HostState>,
     proxies: BTreeMap<ProxyId, ZoneId>,
     host_reports: BTreeMap<(ZoneId, HostId), HostReport>,
-    proxy_reports: BTreeMap<(ProxyId, ProductId), ProxyReport>,
+    proxy_reports: BTreeMap<(ProxyId, ClassId), ProxyReport>,
     /// Number and end, in ms, of each zone's last complete report round.
     rounds: BTreeMap<ZoneId, (u64, f64)>,
 }
 
 impl Signals {
-    pub fn new(zones: u16, sums: &Sums, classes: &[Product]) -> Signals {
+    pub fn new(zones: u16, sums: &ReportSettings, classes: &[RequestClass]) -> Signals {
         Signals {
-            period: sums.every,
-            latency_targets: classes.iter().map(|class| class.sla).collect(),
+            period: sums.interval,
+            latency_targets: classes.iter().map(|class| class.latency_target).collect(),
             zones,
             hosts: BTreeMap::new(),
             proxies: BTreeMap::new(),
@@ -100,37 +100,41 @@
 
     pub fn handle_event(&mut self, now: f64, event: &Event) {
         match event {
-            Event::List { news: ListNews::Failed, .. } => {}
-            Event::List { news, entries } => {
-                if *news != ListNews::Changes {
-                    self.hosts.values_mut().for_each(|host| host.standing = Standing::Gone);
+            Event::List { update: ListUpdate::Failed, .. } => {}
+            Event::List { update, entries } => {
+                if *update != ListUpdate::Changes {
+                    self.hosts.values_mut().for_each(|host| host.standing = Availability::Removed);
                 }
-                for Listed { host, weight, zone, standing, .. } in entries {
+                for HostEntry { host, weight, zone, availability, .. } in entries {
                     let withdrawn = self.hosts.get(host).is_some_and(|host| host.withdrawn);
-                    let (zone, weight, standing) = (*zone, weight.max(1e-9), *standing);
+                    let (zone, weight, standing) = (*zone, weight.max(1e-9), *availability);
                     self.hosts.insert(*host, HostState { zone, weight, standing, withdrawn, load: None });
                 }
-                self.hosts.retain(|_, host| host.standing != Standing::Gone);
+                self.hosts.retain(|_, host| host.standing != Availability::Removed);
                 let known = &self.hosts;
                 self.host_reports.retain(|(_, host), _| known.contains_key(host));
             }
-            Event::Joined { proxy, zone, .. } => {
+            Event::ProxyJoined { proxy, zone, .. } => {
                 self.remove_proxy(*proxy);
                 self.proxies.insert(*proxy, *zone);
             }
-            Event::Left { proxy } => self.remove_proxy(*proxy),
-            Event::Met { host, zone, over, tries, voided, mean, .. } if self.hosts.contains_key(host) => {
-                let (tries, failed) = (f64::from(*tries), f64::from(*voided).min(f64::from(*tries)));
-                self.host_reports
-                    .insert((*zone, *host), HostReport { at: now, span: *over, tries, failed, mean: *mean });
+            Event::ProxyLeft { proxy } => self.remove_proxy(*proxy),
+            Event::HostReport { host, zone, covered, tries, failed, mean_latency, .. }
+                if self.hosts.contains_key(host) =>
+            {
+                let (tries, failed) = (f64::from(*tries), f64::from(*failed).min(f64::from(*tries)));
+                self.host_reports.insert(
+                    (*zone, *host),
+                    HostReport { at: now, span: *covered, tries, failed, mean: *mean_latency },
+                );
             }
-            Event::Came { proxy, product, txns, over, .. } if self.proxies.contains_key(proxy) => {
-                let rate = 1_000.0 * f64::from(*txns) / over.max(1.0);
-                self.proxy_reports.insert((*proxy, *product), ProxyReport { at: now, rate });
+            Event::ProxyReport { proxy, class, txns, covered, .. } if self.proxies.contains_key(proxy) => {
+                let rate = 1_000.0 * f64::from(*txns) / covered.max(1.0);
+                self.proxy_reports.insert((*proxy, *class), ProxyReport { at: now, rate });
             }
-            Event::Load { host, load, age, sure } => {
+            Event::LoadEstimate { host, load, age, confidence } => {
                 if let Some(host) = self.hosts.get_mut(host) {
-                    host.load = Some((*load, now - age)).filter(|_| *sure > 0.5);
+                    host.load = Some((*load, now - age)).filter(|_| *confidence > 0.5);
                 }
             }
             _ => {}
@@ -140,12 +144,12 @@
     /// Records which hosts an order withdraws.
     pub fn record_order(&mut self, order: &Order) {
         match order {
-            Order::Withdraw { host, out } => {
+            Order::Withdraw { host, withdrawn } => {
                 if let Some(host) = self.hosts.get_mut(host) {
-                    host.withdrawn = *out;
+                    host.withdrawn = *withdrawn;
                 }
             }
-            Order::Forget { host } => drop(self.hosts.remove(host)),
+            Order::ForgetHost { host } => drop(self.hosts.remove(host)),
             _ => {}
         }
     }
@@ -179,7 +183,7 @@
             **z == zone
                 && self
                     .proxy_reports
-                    .range((**proxy, ProductId(0))..=(**proxy, ProductId(u16::MAX)))
+                    .range((**proxy, ClassId(0))..=(**proxy, ClassId(u16::MAX)))
                     .next()
                     .is_none()
         });
@@ -198,7 +202,7 @@
             *stats.arrival_rates.entry(*product).or_default() += rate;
         }
         let listed = || self.hosts.values().filter(|host| host.zone == zone);
-        let available = |host: &&HostState| host.standing == Standing::On && !host.withdrawn;
+        let available = |host: &&HostState| host.standing == Availability::InService && !host.withdrawn;
         let all_weight = listed().map(|host| host.weight).sum::<f64>();
         stats.available_weight = listed().filter(available).map(|host| host.weight).sum();
         if all_weight > 0.0 {
@@ -246,7 +250,7 @@
     }
 
     /// The mean latency target of the arrivals, in ms.
-    fn mean_latency_target(&self, arrival_rates: &BTreeMap<ProductId, f64>) -> f64 {
+    fn mean_latency_target(&self, arrival_rates: &BTreeMap<ClassId, f64>) -> f64 {
         let all: f64 = arrival_rates.values().sum();
         let sum: f64 = arrival_rates
             .iter()
--- a/crates/service-levels/tests/cases/hard.rs
+++ b/crates/service-levels/tests/cases/hard.rs
@@ -152,9 +152,17 @@
     let mut fleet = Fleet::new();
     fleet.run(10_000.0);
     fleet.report_zone(0, [40.0, 30.0, 10.0], 80.0, 0.1, 0.9);
-    let (zone, over, report) = (ZoneId(0), 2_000.0, amberarch_core::LoadReport::default());
+    let (zone, covered, load) = (ZoneId(0), 2_000.0, amberarch_core::LoadReport::default());
     for host in [0, 2].map(HostId) {
-        fleet.hear(Event::Met { host, zone, over, tries: 100, voided: 100, mean: 0.0, report });
+        fleet.hear(Event::HostReport {
+            host,
+            zone,
+            covered,
+            tries: 100,
+            failed: 100,
+            mean_latency: 0.0,
+            load,
+        });
     }
     for _ in 0..40 {
         fleet.evaluate();
@@ -194,7 +202,7 @@
 fn a_trial_that_fails_is_repeated_less_and_less_often() {
     // A level that admits at most a fifth of the detail pages, under a load that never fits.
     let mut levels = crate::night::levels();
-    levels[1].keep.insert(amberarch_core::ProductId(0), Keep { least: 0.0, most: 0.2 });
+    levels[1].keep.insert(amberarch_core::ClassId(0), Keep { least: 0.0, most: 0.2 });
     let mut fleet = Fleet::with(levels, true);
     fleet.run(10_000.0);
     fleet.rates = [120.0, 30.0, 10.0];
@@ -245,7 +253,7 @@
     for (own_zone, fleet) in fleets.iter_mut().enumerate() {
         // The proxies of the other controller never join here.
         for proxy in (0..4u16).filter(|proxy| usize::from(proxy % 2) != own_zone) {
-            fleet.hear(Event::Left { proxy: ProxyId(proxy) });
+            fleet.hear(Event::ProxyLeft { proxy: ProxyId(proxy) });
         }
         fleet.partitioned_zones = vec![1 - own_zone as u16];
         fleet.run(10_000.0);
@@ -299,7 +307,7 @@
     assert_eq!(fleet.level(), "no-extras");
     fleet.note("most hosts of zone 0 fail");
     for host in [0, 2] {
-        fleet.levels.record_order(&Order::Withdraw { host: HostId(host), out: true });
+        fleet.levels.record_order(&Order::Withdraw { host: HostId(host), withdrawn: true });
     }
     fleet.capacity[0] = 8_000.0;
     fleet.run(12_000.0);
@@ -318,7 +326,7 @@
 fn a_dry_run_evaluates_and_logs_but_sends_no_bounds() {
     let mut fleet = Fleet::new();
     let ladder = Ladder::new(crate::night::levels(), &crate::night::products()).unwrap();
-    let sums = amberarch_core::Sums { every: crate::night::REPORT_PERIOD, lines_per_s: 1e3 };
+    let sums = amberarch_core::ReportSettings { interval: crate::night::REPORT_PERIOD, max_lines_per_s: 1e3 };
     let products = crate::night::products().into_iter().map(|one| one.1).collect();
     fleet.levels = ServiceLevels::new(ladder, 2, products, &sums, false);
     // The new instance has received no events, so the host list and the proxies are sent again.
--- a/crates/service-levels/tests/cases/ladders.rs
+++ b/crates/service-levels/tests/cases/ladders.rs
@@ -14,7 +14,7 @@
         }
     };
     let keep = |least, most| Keep { least, most };
-    let id = amberarch_core::ProductId;
+    let id = amberarch_core::ClassId;
     let messages = [
         changed(&|_| {}),
         changed(&|all| all.truncate(1)),
--- a/crates/service-levels/tests/cases/model.rs
+++ b/crates/service-levels/tests/cases/model.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use amberarch_core::{ProductId, ZoneId};
+use amberarch_core::{ClassId, ZoneId};
 use amberarch_service_levels::*;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -74,7 +74,7 @@
         let (mut demands, mut capacities) = (Demands::new(), Capacities::new());
         for (zone, here) in (0..).map(ZoneId).zip(&zones) {
             let mut work_here = 0.0;
-            for (product, (rate, work, value, least, own_zone)) in (0..).map(ProductId).zip(here.iter().copied()) {
+            for (product, (rate, work, value, least, own_zone)) in (0..).map(ClassId).zip(here.iter().copied()) {
                 demands.insert((zone, product), Demand { rate, work, value, least, most: 1.0, own_zone });
                 work_here += rate * work;
             }
@@ -101,14 +101,14 @@
 fn a_plan_moves_classes_that_may_leave_their_zone_and_keeps_the_others() {
     let demand = |rate, value, own_zone| Demand { rate, work: 100.0, value, least: 0.0, most: 1.0, own_zone };
     let demands: Demands = [
-        ((ZoneId(0), ProductId(0)), demand(10.0, 1.0, false)),
-        ((ZoneId(0), ProductId(1)), demand(10.0, 0.5, true)),
+        ((ZoneId(0), ClassId(0)), demand(10.0, 1.0, false)),
+        ((ZoneId(0), ClassId(1)), demand(10.0, 0.5, true)),
     ]
     .into();
     let capacities: Capacities = [(ZoneId(0), 1_000.0), (ZoneId(1), 1_000.0)].into();
     // The greedy rule sheds what zone 0 cannot serve. The plan moves the other class to zone 1 and keeps
     // both.
-    assert_eq!(greedy_shares(&demands, &capacities)[&(ZoneId(0), ProductId(1))], 0.0);
+    assert_eq!(greedy_shares(&demands, &capacities)[&(ZoneId(0), ClassId(1))], 0.0);
     let plan: BTreeMap<_, _> = optimal_shares(&demands, &capacities);
     assert!(plan.values().all(|share| *share > 0.999), "{plan:?}");
     assert_eq!(products().len(), 3);
--- a/crates/service-levels/tests/cases/night.rs
+++ b/crates/service-levels/tests/cases/night.rs
@@ -11,26 +11,26 @@
 const HOSTS: u32 = 6;
 const PROXIES: u16 = 4;
 
-pub fn product(effect: Effect, sla: f64, value: f64) -> Product {
-    Product {
-        sla,
-        expiry: 3.0 * sla,
-        effect,
-        scope: Scope::All,
-        window: 5_000.0,
-        revenue: value,
-        late_part: 0.2,
-        own_zone: false,
-        writes: effect != Effect::InquiryLike,
+pub fn product(idempotency: Idempotency, latency_target: f64, value: f64) -> RequestClass {
+    RequestClass {
+        latency_target,
+        deadline: 3.0 * latency_target,
+        idempotency,
+        scope: DedupScope::All,
+        dedup_window: 5_000.0,
+        value,
+        late_value_fraction: 0.2,
+        home_zone_only: false,
+        writes: idempotency != Idempotency::Idempotent,
     }
 }
 
 /// Three request classes: detail pages, results pages and tally submits.
-pub fn products() -> Vec<(String, Product)> {
+pub fn products() -> Vec<(String, RequestClass)> {
     vec![
-        ("detail-page".into(), product(Effect::InquiryLike, 400.0, 0.3)),
-        ("results-page".into(), product(Effect::InquiryLike, 400.0, 1.0)),
-        ("tally-submit".into(), product(Effect::OnceOnly, 600.0, 3.0)),
+        ("detail-page".into(), product(Idempotency::Idempotent, 400.0, 0.3)),
+        ("results-page".into(), product(Idempotency::Idempotent, 400.0, 1.0)),
+        ("tally-submit".into(), product(Idempotency::NonIdempotent, 600.0, 3.0)),
     ]
 }
 
@@ -39,11 +39,11 @@
 }
 
 pub fn level(name: &str, least: &[f64], enter: &[Condition], leave: &[Condition]) -> Level {
-    let keep = (0..).map(ProductId).zip(least).map(|(id, least)| (id, Keep { least: *least, most: 1.0 }));
+    let keep = (0..).map(ClassId).zip(least).map(|(id, least)| (id, Keep { least: *least, most: 1.0 }));
     Level {
         name: name.into(),
         keep: keep.collect(),
-        tries: Tries::AfterProof,
+        tries: RetryPolicy::AfterProof,
         enter: enter.to_vec(),
         leave: leave.to_vec(),
         stay: 20_000.0,
@@ -115,7 +115,7 @@
 
     fn service_levels(levels: Vec<Level>) -> ServiceLevels {
         let ladder = Ladder::new(levels, &products()).expect("a valid ladder");
-        let sums = Sums { every: REPORT_PERIOD, lines_per_s: 1_000.0 };
+        let sums = ReportSettings { interval: REPORT_PERIOD, max_lines_per_s: 1_000.0 };
         ServiceLevels::new(ladder, ZONES, products().into_iter().map(|one| one.1).collect(), &sums, true)
     }
 
@@ -133,20 +133,20 @@
     }
 
     fn connect(&mut self) {
-        let entry = |host: u32| Listed {
+        let entry = |host: u32| HostEntry {
             host: HostId(host),
             weight: 1.0,
             zone: ZoneId((host % u32::from(ZONES)) as u16),
             pod: PodId(0),
-            kind: KindId(0),
-            born: None,
-            standing: Standing::On,
+            instance_type: InstanceTypeId(0),
+            started_at: None,
+            availability: Availability::InService,
         };
         let entries = (0..HOSTS).map(entry).collect();
-        self.hear(Event::List { news: ListNews::Restored, entries });
+        self.hear(Event::List { update: ListUpdate::FromSnapshot, entries });
         for proxy in 0..PROXIES {
-            let (zone, fresh) = (ZoneId(proxy % ZONES), self.fresh);
-            self.hear(Event::Joined { proxy: ProxyId(proxy), zone, txns_per_s: 40.0, fresh });
+            let (zone, without_table) = (ZoneId(proxy % ZONES), self.fresh);
+            self.hear(Event::ProxyJoined { proxy: ProxyId(proxy), zone, txns_per_s: 40.0, without_table });
         }
     }
 
@@ -181,10 +181,10 @@
     pub fn evaluate(&mut self) {
         for event in self.levels.look(self.now) {
             match event {
-                Event::Bound { zone, product, share, .. } => {
-                    self.sent_shares.insert((zone.0, product.0), share);
+                Event::ServiceBound { zone, class, max_share, .. } => {
+                    self.sent_shares.insert((zone.0, class.0), max_share);
                 }
-                Event::Await { on } => self.awaiting = on,
+                Event::LevelsUnknown { on } => self.awaiting = on,
                 other => panic!("unexpected event from the service levels: {other:?}"),
             }
         }
@@ -208,7 +208,7 @@
                 *arrival_rate = self.rates[usize::from(id)] + self.retry_fraction * *refused;
                 let admitted_rate = *arrival_rate * self.sent_shares.get(&(zone, id)).copied().unwrap_or(1.0);
                 *refused = *arrival_rate - admitted_rate;
-                (work, admitted) = (work + admitted_rate * product.sla, admitted + admitted_rate);
+                (work, admitted) = (work + admitted_rate * product.latency_target, admitted + admitted_rate);
             }
             let used = work / self.capacity[usize::from(zone)];
             let mean = (0.2 / (1.0 - used).max(0.05)).min(2.5);
@@ -218,26 +218,35 @@
 
     /// Sends one zone's reports of a period: arrivals by class, tries per second, failed fraction, and mean
     /// latency divided by the target.
-    pub fn report_zone(&mut self, zone: u16, arrival_rates: [f64; 3], tries: f64, voided: f64, mean: f64) {
+    pub fn report_zone(&mut self, zone: u16, arrival_rates: [f64; 3], tries: f64, failed: f64, mean: f64) {
         if self.partitioned_zones.contains(&zone) {
             return;
         }
-        let over = REPORT_PERIOD;
-        let count = |per_s: f64| (per_s * over / 1e3).round() as u32;
+        let covered = REPORT_PERIOD;
+        let count = |per_s: f64| (per_s * covered / 1e3).round() as u32;
         let zone_proxies: Vec<u16> = (0..PROXIES).filter(|proxy| proxy % ZONES == zone).collect();
         let reporting_fraction =
             zone_proxies.iter().filter(|proxy| !self.stalled_proxies.contains(proxy)).count() as f64
                 / zone_proxies.len() as f64;
         let hosts: Vec<u32> = (0..HOSTS).filter(|host| host % u32::from(ZONES) == u32::from(zone)).collect();
         let all: f64 = arrival_rates.iter().sum();
-        let sla = arrival_rates.iter().zip(products()).map(|(rate, one)| rate * one.1.sla).sum::<f64>()
-            / all.max(1e-9);
+        let sla =
+            arrival_rates.iter().zip(products()).map(|(rate, one)| rate * one.1.latency_target).sum::<f64>()
+                / all.max(1e-9);
         for _ in 0..self.report_copies {
             for host in &hosts {
                 let tries = count(reporting_fraction * tries / hosts.len() as f64);
-                let voided = (f64::from(tries) * voided).round() as u32;
-                let (host, zone, report) = (HostId(*host), ZoneId(zone), LoadReport::default());
-                self.hear(Event::Met { host, zone, over, tries, voided, mean: mean * sla, report });
+                let failed = (f64::from(tries) * failed).round() as u32;
+                let (host, zone, load) = (HostId(*host), ZoneId(zone), LoadReport::default());
+                self.hear(Event::HostReport {
+                    host,
+                    zone,
+                    covered,
+                    tries,
+                    failed,
+                    mean_latency: mean * sla,
+                    load,
+                });
             }
             for proxy in zone_proxies
                 .iter()
@@ -245,9 +254,9 @@
                 .copied()
                 .collect::<Vec<_>>()
             {
-                for (product, rate) in (0..).map(ProductId).zip(arrival_rates) {
+                for (class, rate) in (0..).map(ClassId).zip(arrival_rates) {
                     let txns = count(rate / zone_proxies.len() as f64);
-                    self.hear(Event::Came { proxy: ProxyId(proxy), product, txns, voided: 0, over });
+                    self.hear(Event::ProxyReport { proxy: ProxyId(proxy), class, txns, failed: 0, covered });
                 }
             }
         }
--- a/crates/shares/benches/rounds.rs
+++ b/crates/shares/benches/rounds.rs
@@ -6,7 +6,7 @@
 use std::hint::black_box;
 use std::sync::Arc;
 
-use amberarch_core::{ProductId, ZoneId, Zones};
+use amberarch_core::{ClassId, ZoneId, Zones};
 use amberarch_shares::*;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use serde::Deserialize;
@@ -42,7 +42,7 @@
         let near = [zone, zone ^ 1].into_iter().filter(|at| usize::from(*at) < parents).map(ZoneId);
         let near: Zones = near.collect();
         (0..each as u16).for_each(|product| {
-            facts.permits.insert((ProductId(product), ZoneId(zone)), near);
+            facts.permits.insert((ClassId(product), ZoneId(zone)), near);
         });
     }
     let file: File = toml::from_str(&text).expect("a section");
--- a/crates/shares/src/fair.rs
+++ b/crates/shares/src/fair.rs
@@ -64,7 +64,7 @@
     let mut reach = vec![Zones::NONE; first];
     for (at, claim) in plan.claims.iter().enumerate() {
         let top = top[first + at];
-        reach[top] = reach[top].or(plan.zone_sets[claim.zone_set as usize]);
+        reach[top] = reach[top].union(plan.zone_sets[claim.zone_set as usize]);
     }
     // Each subtree is merged with all earlier groups that it shares a zone with.
     let mut groups: Vec<(Zones, Vec<usize>)> = Vec::new();
@@ -72,11 +72,11 @@
         (plan.children[0].0 as usize..plan.children[0].1 as usize).filter(|node| !reach[*node].is_empty())
     {
         let (near, others): (Vec<_>, Vec<_>) =
-            groups.into_iter().partition(|group| !group.0.and(reach[node]).is_empty());
+            groups.into_iter().partition(|group| !group.0.intersection(reach[node]).is_empty());
         groups = others;
         let mut joined = (reach[node], Vec::new());
         for (zones, top_nodes) in near {
-            joined.0 = joined.0.or(zones);
+            joined.0 = joined.0.union(zones);
             joined.1.extend(top_nodes);
         }
         joined.1.push(node);
@@ -231,7 +231,7 @@
         let first = plan.first_claim();
         let (mut reached, mut hint_at): (f64, usize) = (0.0, 0);
         let (mut capacity, zones) =
-            (capacity.to_vec(), component.zone_sets.iter().fold(Zones::NONE, |all, zones| all.or(*zones)));
+            (capacity.to_vec(), component.zone_sets.iter().fold(Zones::NONE, |all, zones| all.union(*zones)));
         let in_component = |zone: usize| zones.0 >> zone & 1 == 1;
         let total: f64 =
             (0..capacity.len()).filter(|zone| in_component(*zone)).map(|zone| capacity[zone]).sum();
--- a/crates/shares/src/held.rs
+++ b/crates/shares/src/held.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use amberarch_core::{ProductId, ZoneId};
+use amberarch_core::{ClassId, ZoneId};
 
 use crate::{Bound, Claim, Grant, Plan, Said, Seen, Zone};
 
@@ -32,7 +32,7 @@
 pub enum Heard {
     /// Recent arrival rates in txns per second, admitted or not, by the zone whose proxies received them and by request
     /// class (`product`). Pairs that are not listed had no arrivals.
-    Came(Vec<(ZoneId, ProductId, f64)>),
+    Came(Vec<(ZoneId, ClassId, f64)>),
     /// Rate that the open hosts of each zone can serve, in txns per second.
     Capacity(Vec<(ZoneId, f64)>),
     /// The consensus leader of that term is known; reports go to it.
@@ -71,7 +71,7 @@
     revision: u64,
     plan: Arc<Plan>,
     /// By claim, the request classes that it limits.
-    products: Vec<Vec<ProductId>>,
+    products: Vec<Vec<ClassId>>,
     /// Recent reports: the number, when it was sent, and in which term.
     reports: VecDeque<(u64, f64, u64)>,
     applied: Option<AppliedGrants>,
@@ -83,7 +83,7 @@
     smoothed: BTreeMap<Claim, f64>,
     capacity: Vec<(ZoneId, f64)>,
     /// The shares that were emitted last. A pair that is not listed is admitted in full.
-    emitted: BTreeMap<(ZoneId, ProductId), f64>,
+    emitted: BTreeMap<(ZoneId, ClassId), f64>,
     next_report_at: f64,
     #[cfg(feature = "seeded-bugs")]
     bug: Option<crate::Bug>,
@@ -167,7 +167,7 @@
         self
     }
 
-    fn products_by_claim(&self) -> Vec<Vec<ProductId>> {
+    fn products_by_claim(&self) -> Vec<Vec<ClassId>> {
         let mut products = vec![vec![]; self.plan.claims.len()];
         self.plan.owned().for_each(|(_, product, claim)| products[claim.0 as usize].push(product));
         products
@@ -241,7 +241,7 @@
     }
 
     /// The claim that owns the pair in its plan.
-    pub fn owner(&self, zone: ZoneId, product: ProductId) -> Option<Claim> {
+    pub fn owner(&self, zone: ZoneId, product: ClassId) -> Option<Claim> {
         self.plan.owner(zone, product)
     }
 
--- a/crates/shares/src/joint.rs
+++ b/crates/shares/src/joint.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use amberarch_core::{ProductId, ZoneId};
+use amberarch_core::{ClassId, ZoneId};
 
 use crate::held::{capacity_drops, update_capacity, REPORT_INTERVAL_MS};
 use crate::{Bound, Heard, Held, Lengths, Out, Plan, Said};
@@ -28,7 +28,7 @@
 struct PlanState {
     revision: Option<u64>,
     held: Option<Held>,
-    shares: BTreeMap<(ZoneId, ProductId), f64>,
+    shares: BTreeMap<(ZoneId, ClassId), f64>,
     /// The plan limits nothing until its first grants arrive or this time is reached. `None`: it limits now.
     inactive_until: Option<f64>,
 }
@@ -41,10 +41,10 @@
     plan_states: Vec<PlanState>,
     /// When a plan was dropped here, by revision. Proxies may still act on its grants.
     dropped: BTreeMap<u64, f64>,
-    arrivals: Vec<(ZoneId, ProductId, f64)>,
+    arrivals: Vec<(ZoneId, ClassId, f64)>,
     capacity: Vec<(ZoneId, f64)>,
     /// The shares that were emitted last. A pair that is not listed is admitted in full.
-    emitted: BTreeMap<(ZoneId, ProductId), f64>,
+    emitted: BTreeMap<(ZoneId, ClassId), f64>,
 }
 
 fn revision_of(planned: &Planned) -> Option<u64> {
@@ -159,7 +159,7 @@
     }
 
     /// Rate that this controller may admit of the claims that own the pair, in txns per second; infinite if none does.
-    pub fn may(&self, now: f64, zone: ZoneId, product: ProductId) -> f64 {
+    pub fn may(&self, now: f64, zone: ZoneId, product: ClassId) -> f64 {
         let active = self.plan_states.iter().filter(|state| state.inactive_until.is_none());
         let of = |held: &Held| held.owner(zone, product).map_or(f64::INFINITY, |claim| held.may(now, claim));
         active.filter_map(|state| state.held.as_ref()).map(of).fold(f64::INFINITY, f64::min)
@@ -175,7 +175,7 @@
     }
 
     /// Emits the limits that differ from those emitted last, for the given pairs or for all.
-    fn emit_limits(&mut self, pairs: Option<BTreeSet<(ZoneId, ProductId)>>, out: &mut Vec<Out>) {
+    fn emit_limits(&mut self, pairs: Option<BTreeSet<(ZoneId, ClassId)>>, out: &mut Vec<Out>) {
         let pairs = pairs.unwrap_or_else(|| {
             let plan_states = self.plan_states.iter().flat_map(|state| state.shares.keys());
             plan_states.chain(self.emitted.keys()).copied().collect()
@@ -195,7 +195,7 @@
 
 impl PlanState {
     /// Stores limits and passes on messages. Returns the pairs whose limit has changed.
-    fn store(&mut self, outs: Vec<Out>, messages: &mut Vec<Out>) -> Vec<(ZoneId, ProductId)> {
+    fn store(&mut self, outs: Vec<Out>, messages: &mut Vec<Out>) -> Vec<(ZoneId, ClassId)> {
         let mut pairs = Vec::new();
         for out in outs {
             match out {
--- a/crates/shares/src/lesser.rs
+++ b/crates/shares/src/lesser.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use amberarch_core::{Event, ProductId, Tries, ZoneId};
+use amberarch_core::{ClassId, Event, RetryPolicy, ZoneId};
 
 use crate::Bound;
 
@@ -10,18 +10,18 @@
 /// source without a limit for a pair, or with a share of 1, does not limit it.
 #[derive(Clone, Debug, Default)]
 pub struct Lesser {
-    levels: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
-    shares: BTreeMap<(ZoneId, ProductId), f64>,
-    sent: BTreeMap<(ZoneId, ProductId), (f64, Tries)>,
+    levels: BTreeMap<(ZoneId, ClassId), (f64, RetryPolicy)>,
+    shares: BTreeMap<(ZoneId, ClassId), f64>,
+    sent: BTreeMap<(ZoneId, ClassId), (f64, RetryPolicy)>,
 }
 
 impl Lesser {
     /// Takes an event of the service levels on its way to the decisions. A limit is replaced by the minimum of both sources,
     /// or dropped if that has not changed; other events pass through.
     pub fn level(&mut self, event: Event) -> Option<Event> {
-        let Event::Bound { zone, product, share, tries } = event else { return Some(event) };
-        self.levels.insert((zone, product), (share, tries));
-        self.update(zone, product)
+        let Event::ServiceBound { zone, class, max_share, max_tries } = event else { return Some(event) };
+        self.levels.insert((zone, class), (max_share, max_tries));
+        self.update(zone, class)
     }
 
     /// Takes a limit set by grants and returns the new combined limit if it has changed.
@@ -30,12 +30,12 @@
         self.update(zone, product)
     }
 
-    fn update(&mut self, zone: ZoneId, product: ProductId) -> Option<Event> {
+    fn update(&mut self, zone: ZoneId, class: ClassId) -> Option<Event> {
         // Without a limit by level, tries are allowed as the decisions do by default.
-        let (share, tries) =
-            self.levels.get(&(zone, product)).copied().unwrap_or((1.0, Tries::TwiceAfterAny));
-        let share = share.min(self.shares.get(&(zone, product)).copied().unwrap_or(1.0));
-        let differs = self.sent.insert((zone, product), (share, tries)) != Some((share, tries));
-        differs.then_some(Event::Bound { zone, product, share, tries })
+        let (max_share, max_tries) =
+            self.levels.get(&(zone, class)).copied().unwrap_or((1.0, RetryPolicy::TwiceAfterAny));
+        let max_share = max_share.min(self.shares.get(&(zone, class)).copied().unwrap_or(1.0));
+        let differs = self.sent.insert((zone, class), (max_share, max_tries)) != Some((max_share, max_tries));
+        differs.then_some(Event::ServiceBound { zone, class, max_share, max_tries })
     }
 }
--- a/crates/shares/src/plan.rs
+++ b/crates/shares/src/plan.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amberarch_core::{ProductId, ZoneId, Zones};
+use amberarch_core::{ClassId, ZoneId, Zones};
 use toml::Spanned;
 
 use crate::pool::CapacityFlow;
@@ -18,7 +18,7 @@
     pub products: Vec<String>,
     /// Residency: the zones that may serve a request class (`product`) that arrives in a zone. For a pair without an
     /// entry all zones may.
-    pub permits: BTreeMap<(ProductId, ZoneId), Zones>,
+    pub permits: BTreeMap<(ClassId, ZoneId), Zones>,
     /// Levels of service, from full service down.
     pub levels: Vec<String>,
 }
@@ -84,7 +84,7 @@
     pub(crate) zone_sets: Vec<Zones>,
     /// Node by tenant.
     node: Vec<u32>,
-    owner: BTreeMap<(ZoneId, ProductId), Claim>,
+    owner: BTreeMap<(ZoneId, ClassId), Claim>,
     pub(crate) zone_count: usize,
     pub(crate) floor_fraction: f64,
     pub(crate) controllers: u16,
@@ -113,11 +113,11 @@
         Some(Claim(begin + at as u32))
     }
     /// The claim that a txn belongs to, by the zone whose proxies it arrived at and its request class (`product`).
-    pub fn owner(&self, zone: ZoneId, product: ProductId) -> Option<Claim> {
+    pub fn owner(&self, zone: ZoneId, product: ClassId) -> Option<Claim> {
         self.owner.get(&(zone, product)).copied()
     }
     /// All pairs of zone and request class (`product`) that a claim owns.
-    pub fn owned(&self) -> impl Iterator<Item = (ZoneId, ProductId, Claim)> + '_ {
+    pub fn owned(&self) -> impl Iterator<Item = (ZoneId, ClassId, Claim)> + '_ {
         self.owner.iter().map(|((zone, product), claim)| (*zone, *product, *claim))
     }
     pub fn tenant(&self, claim: Claim) -> Tenant {
@@ -184,8 +184,8 @@
 /// The first error found; for guarantees that can't all be kept, the smallest conflicting set of rules found.
 pub fn compile(section: &Section, facts: &Facts) -> Result<Plan, Unfit> {
     // A `Zones` bit set can't represent more zones.
-    if facts.zones.len() > usize::from(Zones::MOST) {
-        return Err(Unfit::TooMany { what: "zones", most: usize::from(Zones::MOST), at: 0..0 });
+    if facts.zones.len() > usize::from(Zones::CAPACITY) {
+        return Err(Unfit::TooMany { what: "zones", most: usize::from(Zones::CAPACITY), at: 0..0 });
     }
     if section.tenant.len() > MOST_TENANTS {
         let at = section.tenant[MOST_TENANTS].name.span();
@@ -512,7 +512,7 @@
         facts.products.iter().enumerate().map(|(at, product)| (product.as_str(), at)).collect();
     let everywhere: Zones = (0..facts.zones.len() as u16).map(ZoneId).collect();
     let tenants: BTreeMap<u32, usize> = plan.node.iter().enumerate().map(|(at, node)| (*node, at)).collect();
-    let mut owned: BTreeMap<(ZoneId, ProductId), (usize, bool)> = BTreeMap::new();
+    let mut owned: BTreeMap<(ZoneId, ClassId), (usize, bool)> = BTreeMap::new();
     let mut zone_sets: BTreeMap<Zones, u32> = BTreeMap::new();
     for node in 1..plan.children.len() {
         if plan.children[node].0 != plan.children[node].1 {
@@ -539,7 +539,7 @@
             let arrival_zone = ZoneId(zone as u16);
             let claim = Claim(plan.claims.len() as u32);
             let (mut reach, mut served) = (everywhere, false);
-            for product in own_products.iter().map(|product| ProductId(*product as u16)) {
+            for product in own_products.iter().map(|product| ClassId(*product as u16)) {
                 if let Some((other, other_whole)) = owned.insert((arrival_zone, product), (tenant, whole)) {
                     let product = facts.products[usize::from(product.0)].clone();
                     return Err(shared_pair_error(
@@ -553,11 +553,11 @@
                 let permitted = facts
                     .permits
                     .get(&(product, arrival_zone))
-                    .map_or(everywhere, |permit| permit.and(everywhere));
+                    .map_or(everywhere, |permit| permit.intersection(everywhere));
                 // Txns that residency rejects need no capacity.
                 if !permitted.is_empty() {
                     plan.owner.insert((arrival_zone, product), claim);
-                    reach = reach.and(permitted);
+                    reach = reach.intersection(permitted);
                     served = true;
                 }
             }
@@ -785,7 +785,7 @@
         if leaf {
             let claims = &plan.claims[begin as usize - first..end as usize - first];
             let zones = claims.iter().map(|claim| plan.zone_sets[claim.zone_set as usize]);
-            reach[node] = zones.fold(Zones::NONE, Zones::or);
+            reach[node] = zones.fold(Zones::NONE, Zones::union);
             if own > 0.0 {
                 let rates = claims.iter().map(|claim| (claim.zone_set as usize, claim.guarantee)).collect();
                 guarantees.push(TenantGuarantee { tenant, total: own, rates });
@@ -804,7 +804,7 @@
         }
         let parent_node = plan.parent[node] as usize;
         below[parent_node] += own.max(below[node]);
-        reach[parent_node] = reach[parent_node].or(reach[node]);
+        reach[parent_node] = reach[parent_node].union(reach[node]);
     }
     guarantees.reverse();
     (zone_sets, guarantees)
--- a/crates/shares/src/types.rs
+++ b/crates/shares/src/types.rs
@@ -1,6 +1,6 @@
 //! Types of the grant protocol and its messages between members. Rates are in txns per second, times in ms.
 
-use amberarch_core::{ProductId, ZoneId};
+use amberarch_core::{ClassId, ZoneId};
 use serde::{Deserialize, Serialize};
 
 /// A tenant, by its index in the section.
@@ -75,6 +75,6 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     pub zone: ZoneId,
-    pub product: ProductId,
+    pub product: ClassId,
     pub share: f64,
 }
--- a/crates/shares/tests/cases/compiling.rs
+++ b/crates/shares/tests/cases/compiling.rs
@@ -221,17 +221,17 @@
 #[test]
 fn residency_leaves_no_zone_in_common_or_none_at_all() {
     let mut facts = facts(&[100.0, 100.0], 2);
-    facts.permits.insert((ProductId(0), ZoneId(0)), Zones::one(ZoneId(0)));
-    facts.permits.insert((ProductId(1), ZoneId(0)), Zones::one(ZoneId(1)));
+    facts.permits.insert((ClassId(0), ZoneId(0)), Zones::one(ZoneId(0)));
+    facts.permits.insert((ClassId(1), ZoneId(0)), Zones::one(ZoneId(1)));
     let text = HEAD.to_string() + &tenant("x", "");
     assert!(matches!(refused(&text, &facts), Unfit::NoZone { .. }));
     // Txns that residency rejects need no capacity, but a guarantee for them can't be kept.
-    facts.permits.insert((ProductId(1), ZoneId(0)), Zones::NONE);
+    facts.permits.insert((ClassId(1), ZoneId(0)), Zones::NONE);
     let plan = compile(&section(&text), &facts).expect("it fits");
-    assert_eq!(plan.owner(ZoneId(0), ProductId(1)), None);
+    assert_eq!(plan.owner(ZoneId(0), ClassId(1)), None);
     for zone in 0..2 {
         for product in 0..2 {
-            facts.permits.insert((ProductId(product), ZoneId(zone)), Zones::NONE);
+            facts.permits.insert((ClassId(product), ZoneId(zone)), Zones::NONE);
         }
     }
     assert_eq!(compile(&section(&text), &facts).expect("a plan without claims").claims().count(), 0);
@@ -271,7 +271,7 @@
     for zone in 0..100u16 {
         let ten = (0..10).map(|at| ZoneId(zone / 10 * 10 + at)).collect::<Zones>();
         (0..100).for_each(|product| {
-            facts.permits.insert((ProductId(product), ZoneId(zone)), ten);
+            facts.permits.insert((ClassId(product), ZoneId(zone)), ten);
         });
     }
     (text, facts)
@@ -332,7 +332,7 @@
         }
         for (at, reach) in reach.iter().enumerate() {
             let zones = (0..capacities.len() as u16).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
-            facts.permits.insert((ProductId(at as u16), ZoneId(0)), zones);
+            facts.permits.insert((ClassId(at as u16), ZoneId(0)), zones);
             let rest = format!("products = [\"p{at}\"]\nzones = [\"a\"]\nguarantee_per_s = {}", guarantees[at]);
             text += &tenant(&format!("t{at}"), &rest);
         }
--- a/crates/shares/tests/cases/fairness.rs
+++ b/crates/shares/tests/cases/fairness.rs
@@ -21,7 +21,7 @@
     for (at, one) in ones.iter().enumerate() {
         let zones =
             (0..capacities.len() as u16).filter(|zone| one.reach >> zone & 1 == 1).map(ZoneId).collect();
-        facts.permits.insert((ProductId(at as u16), ZoneId(0)), zones);
+        facts.permits.insert((ClassId(at as u16), ZoneId(0)), zones);
         let mut rest = format!("products = [\"p{at}\"]\nzones = [\"a\"]\nweight = {}\n", one.weight);
         rest += &format!("guarantee_per_s = {}\n", one.guarantee);
         if one.ceiling.is_finite() {
@@ -329,7 +329,7 @@
             let mut mine = vec![];
             for (zone, (demand, reach)) in claims.iter().enumerate() {
                 let permit = (0..3).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
-                facts.permits.insert((ProductId(leaf as u16), ZoneId(zone as u16)), permit);
+                facts.permits.insert((ClassId(leaf as u16), ZoneId(zone as u16)), permit);
                 let guarantee = f64::from(*guarantee) / claims.len() as f64;
                 mine.push(Node::Claim { reach: *reach, demand: f64::from(*demand), guarantee, at: demands.len() });
                 demands.push(((used.len() + leaf) as u32, zone as u16, f64::from(*demand)));
--- a/crates/shares/tests/cases/grants.rs
+++ b/crates/shares/tests/cases/grants.rs
@@ -14,9 +14,9 @@
 fn small() -> Arc<Plan> {
     let mut facts = facts(&[CAPACITY, CAPACITY], 3);
     let zones = |zones: &[u16]| zones.iter().copied().map(ZoneId).collect::<Zones>();
-    facts.permits.insert((ProductId(0), ZoneId(0)), zones(&[0]));
-    facts.permits.insert((ProductId(1), ZoneId(0)), zones(&[0, 1]));
-    facts.permits.insert((ProductId(2), ZoneId(1)), zones(&[1]));
+    facts.permits.insert((ClassId(0), ZoneId(0)), zones(&[0]));
+    facts.permits.insert((ClassId(1), ZoneId(0)), zones(&[0, 1]));
+    facts.permits.insert((ClassId(2), ZoneId(1)), zones(&[1]));
     let mut text = HEAD.to_string();
     for at in 0..3 {
         let home = if at == 2 { "b" } else { "a" };
@@ -212,7 +212,7 @@
         let plan = &self.plan;
         let now = controller.clock.at(self.now);
         PAIRS.map(|(zone, product)| {
-            let claim = plan.owner(ZoneId(zone), ProductId(product)).expect("it is owned");
+            let claim = plan.owner(ZoneId(zone), ClassId(product)).expect("it is owned");
             controller.held.may(now, claim) - plan.floor(claim)
         })
     }
@@ -283,7 +283,7 @@
             Event::Demand(at) => {
                 let arrivals = PAIRS.map(|(zone, product)| {
                     let most = if self.chance(0.4) { 0.0 } else { 120.0 };
-                    (ZoneId(zone), ProductId(product), most * self.random())
+                    (ZoneId(zone), ClassId(product), most * self.random())
                 });
                 self.run_controller(at, Heard::Capacity(vec![(ZoneId(0), CAPACITY), (ZoneId(1), CAPACITY)]));
                 self.run_controller(at, Heard::Came(arrivals.to_vec()));
@@ -382,7 +382,7 @@
         |event: &Event| matches!(event, Event::Demand(_) | Event::Restart(_) | Event::Cut(_) | Event::Elect);
     simulation.queue.retain(|_, event| !faults(event));
     simulation.controllers.iter_mut().for_each(|controller| controller.cut_off_until = 0.0);
-    let arrivals = PAIRS.map(|(zone, product)| (ZoneId(zone), ProductId(product), 30.0)).to_vec();
+    let arrivals = PAIRS.map(|(zone, product)| (ZoneId(zone), ClassId(product), 30.0)).to_vec();
     for at in 0..CONTROLLERS {
         let term = simulation.leaders.len();
         simulation.run_controller(at, Heard::Chair { term: term as u64 });
@@ -411,7 +411,7 @@
     let fluctuate = |simulation: &mut Simulation| {
         for at in 0..CONTROLLERS {
             let arrivals = PAIRS
-                .map(|(zone, product)| (ZoneId(zone), ProductId(product), 29.0 + 2.0 * simulation.random()));
+                .map(|(zone, product)| (ZoneId(zone), ClassId(product), 29.0 + 2.0 * simulation.random()));
             simulation
                 .run_controller(at, Heard::Capacity(vec![(ZoneId(0), CAPACITY), (ZoneId(1), CAPACITY)]));
             simulation.run_controller(at, Heard::Came(arrivals.to_vec()));
@@ -438,13 +438,13 @@
         simulation.run_controller(at, Heard::Capacity(capacity.clone()));
     }
     // The first controller has all of both zones.
-    let all = vec![(ZoneId(0), ProductId(0), 150.0), (ZoneId(1), ProductId(2), 150.0)];
+    let all = vec![(ZoneId(0), ClassId(0), 150.0), (ZoneId(1), ClassId(2), 150.0)];
     simulation.run_controller(0, Heard::Came(all));
     simulation.run(6_000.0).expect("no more than there is");
     assert!(simulation.excesses(0)[0] > 80.0, "{:?}", simulation.excesses(0));
     simulation.controllers[0].cut_off_until = f64::INFINITY;
     // Another one asks for the guarantee of a tenant that has no grants.
-    simulation.run_controller(1, Heard::Came(vec![(ZoneId(0), ProductId(1), 60.0)]));
+    simulation.run_controller(1, Heard::Came(vec![(ZoneId(0), ClassId(1), 60.0)]));
     let cut = simulation.now;
     let mut back = None;
     while back.is_none() && simulation.now < cut + 10_000.0 {
--- a/crates/shares/tests/cases/hard.rs
+++ b/crates/shares/tests/cases/hard.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use amberarch_core::{Event, Tries};
+use amberarch_core::{Event, RetryPolicy};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -23,7 +23,7 @@
     for (at, (reach, guarantee)) in tenants.iter().enumerate() {
         let home = at % capacities.len();
         let zones = (0..capacities.len() as u16).filter(|zone| reach >> zone & 1 == 1).map(ZoneId).collect();
-        facts.permits.insert((ProductId(at as u16), ZoneId(home as u16)), zones);
+        facts.permits.insert((ClassId(at as u16), ZoneId(home as u16)), zones);
         let place = place(&facts.zones[home].name);
         let rest = format!("products = [\"p{at}\"]\n{place}\nguarantee_per_s = {guarantee}");
         text += &tenant(&format!("t{at}"), &rest);
@@ -106,27 +106,27 @@
     fn levels_and_grants_bound_the_same_products_in_any_order_and_the_lesser_holds(
         limits in prop::collection::vec((any::<bool>(), 0u16..2, 0u16..2, 0u32..11, any::<bool>()), 1..60),
     ) {
-        type Side = BTreeMap<(u16, u16), (f64, Tries)>;
+        type Side = BTreeMap<(u16, u16), (f64, RetryPolicy)>;
         let mut lesser = Lesser::default();
         let (mut levels, mut grants, mut emitted): (Side, Side, Side) = Default::default();
-        for (level, zone, product, share, one) in limits {
-            let (pair, share) = ((zone, product), f64::from(share) / 10.0);
-            let (zone, product) = (ZoneId(zone), ProductId(product));
+        for (level, zone, class, max_share, one) in limits {
+            let (pair, max_share) = ((zone, class), f64::from(max_share) / 10.0);
+            let (zone, class) = (ZoneId(zone), ClassId(class));
             // Grants do not limit tries; without a limit by level tries are as without any limit.
-            let tries = if one { Tries::One } else { Tries::AfterAny };
+            let max_tries = if one { RetryPolicy::One } else { RetryPolicy::AfterAny };
             let out = if level {
-                levels.insert(pair, (share, tries));
-                lesser.level(Event::Bound { zone, product, share, tries })
+                levels.insert(pair, (max_share, max_tries));
+                lesser.level(Event::ServiceBound { zone, class, max_share, max_tries })
             } else {
-                grants.insert(pair, (share, tries));
-                lesser.share(Bound { zone, product, share })
+                grants.insert(pair, (max_share, max_tries));
+                lesser.share(Bound { zone, product: class, share: max_share })
             };
             let of = |side: &Side| side.get(&pair).copied();
-            let tries = of(&levels).map_or(Tries::TwiceAfterAny, |level| level.1);
-            let share = f64::min(of(&levels).map_or(1.0, |level| level.0), of(&grants).map_or(1.0, |grant| grant.0));
-            let before = emitted.insert(pair, (share, tries));
+            let max_tries = of(&levels).map_or(RetryPolicy::TwiceAfterAny, |level| level.1);
+            let max_share = f64::min(of(&levels).map_or(1.0, |level| level.0), of(&grants).map_or(1.0, |grant| grant.0));
+            let before = emitted.insert(pair, (max_share, max_tries));
             let expected =
-                (before != Some((share, tries))).then_some(Event::Bound { zone, product, share, tries });
+                (before != Some((max_share, max_tries))).then_some(Event::ServiceBound { zone, class, max_share, max_tries });
             prop_assert_eq!(out, expected);
         }
     }
--- a/crates/shares/tests/cases/joint.rs
+++ b/crates/shares/tests/cases/joint.rs
@@ -14,7 +14,7 @@
 }
 
 fn arrivals(per_s: f64) -> Heard {
-    Heard::Came(vec![(ZoneId(0), ProductId(0), per_s)])
+    Heard::Came(vec![(ZoneId(0), ClassId(0), per_s)])
 }
 
 /// Brings a controller that started at `-RUNNING_MS` to time 0 with a grant by the leader of term 5 under plan 1: 60 of 100
@@ -45,10 +45,10 @@
     let mut joint = controller();
     granted(&mut joint);
     let said = under_both(&mut joint);
-    assert_eq!(joint.may(20.0, ZoneId(0), ProductId(0)), 60.0);
+    assert_eq!(joint.may(20.0, ZoneId(0), ClassId(0)), 60.0);
     // The new plan grants more than the old one, so the old one's limit applies.
     assert_eq!(limits(&joint.handle(20.0, &grant(said, 5, 2, 90.0))), vec![]);
-    assert!(joint.ready() && joint.may(20.0, ZoneId(0), ProductId(0)) == 60.0);
+    assert!(joint.ready() && joint.may(20.0, ZoneId(0), ClassId(0)) == 60.0);
 }
 
 #[test]
@@ -57,7 +57,7 @@
     granted(&mut joint);
     let said = under_both(&mut joint);
     assert_eq!(limits(&joint.handle(20.0, &grant(said, 5, 2, 30.0))), vec![(0, 0.25)]);
-    assert!(joint.ready() && joint.may(20.0, ZoneId(0), ProductId(0)) == 30.0);
+    assert!(joint.ready() && joint.may(20.0, ZoneId(0), ClassId(0)) == 30.0);
     // The new plan is withdrawn, and the grant of the old plan is admitted again.
     assert_eq!(limits(&joint.plans(30.0, &[Some((1, one(80)))], || 3)), vec![(0, 0.55)]);
 }
@@ -72,7 +72,7 @@
     assert!(!joint.ready() && joint.due() <= until);
     joint.handle(until, &Heard::Tick);
     // The floor is a tenth of 40, divided among four controllers.
-    assert!(joint.ready() && joint.may(until, ZoneId(0), ProductId(0)) == 1.0);
+    assert!(joint.ready() && joint.may(until, ZoneId(0), ClassId(0)) == 1.0);
 }
 
 #[test]
@@ -85,7 +85,7 @@
         "limits are lifted; residency rejects all txns instead"
     );
     let out = joint.plans(20.0, &[Some((1, one(80))), Some((2, one(40)))], || 3);
-    assert!(joint.ready() && joint.may(20.0, ZoneId(0), ProductId(0)) == 1.0);
+    assert!(joint.ready() && joint.may(20.0, ZoneId(0), ClassId(0)) == 1.0);
     // Proxies may still act on its grants of plan 1; it never had any of plan 2.
     let lived: Vec<(u64, f64)> = seen(&out).map(|seen| (seen.plan, seen.lived)).collect();
     assert_eq!(lived, vec![(1, 10.0), (2, RUNNING_MS + 20.0)]);
@@ -185,7 +185,7 @@
             let least = if inactive { shares[0] } else { f64::min(shares[0], shares[1]) };
             prop_assert_eq!(emitted, least);
             let may = alone.iter().take(if inactive { 1 } else { 2 }).map(|held| held.may(now, Claim(0)));
-            prop_assert_eq!(joint.may(now, ZoneId(0), ProductId(0)), may.fold(f64::INFINITY, f64::min));
+            prop_assert_eq!(joint.may(now, ZoneId(0), ClassId(0)), may.fold(f64::INFINITY, f64::min));
         }
     }
 }
--- a/crates/shares/tests/cases/main.rs
+++ b/crates/shares/tests/cases/main.rs
@@ -10,7 +10,7 @@
 
 use std::sync::Arc;
 
-use amberarch_core::{ProductId, ZoneId, Zones};
+use amberarch_core::{ClassId, ZoneId, Zones};
 use amberarch_shares::*;
 use serde::Deserialize;
 
@@ -47,7 +47,7 @@
 fn served_locally(mut facts: Facts) -> Facts {
     for zone in 0..facts.zones.len() as u16 {
         for product in 0..facts.products.len() as u16 {
-            facts.permits.insert((ProductId(product), ZoneId(zone)), Zones::one(ZoneId(zone)));
+            facts.permits.insert((ClassId(product), ZoneId(zone)), Zones::one(ZoneId(zone)));
         }
     }
     facts
--- a/crates/shares/tests/cases/rounds.rs
+++ b/crates/shares/tests/cases/rounds.rs
@@ -126,7 +126,7 @@
     let plan = plan(&equal_tenants(1, |_| "guarantee_per_s = 40".into()), &facts(&[100.0], 1));
     let lengths = Lengths::new(1_000.0, 0.0, 1_500.0).expect("lengths");
     let mut held = Held::new(-1e6, 1, 1, plan.clone()).lingers(&lengths);
-    held.handle(0.0, Heard::Came(vec![(ZoneId(0), ProductId(0), 100.0)]));
+    held.handle(0.0, Heard::Came(vec![(ZoneId(0), ClassId(0), 100.0)]));
     held.handle(0.0, Heard::Capacity(vec![(ZoneId(0), 100.0)]));
     let said = super::stewards::round(&held.handle(0.0, Heard::Chair { term: 1 }));
     let grants = vec![Grant { tenant: Tenant(0), zone: Zone(0), per_s: 90.0 }];
--- a/crates/shares/tests/cases/stewards.rs
+++ b/crates/shares/tests/cases/stewards.rs
@@ -1,7 +1,7 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-use amberarch_core::{Event, Tries};
+use amberarch_core::{Event, RetryPolicy};
 
 use super::*;
 
@@ -13,7 +13,7 @@
 }
 
 fn arrivals(x: f64, y: f64) -> Heard {
-    let product = |at, per_s| (ZoneId(0), ProductId(at), per_s);
+    let product = |at, per_s| (ZoneId(0), ClassId(at), per_s);
     Heard::Came(vec![product(0, x / 2.0), product(1, x / 2.0), product(2, y)])
 }
 
@@ -147,16 +147,16 @@
 #[test]
 fn a_level_and_a_grant_bound_the_same_product() {
     let mut lesser = Lesser::default();
-    let (zone, product) = (ZoneId(0), ProductId(1));
-    let level = |share, tries| Event::Bound { zone, product, share, tries };
-    let grant = |share| Bound { zone, product, share };
-    assert_eq!(lesser.share(grant(0.5)), Some(level(0.5, Tries::TwiceAfterAny)));
-    assert_eq!(lesser.level(level(0.8, Tries::One)), Some(level(0.5, Tries::One)));
-    assert_eq!(lesser.level(level(0.3, Tries::One)), Some(level(0.3, Tries::One)));
+    let (zone, class) = (ZoneId(0), ClassId(1));
+    let level = |max_share, max_tries| Event::ServiceBound { zone, class, max_share, max_tries };
+    let grant = |max_share| Bound { zone, product: class, share: max_share };
+    assert_eq!(lesser.share(grant(0.5)), Some(level(0.5, RetryPolicy::TwiceAfterAny)));
+    assert_eq!(lesser.level(level(0.8, RetryPolicy::One)), Some(level(0.5, RetryPolicy::One)));
+    assert_eq!(lesser.level(level(0.3, RetryPolicy::One)), Some(level(0.3, RetryPolicy::One)));
     assert_eq!(lesser.share(grant(0.7)), None, "the level has the smaller share");
-    assert_eq!(lesser.level(level(1.0, Tries::AfterAny)), Some(level(0.7, Tries::AfterAny)));
-    assert_eq!(lesser.share(grant(1.0)), Some(level(1.0, Tries::AfterAny)));
-    assert_eq!(lesser.level(Event::Await { on: true }), Some(Event::Await { on: true }));
+    assert_eq!(lesser.level(level(1.0, RetryPolicy::AfterAny)), Some(level(0.7, RetryPolicy::AfterAny)));
+    assert_eq!(lesser.share(grant(1.0)), Some(level(1.0, RetryPolicy::AfterAny)));
+    assert_eq!(lesser.level(Event::LevelsUnknown { on: true }), Some(Event::LevelsUnknown { on: true }));
 }
 
 #[test]
--- a/crates/steward/src/command.rs
+++ b/crates/steward/src/command.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime};
 
-use amberarch_core::{Effect, Product, ProductId, Scope};
+use amberarch_core::{ClassId, DedupScope, Idempotency, RequestClass};
 use amberarch_operator::{Fault, Operator};
 use amberarch_residency::Facts;
 use amberarch_service_levels::Ladder;
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     /// The file's name and the place of what is wrong.
-    pub fn ladder(&self, products: &[(String, Product)]) -> Result<Option<Ladder>, String> {
+    pub fn ladder(&self, products: &[(String, RequestClass)]) -> Result<Option<Ladder>, String> {
         let Some(section) = &self.operator.levels else { return Ok(None) };
         let ladder = levels::ladder(section, products, &self.text);
         ladder.map(Some).map_err(|fault| format!("{}:{fault}", self.file.display()))
@@ -184,22 +184,22 @@
 
 /// The products of the deployment that GW_CONFIG describes; where there is none, those that the file names, of
 /// which nothing else is known.
-fn products(read: &Read) -> Result<(Vec<(String, Product)>, bool), String> {
+fn products(read: &Read) -> Result<(Vec<(String, RequestClass)>, bool), String> {
     if std::env::var_os("GW_CONFIG").is_some() {
         return Ok((config::read()?.level_facts()?.products, true));
     }
     let levels = read.operator.levels.iter().flat_map(|levels| &levels.level);
     let names: BTreeSet<String> =
         levels.flat_map(|level| level.get_ref().keep.keys()).map(|name| name.get_ref().clone()).collect();
-    let unknown = Product {
-        sla: 1_000.0,
-        expiry: 1_000.0,
-        effect: Effect::InquiryLike,
-        scope: Scope::All,
-        window: 0.0,
-        revenue: 1.0,
-        late_part: 0.0,
-        own_zone: false,
+    let unknown = RequestClass {
+        latency_target: 1_000.0,
+        deadline: 1_000.0,
+        idempotency: Idempotency::Idempotent,
+        scope: DedupScope::All,
+        dedup_window: 0.0,
+        value: 1.0,
+        late_value_fraction: 0.0,
+        home_zone_only: false,
         writes: false,
     };
     Ok((names.into_iter().map(|name| (name, unknown.clone())).collect(), false))
@@ -279,7 +279,7 @@
 fn check_policy_alone(file: &Path, as_json: bool) -> ExitCode {
     let found = deployment().and_then(|config| {
         let ground = config.map(|config| {
-            let govern = (0..config.labels.products.len() as u16).map(ProductId).collect();
+            let govern = (0..config.labels.products.len() as u16).map(ClassId).collect();
             let facts = Facts { zones: config.labels.zones, products: config.labels.products, govern };
             Ground::alone(facts, config.labels.proxies)
         });
--- a/crates/steward/src/desk.rs
+++ b/crates/steward/src/desk.rs
@@ -42,7 +42,7 @@
 
 /// A host as it was listed last.
 struct Known {
-    listed: Listed,
+    listed: HostEntry,
     /// Its last start in Unix time.
     born_ms: f64,
     dial: Option<SocketAddr>,
@@ -159,14 +159,14 @@
             full: Seldom::default(),
             log,
         };
-        desk.listed(known, ListNews::Restored);
+        desk.listed(known, ListUpdate::FromSnapshot);
         desk
     }
 
     /// With a roster between the list and the decisions: they hear of what it trusts.
     pub fn keeping(mut self, rolls: Rolls) -> Desk {
         self.rolls = Some(rolls);
-        self.roll_out(ListNews::Restored, true);
+        self.roll_out(ListUpdate::FromSnapshot, true);
         self
     }
 
@@ -188,7 +188,7 @@
     pub fn guarded(mut self, guard: Keeper) -> Desk {
         self.guard = Some(guard);
         let entries = self.hosts.values().map(|known| known.listed.clone()).collect();
-        self.guard_hears(&Event::List { news: ListNews::Restored, entries });
+        self.guard_hears(&Event::List { update: ListUpdate::FromSnapshot, entries });
         self
     }
 
@@ -246,7 +246,7 @@
                 }
                 self.timers.pop();
                 self.counters.timers.one();
-                self.events.push(Event::Due { timer });
+                self.events.push(Event::TimerExpired { timer });
             }
             let calls = self.ward.as_ref().is_some_and(|ward| ward.calls(self.unix.now_ms()));
             if (!self.events.is_empty() || calls) && now >= self.resume {
@@ -277,7 +277,7 @@
     /// The reply with the mark takes one message more to each of its proxies, or may.
     fn another_message(&mut self, mark: MarkId, event: fn(MarkId) -> Event) {
         self.judged(|judge, _| judge.unsure(mark));
-        self.guard_hears(&Event::Again { mark });
+        self.guard_hears(&Event::CallDuplicated { mark });
         self.events.extend(self.own(mark).map(event));
     }
 
@@ -315,7 +315,7 @@
                 if let Some(rolls) = &mut self.rolls {
                     rolls.roster.listed(now, listing.seq, listing.whole, rows);
                 }
-                self.roll_out(ListNews::Changes, true);
+                self.roll_out(ListUpdate::Changes, true);
             }
             Heard::ListStands => {
                 self.list_heard_at = self.now();
@@ -325,34 +325,39 @@
                 }
             }
             Heard::Listed(listing) => {
-                let news = if listing.whole { ListNews::Whole } else { ListNews::Changes };
+                let news = if listing.whole { ListUpdate::Full } else { ListUpdate::Changes };
                 self.listed(listing, news);
             }
             Heard::ListFailed => {
-                self.events.push(Event::List { news: ListNews::Failed, entries: vec![] });
+                self.events.push(Event::List { update: ListUpdate::Failed, entries: vec![] });
             }
             Heard::Loads(loads) => {
-                let event = |Believed { host, load, age, sure, .. }| Event::Load { host, load, age, sure };
+                let event = |Believed { host, load, age, sure: confidence, .. }| Event::LoadEstimate {
+                    host,
+                    load,
+                    age,
+                    confidence,
+                };
                 self.events.extend(loads.into_iter().map(event));
             }
             Heard::Probed { host, entry, .. } if self.replaced(host, entry) => {
-                let (outcome, report) = (Outcome::Unknown, LoadReport::default());
+                let (outcome, load) = (ProbeOutcome::Unknown, LoadReport::default());
                 self.proved(host, outcome);
-                self.events.push(Event::Probed { host, outcome, took: 0.0, report });
+                self.events.push(Event::ProbeResult { host, outcome, duration: 0.0, load });
             }
-            Heard::Probed { host, outcome, took, report, .. } => {
+            Heard::Probed { host, outcome, took: duration, report: load, .. } => {
                 self.proved(host, outcome);
                 // One that the roster has asked for ahead of the decisions is no host of theirs yet.
                 if self.rolls.is_some() && !self.hosts.contains_key(&host) {
                     return;
                 }
                 self.seen(host, self.now());
-                self.events.push(Event::Probed { host, outcome, took, report });
+                self.events.push(Event::ProbeResult { host, outcome, duration, load });
             }
-            Heard::Behind { on } => self.events.push(Event::Behind { on }),
+            Heard::Behind { on } => self.events.push(Event::RelayDelayed { on }),
             Heard::Together { marks } => self.together(&marks),
-            Heard::Again { mark } => self.another_message(mark, |mark| Event::Again { mark }),
-            Heard::Parted { mark } => self.another_message(mark, |mark| Event::Parted { mark }),
+            Heard::Again { mark } => self.another_message(mark, |mark| Event::CallDuplicated { mark }),
+            Heard::Parted { mark } => self.another_message(mark, |mark| Event::CallSplit { mark }),
             Heard::Answered { place } => {
                 self.judged(|judge, _| judge.answered(place));
                 let now = self.now();
@@ -382,8 +387,8 @@
             Heard::NotTaken { binds: Some(proxy), orders } => {
                 self.gave_up(&orders);
                 if let Some(Joined { zone, txns_per_s }) = self.joined.get(&proxy).copied() {
-                    self.events.push(Event::Left { proxy });
-                    self.events.push(Event::Joined { proxy, zone, txns_per_s, fresh: false });
+                    self.events.push(Event::ProxyLeft { proxy });
+                    self.events.push(Event::ProxyJoined { proxy, zone, txns_per_s, without_table: false });
                 }
             }
             Heard::NotTaken { binds: None, orders } => {
@@ -403,7 +408,7 @@
     }
 
     fn came(&mut self, event: &Event) {
-        let (now, Event::Came { proxy, .. }) = (self.now(), event) else { return };
+        let (now, Event::ProxyReport { proxy, .. }) = (self.now(), event) else { return };
         if let Some((ward, joined)) = self.ward.as_mut().zip(self.joined.get(proxy)) {
             ward.came(now, joined.zone, event);
         }
@@ -418,20 +423,28 @@
 
     fn sum(&self, sum: Said) -> Result<Event, String> {
         match sum {
-            Said::Load { zone, host, tries, voided, mean, over, report } => {
+            Said::Load {
+                zone,
+                host,
+                tries,
+                voided: failed,
+                mean: mean_latency,
+                over: covered,
+                report: load,
+            } => {
                 let zone = place(&self.labels.zones, &zone).ok_or("a zone that is not known")?;
                 let host = self.names.find(&host).ok_or("a host that is not known")?;
                 // A sum stands for the middle of its time.
-                self.seen(host, self.now() - over / 2.0);
-                Ok(Event::Met { host, zone: ZoneId(zone), over, tries, voided, mean, report })
+                self.seen(host, self.now() - covered / 2.0);
+                Ok(Event::HostReport { host, zone: ZoneId(zone), covered, tries, failed, mean_latency, load })
             }
-            Said::Rate { proxy, product, txns, voided, over } => {
-                let product = place(&self.labels.products, &product).ok_or("a product that is not known")?;
+            Said::Rate { proxy, product: class, txns, voided: failed, over: covered } => {
+                let class = place(&self.labels.products, &class).ok_or("a product that is not known")?;
                 if u32::from(proxy) >= self.labels.proxies {
                     return Err("a proxy that is not known".into());
                 }
-                let (proxy, product) = (ProxyId(proxy), ProductId(product));
-                Ok(Event::Came { proxy, product, txns, voided, over })
+                let (proxy, class) = (ProxyId(proxy), ClassId(class));
+                Ok(Event::ProxyReport { proxy, class, txns, failed, covered })
             }
             Said::Ping | Said::Source { .. } => Err("no sum".into()),
         }
@@ -479,10 +492,10 @@
         self.steward = (self.make)(self.seed);
         self.timers.clear();
         let entries = self.hosts.values().map(|known| known.listed.clone()).collect();
-        self.events.push(Event::List { news: ListNews::Restored, entries });
+        self.events.push(Event::List { update: ListUpdate::FromSnapshot, entries });
         for (proxy, Joined { zone, txns_per_s }) in &self.joined {
             let (proxy, zone, txns_per_s) = (*proxy, *zone, *txns_per_s);
-            self.events.push(Event::Joined { proxy, zone, txns_per_s, fresh: false });
+            self.events.push(Event::ProxyJoined { proxy, zone, txns_per_s, without_table: false });
         }
     }
 
@@ -501,7 +514,7 @@
 ) -> BTreeMap<ZoneId, f64> {
     let mut zones = BTreeMap::new();
     for Known { listed, .. } in hosts.values() {
-        let open = listed.standing == Standing::On && !shut_out.contains(&listed.host);
+        let open = listed.availability == Availability::InService && !shut_out.contains(&listed.host);
         let carries = listed.weight * parts.get(&listed.host).copied().unwrap_or(1.0);
         *zones.entry(listed.zone).or_default() += if open { carries } else { 0.0 };
     }
--- a/crates/steward/src/desk/hosts.rs
+++ b/crates/steward/src/desk/hosts.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use amberarch_core::{Event, HostId, KindId, ListNews, Listed, Outcome, PodId, Standing, ZoneId};
+use amberarch_core::{
+    Availability, Event, HostEntry, HostId, InstanceTypeId, ListUpdate, PodId, ProbeOutcome, ZoneId,
+};
 use amberarch_intake_grpc::NamedHost;
 use amberarch_roster::Hint;
 use slog::info;
@@ -25,18 +27,18 @@
             if *lost {
                 ward.judge().lost(now, listed.host);
             } else {
-                ward.judge().listed(now, listed.host, listed.zone, listed.standing);
+                ward.judge().listed(now, listed.host, listed.zone, listed.availability);
             }
-            let on = listed.standing == Standing::On;
+            let on = listed.availability == Availability::InService;
             *zones.hosts.entry(listed.zone).or_default() += u32::from(on);
             *zones.weights.entry(listed.zone).or_default() += if on { listed.weight } else { 0.0 };
         }
         ward.listed(zones);
     }
 
-    pub(super) fn listed(&mut self, listing: Listing, news: ListNews) {
+    pub(super) fn listed(&mut self, listing: Listing, update: ListUpdate) {
         if listing.whole {
-            self.hosts.values_mut().for_each(|known| known.listed.standing = Standing::Gone);
+            self.hosts.values_mut().for_each(|known| known.listed.availability = Availability::Removed);
         }
         let mut entries = Vec::with_capacity(listing.hosts.len());
         for row in &listing.hosts {
@@ -58,10 +60,10 @@
         }
         self.list_heard_at = self.now();
         amberarch_residency::last_rows(&mut entries);
-        let leaving = entries.iter().filter(|entry| entry.standing != Standing::On).count();
-        info!(self.log, "the list"; "seq" => listing.seq, "how" => ?news, "entries" => entries.len(),
+        let leaving = entries.iter().filter(|entry| entry.availability != Availability::InService).count();
+        info!(self.log, "the list"; "seq" => listing.seq, "how" => ?update, "entries" => entries.len(),
             "leaving" => leaving);
-        let list = Event::List { news, entries };
+        let list = Event::List { update, entries };
         self.guard_hears(&list);
         self.events.push(list);
         self.tell_list();
@@ -69,7 +71,7 @@
     }
 
     /// What the roster trusts and the decisions do not know yet, with hints of what was learnt before this run.
-    pub(super) fn roll_out(&mut self, news: ListNews, always: bool) {
+    pub(super) fn roll_out(&mut self, news: ListUpdate, always: bool) {
         let now = self.unix.now_ms();
         let Some(rolls) = &mut self.rolls else { return };
         let rows = rolls.roster.emit(now);
@@ -81,9 +83,9 @@
         let seq = rolls.roster.seq();
         let hosts = rows.into_iter().map(|(host, row)| state::listed(host, row)).collect();
         self.listed(Listing { seq, whole: false, hosts }, news);
-        for (host, Hint { part, shut }) in hints {
+        for (host, Hint { part: latency_factor, shut: gated }) in hints {
             if let Some(host) = self.names.find(&host) {
-                self.events.push(Event::Hint { host, part, shut });
+                self.events.push(Event::WarmStartHint { host, latency_factor, gated });
             }
         }
     }
@@ -106,7 +108,7 @@
             self.kept_at = Instant::now();
             rolls.writer.keep(rolls.roster.to_keep(), rolls.roster.stand());
         }
-        self.roll_out(ListNews::Changes, false);
+        self.roll_out(ListUpdate::Changes, false);
     }
 
     /// Whether the list has another process under that name by now. Guards against gating a host that has just come, or
@@ -116,12 +118,15 @@
         known.is_some_and(|known| known.entry().is_some_and(|now| now != entry))
     }
 
-    pub(super) fn proved(&mut self, host: HostId, outcome: Outcome) {
+    pub(super) fn proved(&mut self, host: HostId, outcome: ProbeOutcome) {
         let now = self.unix.now_ms();
         let pass = match outcome {
-            Outcome::Answered => Some(true),
-            Outcome::Full | Outcome::Unknown => None,
-            Outcome::Errored | Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset => Some(false),
+            ProbeOutcome::Answered => Some(true),
+            ProbeOutcome::Full | ProbeOutcome::Unknown => None,
+            ProbeOutcome::Errored
+            | ProbeOutcome::TimedOut
+            | ProbeOutcome::Unreachable
+            | ProbeOutcome::Reset => Some(false),
         };
         if let Some((rolls, name)) = self.rolls.as_mut().zip(self.names.name(host)) {
             rolls.roster.probed(now, name, pass);
@@ -130,8 +135,8 @@
 
     pub(super) fn served(&mut self, event: &Event) {
         let now = self.unix.now_ms();
-        if let (Some(rolls), Event::Met { host, tries, voided, .. }) = (&mut self.rolls, event) {
-            if let Some(name) = self.names.name(*host).filter(|_| tries > voided) {
+        if let (Some(rolls), Event::HostReport { host, tries, failed, .. }) = (&mut self.rolls, event) {
+            if let Some(name) = self.names.name(*host).filter(|_| tries > failed) {
                 rolls.roster.met(now, name);
             }
         }
@@ -148,11 +153,13 @@
     pub(super) fn tell_list(&self) {
         let Some(witness) = &self.out.witness else { return };
         let listed = self.hosts.values().map(|known| &known.listed);
-        let named = |listed: &Listed| {
-            let (host, zone, born) = (listed.host, listed.zone, listed.born);
+        let named = |listed: &HostEntry| {
+            let (host, zone, born) = (listed.host, listed.zone, listed.started_at);
             Some(NamedHost { name: self.names.name(host)?.into(), host, zone, born })
         };
-        witness.list(listed.filter(|listed| listed.standing != Standing::Gone).filter_map(named).collect());
+        witness.list(
+            listed.filter(|listed| listed.availability != Availability::Removed).filter_map(named).collect(),
+        );
     }
 
     pub(super) fn seen(&self, host: HostId, at: f64) {
@@ -161,28 +168,28 @@
         }
     }
 
-    pub(super) fn entry(&mut self, row: &Row) -> Option<Listed> {
+    pub(super) fn entry(&mut self, row: &Row) -> Option<HostEntry> {
         let zone = ZoneId(place(&self.labels.zones, &row.site)?);
         let kind = place(&self.labels.kinds, &row.class).unwrap_or(self.labels.kinds.len() as u16);
         let host = self.names.id(&row.host);
         // One clock is read by all machines; here its times become the module's. Once for each start:
         // two clocks read twice differ by a little, and a later time would be one more start.
         let known = self.hosts.get(&host);
-        let born = match known {
-            Some(known) if known.born_ms == row.born_ms => known.listed.born,
+        let started_at = match known {
+            Some(known) if known.born_ms == row.born_ms => known.listed.started_at,
             _ => (row.born_ms > 0.0).then(|| self.now() - self.age(row, known.is_some())),
         };
-        Some(Listed {
+        Some(HostEntry {
             host,
             weight: row.share,
             zone,
             pod: PodId(row.block),
-            kind: KindId(kind),
-            born,
-            standing: match row.health {
-                Health::InService => Standing::On,
-                Health::Terminating => Standing::Draining,
-                Health::Terminated => Standing::Gone,
+            instance_type: InstanceTypeId(kind),
+            started_at,
+            availability: match row.health {
+                Health::InService => Availability::InService,
+                Health::Terminating => Availability::Draining,
+                Health::Terminated => Availability::Removed,
             },
         })
     }
@@ -204,11 +211,11 @@
     /// would go on serving what only that zone may. Where none governs the row is skipped like any that can't be read:
     /// a spoilt word, alone in a good list of changes, must not take a host out of service. (A whole list without a
     /// host that can be read has it gone either way.)
-    pub(super) fn lost(&mut self, row: &Row) -> Option<Listed> {
+    pub(super) fn lost(&mut self, row: &Row) -> Option<HostEntry> {
         self.ward.as_ref()?;
         let known = self.hosts.get_mut(&self.names.find(&row.host)?)?;
         known.lost = true;
-        known.listed.standing = Standing::Gone;
+        known.listed.availability = Availability::Removed;
         Some(known.listed.clone())
     }
 }
--- a/crates/steward/src/desk/proxies.rs
+++ b/crates/steward/src/desk/proxies.rs
@@ -16,7 +16,7 @@
         }
     }
 
-    fn proxy_joined(&mut self, proxy: u16, zone: &str, weight: f64, fresh: bool) {
+    fn proxy_joined(&mut self, proxy: u16, zone: &str, weight: f64, without_table: bool) {
         let zone = place(&self.labels.zones, zone).filter(|_| u32::from(proxy) < self.labels.proxies);
         let Some(zone) = zone.map(ZoneId) else {
             self.counters.news_skipped.one();
@@ -25,16 +25,16 @@
         // In what stands, one that is known goes on; one that holds no ordered table came anew.
         let proxy = ProxyId(proxy);
         let goes_on = self.unseen.as_mut().is_some_and(|unseen| unseen.remove(&proxy));
-        if goes_on && !fresh && !self.anew {
+        if goes_on && !without_table && !self.anew {
             return;
         }
         self.left(proxy);
-        self.judged(|judge, now| judge.joined(now, proxy, zone, fresh));
+        self.judged(|judge, now| judge.joined(now, proxy, zone, without_table));
         self.counters.joined.one();
         let txns_per_s = weight.max(0.0);
         self.joined.insert(proxy, Joined { zone, txns_per_s });
-        self.guard_hears(&Event::Joined { proxy, zone, txns_per_s, fresh });
-        self.events.push(Event::Joined { proxy, zone, txns_per_s, fresh });
+        self.guard_hears(&Event::ProxyJoined { proxy, zone, txns_per_s, without_table });
+        self.events.push(Event::ProxyJoined { proxy, zone, txns_per_s, without_table });
     }
 
     fn proxy_left(&mut self, proxy: u16) {
@@ -52,23 +52,23 @@
     pub(super) fn left(&mut self, proxy: ProxyId) {
         if self.joined.remove(&proxy).is_some() {
             self.judged(|judge, now| judge.left(now, proxy));
-            self.guard_hears(&Event::Left { proxy });
+            self.guard_hears(&Event::ProxyLeft { proxy });
             self.counters.left.one();
-            self.events.push(Event::Left { proxy });
+            self.events.push(Event::ProxyLeft { proxy });
         }
     }
 
-    fn mark_applied(&mut self, proxy: ProxyId, mark: MarkId, took: f64) {
+    fn mark_applied(&mut self, proxy: ProxyId, mark: MarkId, duration: f64) {
         // One that has left is answered for by nobody; an answer that names it is late or spoilt.
-        if !self.joined.contains_key(&proxy) || took.is_nan() || took < 0.0 {
+        if !self.joined.contains_key(&proxy) || duration.is_nan() || duration < 0.0 {
             self.counters.news_skipped.one();
             return self.skip("an answer to a mark that can't be".into());
         }
         self.counters.applied.one();
         self.judged(|judge, now| judge.applied(now, proxy, mark));
-        self.guard_hears(&Event::Applied { proxy, mark, took });
+        self.guard_hears(&Event::MarkApplied { proxy, mark, duration });
         if let Some(mark) = self.own(mark) {
-            self.events.push(Event::Applied { proxy, mark, took });
+            self.events.push(Event::MarkApplied { proxy, mark, duration });
         }
     }
 
@@ -76,12 +76,12 @@
     pub(super) fn together(&mut self, marks: &[MarkId]) {
         // The guard counts what earlier decisions wrote too.
         if let (Some(first), Some(last)) = (marks.first().copied(), marks.last().copied()) {
-            self.guard_hears(&Event::Together { first, last });
+            self.guard_hears(&Event::CallsMerged { first, last });
         }
         // Of these decisions: what those before them wrote is not counted any more.
         let own: Vec<MarkId> = marks.iter().filter_map(|mark| self.own(*mark)).collect();
         if let (Some(first), Some(last)) = (own.first().copied(), own.last().copied()) {
-            self.events.push(Event::Together { first, last });
+            self.events.push(Event::CallsMerged { first, last });
         }
     }
 }
--- a/crates/steward/src/desk/replies.rs
+++ b/crates/steward/src/desk/replies.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use amberarch_core::{Event, HostId, ListNews, LoadReport, MarkId, Order, Outcome};
+use amberarch_core::{Event, HostId, ListUpdate, LoadReport, MarkId, Order, ProbeOutcome};
 use slog::{error, info, warn};
 use tokio::time::Instant;
 
@@ -25,30 +25,32 @@
         for order in &decided {
             self.counters.orders.one();
             match order {
-                Order::Timer { after, timer } => {
+                Order::StartTimer { after, timer } => {
                     let after = Duration::try_from_secs_f64(after / 1e3).unwrap_or_default();
                     self.timers.push(Reverse((Instant::now() + after.min(LONGEST_TIMER), *timer)));
                 }
                 Order::Probe { host } => self.probe(*host),
-                Order::Watch { on } => self.ask(if *on { Ask::Watch } else { Ask::Unwatch }),
-                Order::Fetch => self.ask(Ask::Whole),
-                Order::Forget { host } => gone.push(*host),
-                Order::Learnt { host, part } => {
+                Order::WatchList { on } => self.ask(if *on { Ask::Watch } else { Ask::Unwatch }),
+                Order::FetchList => self.ask(Ask::Whole),
+                Order::ForgetHost { host } => gone.push(*host),
+                Order::StoreHint { host, latency_factor } => {
                     if self.ward.is_some() {
-                        self.parts.insert(*host, *part);
+                        self.parts.insert(*host, *latency_factor);
                     }
-                    self.learnt(*host, Some(*part), None);
+                    self.learnt(*host, Some(*latency_factor), None);
                 }
                 Order::Log { text } => info!(self.log, "the decisions say"; "text" => text),
-                Order::Tell { .. } => warn!(self.log, "stewards do not speak with each other on sockets"),
+                Order::SendToPeer { .. } => {
+                    warn!(self.log, "stewards do not speak with each other on sockets")
+                }
                 order => {
-                    if let Order::Withdraw { host, out } = order {
-                        self.learnt(*host, None, Some(*out));
+                    if let Order::Withdraw { host, withdrawn } = order {
+                        self.learnt(*host, None, Some(*withdrawn));
                     }
                     match order {
                         Order::Mark { mark: number, .. } => mark = Some(*number),
-                        Order::Withdraw { host, out: true } => drop(self.shut_out.insert(*host)),
-                        Order::Withdraw { host, out: false } => drop(self.shut_out.remove(host)),
+                        Order::Withdraw { host, withdrawn: true } => drop(self.shut_out.insert(*host)),
+                        Order::Withdraw { host, withdrawn: false } => drop(self.shut_out.remove(host)),
                         _ => {}
                     }
                     calls.push(order);
@@ -73,13 +75,13 @@
     pub(super) fn ask_proxies(&mut self) {
         self.own_marks = (self.own_marks + 1) % (MARKS_OF_A_LIFE / 4);
         let mark = MarkId(self.first_mark.wrapping_sub(1 + self.own_marks));
-        self.call(vec![&Order::Mark { mark, everyone: true }], Some(mark));
+        self.call(vec![&Order::Mark { mark, all_proxies: true }], Some(mark));
     }
 
     /// Hands a reply to the relay, after it was judged. False where the decisions start anew for it.
     pub(super) fn call(&mut self, calls: Vec<&Order>, mark: Option<MarkId>) -> bool {
         let let_in = std::mem::take(&mut self.let_in).into_iter();
-        let ahead: Vec<Order> = let_in.map(|host| Order::Withdraw { host, out: false }).collect();
+        let ahead: Vec<Order> = let_in.map(|host| Order::Withdraw { host, withdrawn: false }).collect();
         let now = self.now();
         // What an earlier start of the decisions left in tables, and this one knows nothing of, goes first.
         let mends = match &mut self.ward {
@@ -163,7 +165,7 @@
     pub(super) fn ask(&mut self, ask: Ask) {
         if self.out.list.try_send(ask).is_err() {
             self.counters.list_asks_lost.one();
-            self.events.push(Event::List { news: ListNews::Failed, entries: vec![] });
+            self.events.push(Event::List { update: ListUpdate::Failed, entries: vec![] });
         }
     }
 
@@ -172,8 +174,8 @@
         let sent = entry.is_some_and(|entry| self.out.probes.try_send(Probe { host, entry }).is_ok());
         if !sent {
             self.counters.probes_unsent.one();
-            let (outcome, report) = (Outcome::Unknown, LoadReport::default());
-            self.events.push(Event::Probed { host, outcome, took: 0.0, report });
+            let (outcome, load) = (ProbeOutcome::Unknown, LoadReport::default());
+            self.events.push(Event::ProbeResult { host, outcome, duration: 0.0, load });
         }
     }
 }
--- a/crates/steward/src/fleet.rs
+++ b/crates/steward/src/fleet.rs
@@ -79,7 +79,7 @@
     /// All of these have to be satisfied at once.
     pub rules: Vec<Rules>,
     /// Governed in the fleet beside what the operator's file here names: declined while it can't be known what holds.
-    pub also: BTreeSet<ProductId>,
+    pub also: BTreeSet<ClassId>,
 }
 
 /// A policy that was read and fits the deployment.
@@ -148,7 +148,7 @@
     plan.fits(section, longest).map_err(unfit)?;
     // A steward that can't know what holds has no grants and declines what is governed; of any other product it would let
     // in all, on top of what the rest of the fleet was dealt.
-    let owned: BTreeSet<ProductId> = plan.owned().map(|(_, product, _)| product).collect();
+    let owned: BTreeSet<ClassId> = plan.owned().map(|(_, product, _)| product).collect();
     if let Some(product) = owned.difference(&ground.facts.govern).next() {
         let product = name(&ground.facts.products, product.0);
         return Err(whole(format!(
@@ -194,13 +194,13 @@
                 format!("no product is named {}; there are {known}", name.get_ref()),
             )
         })?;
-        govern.insert(ProductId(place as u16));
+        govern.insert(ClassId(place as u16));
     }
     Ok(Facts { zones: zones.to_vec(), products: products.to_vec(), govern })
 }
 
 /// All pairs of these products.
-fn pairs(products: &BTreeSet<ProductId>, zones: usize) -> Vec<Governed> {
+fn pairs(products: &BTreeSet<ClassId>, zones: usize) -> Vec<Governed> {
     let zones = 0..zones as u16;
     products.iter().flat_map(|product| zones.clone().map(|zone| (*product, ZoneId(zone)))).collect()
 }
@@ -245,7 +245,7 @@
     /// What holds now, to be joined with what is to come.
     holding: Vec<Rules>,
     /// Products that what holds in the fleet governs, and that the operator's file here does not name.
-    also: BTreeSet<ProductId>,
+    also: BTreeSet<ClassId>,
     /// What was told last: under which number, and whether it could be known what holds.
     told: (Under, bool),
     tell: mpsc::UnboundedSender<Told>,
@@ -420,7 +420,7 @@
         let shared = tenants.iter().filter_map(|tenant| tenant.products.as_ref()).flatten();
         let named = customers.chain(rules).chain(shared).filter_map(|name| {
             let place = products.iter().position(|known| known == name.get_ref())?;
-            Some(ProductId(place as u16))
+            Some(ClassId(place as u16))
         });
         self.also.extend(named.filter(|product| !govern.contains(product)));
         // A tenant that names none, and has no others under it, is told by all.
@@ -428,7 +428,7 @@
             tenants.iter().filter_map(|tenant| tenant.parent.as_ref()).any(|above| above.get_ref() == name)
         };
         if tenants.iter().any(|tenant| tenant.products.is_none() && !above(tenant.name.get_ref())) {
-            let all = (0..products.len() as u16).map(ProductId);
+            let all = (0..products.len() as u16).map(ClassId);
             self.also.extend(all.filter(|product| !govern.contains(product)));
         }
     }
@@ -455,11 +455,11 @@
             return Ok(());
         }
         let pairs: Vec<String> = over.pairs.iter().map(|pair| self.named(pair.0, pair.1)).collect();
-        let zones: Vec<&str> = over.zones.each().map(|zone| name(&self.ground.facts.zones, zone.0)).collect();
+        let zones: Vec<&str> = over.zones.iter().map(|zone| name(&self.ground.facts.zones, zone.0)).collect();
         Err(format!("{} in {}: {over}; {}", pairs.join(", "), zones.join(", "), over.advice()))
     }
 
-    fn named(&self, product: ProductId, from: ZoneId) -> String {
+    fn named(&self, product: ClassId, from: ZoneId) -> String {
         let Facts { products, zones, .. } = &self.ground.facts;
         format!("{} from {}", name(products, product.0), name(zones, from.0))
     }
@@ -470,13 +470,13 @@
 }
 
 /// Shares that the policy lets in, beside those of levels; the lesser of both is told.
-pub type Caps = Rc<RefCell<BTreeMap<(ZoneId, ProductId), f64>>>;
+pub type Caps = Rc<RefCell<BTreeMap<(ZoneId, ClassId), f64>>>;
 
 /// Decisions that hear of the lesser of two bounds for each product of a zone: the levels' and the policy's.
 pub struct Capped<D> {
     inner: D,
     caps: Caps,
-    known: BTreeMap<(ZoneId, ProductId), f64>,
+    known: BTreeMap<(ZoneId, ClassId), f64>,
     lesser: Lesser,
 }
 
@@ -489,7 +489,7 @@
 impl<D: Decide> Decide for Capped<D> {
     fn decide(&mut self, now: f64, events: &[Event]) -> Vec<Order> {
         let caps = self.caps.borrow();
-        let keys: BTreeSet<(ZoneId, ProductId)> = self.known.keys().chain(caps.keys()).copied().collect();
+        let keys: BTreeSet<(ZoneId, ClassId)> = self.known.keys().chain(caps.keys()).copied().collect();
         let mut all = Vec::with_capacity(events.len());
         for (zone, product) in keys {
             let share = caps.get(&(zone, product)).copied().unwrap_or(1.0);
@@ -517,9 +517,9 @@
     common: Shared,
     caps: Caps,
     /// What grants let in of a product in a zone.
-    granted: BTreeMap<(ZoneId, ProductId), f64>,
+    granted: BTreeMap<(ZoneId, ClassId), f64>,
     /// What came of late, by proxy: from which zone, txns a second, and until when it stands.
-    came: BTreeMap<(ProxyId, ProductId), (ZoneId, f64, f64)>,
+    came: BTreeMap<(ProxyId, ClassId), (ZoneId, f64, f64)>,
     /// When it was told on, and what a host of weight 1 does; none: nothing is dealt.
     told_sight: f64,
     per_weight: Option<f64>,
@@ -670,10 +670,12 @@
     pub fn came(&mut self, now: f64, zone: ZoneId, event: &Event) {
         /// A sum stands until the next two of its kind could have come.
         const STANDS: f64 = 3.0;
-        if let (Event::Came { proxy, product, txns, over, .. }, true) = (event, self.per_weight.is_some()) {
-            if *over > 0.0 {
-                let per_s = f64::from(*txns) / over * 1e3;
-                self.came.insert((*proxy, *product), (zone, per_s, now + STANDS * over));
+        if let (Event::ProxyReport { proxy, class, txns, covered, .. }, true) =
+            (event, self.per_weight.is_some())
+        {
+            if *covered > 0.0 {
+                let per_s = f64::from(*txns) / covered * 1e3;
+                self.came.insert((*proxy, *class), (zone, per_s, now + STANDS * covered));
             }
         }
     }
@@ -690,7 +692,7 @@
         let Some(per_weight) = self.per_weight.filter(|_| now >= self.told_sight + EVERY) else { return };
         self.told_sight = now;
         self.came.retain(|_, (_, _, until)| *until > now);
-        let mut came: BTreeMap<(ZoneId, ProductId), f64> = BTreeMap::new();
+        let mut came: BTreeMap<(ZoneId, ClassId), f64> = BTreeMap::new();
         for ((_, product), (zone, per_s, _)) in &self.came {
             *came.entry((*zone, *product)).or_default() += per_s;
         }
@@ -717,7 +719,7 @@
         let there = there(&lock(&self.common).listed.hosts);
         let wanted = self.reach.in_use(there);
         // Where no permitted zone has a host nothing may be let in: it is declined at once, not tried.
-        let bare = wanted.iter().filter(|(_, zones)| zones.and(there).is_empty());
+        let bare = wanted.iter().filter(|(_, zones)| zones.intersection(there).is_empty());
         let mut caps = self.granted.clone();
         caps.extend(bare.map(|((product, zone), _)| ((*zone, *product), 0.0)));
         *self.caps.borrow_mut() = caps;
--- a/crates/steward/src/guard.rs
+++ b/crates/steward/src/guard.rs
@@ -77,7 +77,10 @@
         let seen = |event: &&Event| {
             matches!(
                 event,
-                Event::Met { .. } | Event::Came { .. } | Event::Probed { .. } | Event::Reach { .. }
+                Event::HostReport { .. }
+                    | Event::ProxyReport { .. }
+                    | Event::ProbeResult { .. }
+                    | Event::ReachRule { .. }
             )
         };
         events.iter().filter(seen).for_each(|event| self.door.hear(now, event));
--- a/crates/steward/src/heard.rs
+++ b/crates/steward/src/heard.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use amberarch_accord::StageNo;
-use amberarch_core::{HostId, LoadReport, MarkId, Order, Outcome, ProxyId};
+use amberarch_core::{HostId, LoadReport, MarkId, Order, ProbeOutcome, ProxyId};
 use amberarch_fleet::Under;
 use amberarch_intake::Believed;
 use amberarch_intake_grpc::Witness;
@@ -40,7 +40,7 @@
     Probed {
         host: HostId,
         entry: Entry,
-        outcome: Outcome,
+        outcome: ProbeOutcome,
         took: f64,
         report: LoadReport,
     },
--- a/crates/steward/src/levels.rs
+++ b/crates/steward/src/levels.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use amberarch_core::{Decide, Product, ProductId, Sums, Tries};
+use amberarch_core::{ClassId, Decide, ReportSettings, RequestClass, RetryPolicy};
 use amberarch_operator::levels as file;
 use amberarch_operator::Fault;
 use amberarch_service_levels::{Condition, Keep, Ladder, Level, Levelled, ServiceLevels, Signal, Status};
@@ -23,8 +23,8 @@
 /// What levels need to know of the deployment.
 pub struct Facts {
     pub zones: Vec<String>,
-    pub products: Vec<(String, Product)>,
-    pub sums: Sums,
+    pub products: Vec<(String, RequestClass)>,
+    pub sums: ReportSettings,
     /// Whether proxies take levels at all.
     pub taken: bool,
 }
@@ -33,17 +33,21 @@
 ///
 /// # Errors
 /// The place of the level, or of the product's name, that is wrong.
-pub fn ladder(section: &file::Levels, products: &[(String, Product)], text: &str) -> Result<Ladder, Fault> {
+pub fn ladder(
+    section: &file::Levels,
+    products: &[(String, RequestClass)],
+    text: &str,
+) -> Result<Ladder, Fault> {
     let mut levels = Vec::with_capacity(section.level.len());
     for spanned in &section.level {
         let mut level = Level {
             name: spanned.get_ref().name.clone(),
             keep: Default::default(),
             tries: match spanned.get_ref().tries {
-                file::Tries::One => Tries::One,
-                file::Tries::AfterProof => Tries::AfterProof,
-                file::Tries::AfterAny => Tries::AfterAny,
-                file::Tries::TwiceAfterAny => Tries::TwiceAfterAny,
+                file::Tries::One => RetryPolicy::One,
+                file::Tries::AfterProof => RetryPolicy::AfterProof,
+                file::Tries::AfterAny => RetryPolicy::AfterAny,
+                file::Tries::TwiceAfterAny => RetryPolicy::TwiceAfterAny,
             },
             enter: spanned
                 .get_ref()
@@ -72,7 +76,7 @@
                 file::Keep::Least(least) => Keep { least, most: 1.0 },
                 file::Keep::Between { least, most } => Keep { least, most },
             };
-            level.keep.insert(ProductId(place as u16), keep);
+            level.keep.insert(ClassId(place as u16), keep);
         }
         levels.push(level);
     }
@@ -100,7 +104,7 @@
 /// Decisions that are made with the ladder before them. Each start anew of the decisions finds its level anew.
 pub fn before(make: Make, ladder: Ladder, acts: bool, facts: &Facts) -> (Make, Shared) {
     let (zones, sums) = (facts.zones.len() as u16, facts.sums.clone());
-    let products: Vec<Product> = facts.products.iter().map(|(_, product)| product.clone()).collect();
+    let products: Vec<RequestClass> = facts.products.iter().map(|(_, product)| product.clone()).collect();
     let acts = acts && facts.taken;
     let fresh = move || ServiceLevels::new(ladder.clone(), zones, products.clone(), &sums, acts);
     let shared: Shared = Rc::new(RefCell::new(fresh()));
@@ -216,7 +220,7 @@
                 seen.values.iter().map(|(signal, value)| (signal.to_string(), json!(value))).collect();
             let shares: serde_json::Map<String, Value> = status
                 .shares
-                .range((*zone, ProductId(0))..=(*zone, ProductId(u16::MAX)))
+                .range((*zone, ClassId(0))..=(*zone, ClassId(u16::MAX)))
                 .filter_map(|((_, id), share)| {
                     Some((facts.products.get(usize::from(id.0))?.0.clone(), json!(share)))
                 })
--- a/crates/steward/src/lines.rs
+++ b/crates/steward/src/lines.rs
@@ -90,10 +90,10 @@
     for pair in text.split(',') {
         let (name, value) = pair.split_once(':').ok_or("a load that is no pair")?;
         let into = match name {
-            "inflight" => &mut report.in_hand,
-            "queue" => &mut report.waiting,
-            "util" => &mut report.busy,
-            "latency_ms" => &mut report.service,
+            "inflight" => &mut report.in_flight,
+            "queue" => &mut report.queued,
+            "util" => &mut report.utilization,
+            "latency_ms" => &mut report.latency,
             _ => continue,
         };
         *into = Some(figure(name, value)?);
--- a/crates/steward/src/orders.rs
+++ b/crates/steward/src/orders.rs
@@ -1,43 +1,43 @@
 //! Orders as the relay reads them.
 
-use amberarch_core::{HostId, Order, Products, TblId, Tries};
+use amberarch_core::{ClassSet, HostId, Order, RetryPolicy, TableId};
 use bytes::Bytes;
 use serde_json::json;
 
 /// One order as JSON; `None` for what does not go to the relay, or names a host that is not known.
 pub fn encode(order: &Order, host: impl Fn(HostId) -> Option<String>, products: &[String]) -> Option<Bytes> {
-    let routes = |mask: Products| -> Vec<&str> {
+    let routes = |mask: ClassSet| -> Vec<&str> {
         let named = products.iter().enumerate().filter(|(place, _)| mask.0 & (1 << place) != 0);
         named.map(|(_, name)| name.as_str()).collect()
     };
     let mut object = match order {
-        Order::Share { tbl, host: id, weight } => {
-            json!({"op": "share", "table": tbl.0, "server": host(*id)?, "weight": weight})
+        Order::SetEntry { table, host: id, weight } => {
+            json!({"op": "share", "table": table.0, "server": host(*id)?, "weight": weight})
         }
-        Order::Clear { tbl } => json!({"op": "clear", "table": tbl.0}),
-        Order::Bind { proxy, tbl, products } => {
-            json!({"op": "bind", "proxy": proxy.0, "table": tbl.0, "routes": routes(*products)})
+        Order::ClearTable { table } => json!({"op": "clear", "table": table.0}),
+        Order::Bind { proxy, table, classes } => {
+            json!({"op": "bind", "proxy": proxy.0, "table": table.0, "routes": routes(*classes)})
         }
-        Order::Withdraw { host: id, out: true } => json!({"op": "withdraw", "server": host(*id)?}),
-        Order::Withdraw { host: id, out: false } => json!({"op": "restore", "server": host(*id)?}),
-        Order::Admit { tbl, products, level, tries } => {
+        Order::Withdraw { host: id, withdrawn: true } => json!({"op": "withdraw", "server": host(*id)?}),
+        Order::Withdraw { host: id, withdrawn: false } => json!({"op": "restore", "server": host(*id)?}),
+        Order::Admit { table, classes, level, tries } => {
             let policy = match tries {
-                Tries::One => 0,
-                Tries::AfterProof => 1,
-                Tries::AfterAny => 2,
-                Tries::TwiceAfterAny => 3,
+                RetryPolicy::One => 0,
+                RetryPolicy::AfterProof => 1,
+                RetryPolicy::AfterAny => 2,
+                RetryPolicy::TwiceAfterAny => 3,
             };
-            json!({"op": "admit", "table": tbl.0, "routes": routes(*products), "admit": level, "policy": policy})
+            json!({"op": "admit", "table": table.0, "routes": routes(*classes), "admit": level, "policy": policy})
         }
-        Order::Mark { mark, everyone } => {
-            json!({"op": "mark", "nonce_out": mark.0, "on": u8::from(*everyone)})
+        Order::Mark { mark, all_proxies } => {
+            json!({"op": "mark", "nonce_out": mark.0, "on": u8::from(*all_proxies)})
         }
         _ => return None,
     };
     // All tables and all classes are said by leaving them out.
     if let Some(fields) = object.as_object_mut() {
         fields.retain(|key, value| {
-            let all = key == "table" && *value == TblId::ALL.0 || key == "routes" && *value == json!([]);
+            let all = key == "table" && *value == TableId::ALL.0 || key == "routes" && *value == json!([]);
             !all
         });
     }
--- a/crates/steward/src/probe.rs
+++ b/crates/steward/src/probe.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use amberarch_core::{HostId, LoadReport, Outcome};
+use amberarch_core::{HostId, LoadReport, ProbeOutcome};
 use hyper::StatusCode;
 use serde_json::Value;
 use slog::debug;
@@ -89,35 +89,35 @@
         }
     }
 
-    pub async fn probe(&self, dial: &impl Dial, to: SocketAddr) -> (Outcome, LoadReport) {
+    pub async fn probe(&self, dial: &impl Dial, to: SocketAddr) -> (ProbeOutcome, LoadReport) {
         self.ties.counters.probes.one();
         let found = self.ask(dial, to).await;
         match found.0 {
-            Outcome::Answered => self.ties.counters.probes_passed.one(),
-            Outcome::Unknown => self.ties.counters.probes_unsent.one(),
+            ProbeOutcome::Answered => self.ties.counters.probes_passed.one(),
+            ProbeOutcome::Unknown => self.ties.counters.probes_unsent.one(),
             _ => self.ties.counters.probes_failed.one(),
         }
         found
     }
 
-    async fn ask(&self, dial: &impl Dial, to: SocketAddr) -> (Outcome, LoadReport) {
+    async fn ask(&self, dial: &impl Dial, to: SocketAddr) -> (ProbeOutcome, LoadReport) {
         let none = LoadReport::default();
         let mut line = match Line::open(dial, to, self.connect_within).await {
             Ok(line) => line,
             // Guards against hosts that are gated for what this machine lacks.
-            Err(Fault::NoMeans(_)) => return (Outcome::Unknown, none),
-            Err(_) => return (Outcome::Unreachable, none),
+            Err(Fault::NoMeans(_)) => return (ProbeOutcome::Unknown, none),
+            Err(_) => return (ProbeOutcome::Unreachable, none),
         };
         let sent = Instant::now();
         let (status, body) = match line.glance(get(self.path, to), ANSWER, MOST_BYTES).await {
             Ok(answer) => answer,
-            Err(_) if sent.elapsed() >= ANSWER => return (Outcome::TimedOut, none),
-            Err(_) => return (Outcome::Reset, none),
+            Err(_) if sent.elapsed() >= ANSWER => return (ProbeOutcome::TimedOut, none),
+            Err(_) => return (ProbeOutcome::Reset, none),
         };
         debug!(self.ties.log, "probed"; "status" => %status);
         match status {
-            StatusCode::OK => (Outcome::Answered, report(&body)),
-            _ => (Outcome::Errored, none),
+            StatusCode::OK => (ProbeOutcome::Answered, report(&body)),
+            _ => (ProbeOutcome::Errored, none),
         }
     }
 }
@@ -127,9 +127,9 @@
     let said: Value = serde_json::from_slice(body).unwrap_or_default();
     let part = |name: &str| said.get(name).and_then(Value::as_f64);
     LoadReport {
-        in_hand: part("inflight"),
-        waiting: part("queue"),
-        busy: part("util"),
-        service: part("latency_ms"),
+        in_flight: part("inflight"),
+        queued: part("queue"),
+        utilization: part("util"),
+        latency: part("latency_ms"),
     }
 }
--- a/crates/steward/tests/guard.rs
+++ b/crates/steward/tests/guard.rs
@@ -241,26 +241,26 @@
 
 impl Decide for Sudden {
     fn decide(&mut self, _: f64, events: &[Event]) -> Vec<Order> {
-        let (tbl, number) = (TblId(0), |event: &Event| match event {
-            Event::Joined { proxy, .. } => Some(u64::from(proxy.0)),
-            Event::Due { timer } => Some(10 + timer.0),
+        let (table, number) = (TableId(0), |event: &Event| match event {
+            Event::ProxyJoined { proxy, .. } => Some(u64::from(proxy.0)),
+            Event::TimerExpired { timer } => Some(10 + timer.0),
             _ => None,
         });
         let orders = |number| match number {
             0 | 1 => vec![
-                Order::Share { tbl, host: HostId(0), weight: 1.0 },
-                Order::Bind { proxy: ProxyId(number as u16), tbl, products: Products(0b11) },
-                Order::Timer { after: 500.0, timer: TimerId(number) },
-                Order::Mark { mark: MarkId(number as u16), everyone: false },
+                Order::SetEntry { table, host: HostId(0), weight: 1.0 },
+                Order::Bind { proxy: ProxyId(number as u16), table, classes: ClassSet(0b11) },
+                Order::StartTimer { after: 500.0, timer: TimerId(number) },
+                Order::Mark { mark: MarkId(number as u16), all_proxies: false },
             ],
             11 => vec![
-                Order::Withdraw { host: HostId(0), out: true },
-                Order::Timer { after: 500.0, timer: TimerId(2) },
-                Order::Mark { mark: MarkId(2), everyone: false },
+                Order::Withdraw { host: HostId(0), withdrawn: true },
+                Order::StartTimer { after: 500.0, timer: TimerId(2) },
+                Order::Mark { mark: MarkId(2), all_proxies: false },
             ],
             12 => vec![
-                Order::Share { tbl, host: HostId(1), weight: 1.0 },
-                Order::Mark { mark: MarkId(3), everyone: false },
+                Order::SetEntry { table, host: HostId(1), weight: 1.0 },
+                Order::Mark { mark: MarkId(3), all_proxies: false },
             ],
             _ => vec![],
         };
@@ -349,20 +349,20 @@
 impl Decide for Each {
     fn decide(&mut self, _: f64, events: &[Event]) -> Vec<Order> {
         let came = |event: &Event| match event {
-            Event::Joined { proxy, .. } => Some(*proxy),
+            Event::ProxyJoined { proxy, .. } => Some(*proxy),
             _ => None,
         };
-        let (tbl, products) = (TblId(0), Products(0b11));
+        let (table, classes) = (TableId(0), ClassSet(0b11));
         let mut orders: Vec<Order> = events
             .iter()
             .filter_map(came)
             .flat_map(|proxy| {
-                let line = Order::Share { tbl, host: HostId(0), weight: 1.0 };
-                [line, Order::Bind { proxy, tbl, products }]
+                let line = Order::SetEntry { table, host: HostId(0), weight: 1.0 };
+                [line, Order::Bind { proxy, table, classes }]
             })
             .collect();
         if !orders.is_empty() {
-            orders.push(Order::Mark { mark: MarkId(self.0), everyone: false });
+            orders.push(Order::Mark { mark: MarkId(self.0), all_proxies: false });
             self.0 += 1;
         }
         orders
--- a/crates/steward/tests/steward/checks.rs
+++ b/crates/steward/tests/steward/checks.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex};
 
 use amberarch_accord::{Act, Digest, Holds as On, Revision, RevisionNo, Stage, StageNo};
-use amberarch_core::{ProductId, ZoneId};
+use amberarch_core::{ClassId, ZoneId};
 use amberarch_fleet::{Sight, Steward, Under};
 use amberarch_operator::Operator;
 use amberarch_residency::Facts;
@@ -21,7 +21,7 @@
 }
 
 fn ground(govern: &[u16]) -> Ground {
-    let govern = govern.iter().map(|product| ProductId(*product)).collect();
+    let govern = govern.iter().map(|product| ClassId(*product)).collect();
     let (zones, products) = (names(&["a", "b", "c"]), names(&["read", "write"]));
     Ground { members: 3, ..Ground::alone(Facts { zones, products, govern }, 20) }
 }
@@ -50,7 +50,7 @@
 /// Hosts of weight 100 in each zone, and what comes of reads to zones a and b and of writes to zone a.
 fn comes(common: &Shared, reads_a: f64, reads_b: f64, writes_a: f64) {
     let zones = [ZoneId(0), ZoneId(1), ZoneId(2)];
-    let (read, write) = (ProductId(0), ProductId(1));
+    let (read, write) = (ClassId(0), ClassId(1));
     *common.lock().unwrap() = Common {
         listed: Listed {
             hosts: zones.iter().map(|zone| (*zone, 1)).collect(),
@@ -121,11 +121,11 @@
     let (mut clerk, _common, mut told) = clerk(ground(&[1]));
     assert!(refused(clerk.check(&holds, false)).contains("may not be governed"));
     let holds_here = last(&mut told).expect("a word before anything else");
-    assert_eq!((holds_here.stage, holds_here.also), (None, [ProductId(0)].into()));
+    assert_eq!((holds_here.stage, holds_here.also), (None, [ClassId(0)].into()));
     // And for as long as this run lives, whatever it hears next.
     clerk.act(&Act::Unknown, &[], Under(2));
     let holds_here = last(&mut told).expect("a word");
-    assert_eq!((holds_here.under, holds_here.also), (Under(2), [ProductId(0)].into()));
+    assert_eq!((holds_here.under, holds_here.also), (Under(2), [ClassId(0)].into()));
     // One that is still proposed binds nobody yet.
     let (mut other, _common, mut told) = self::clerk(ground(&[1]));
     assert!(refused(other.check(&holds, true)).contains("may not be governed"));
@@ -160,7 +160,7 @@
     // Where it holds already this steward can't use it, and declines that product too.
     assert_eq!(refused(clerk.check(&revision(1, SHARES), false)), why);
     let Some(Told::Holds(holds)) = told.try_recv().ok() else { panic!("it is told what is declined") };
-    assert_eq!(holds.also, [ProductId(0)].into());
+    assert_eq!(holds.also, [ClassId(0)].into());
 }
 
 /// Keeps what is logged.
--- a/crates/steward/tests/steward/desk.rs
+++ b/crates/steward/tests/steward/desk.rs
@@ -25,30 +25,30 @@
         for event in events {
             self.0.note(&format!("seed {}: {event:?}", self.1));
             match event {
-                Event::Due { timer: TimerId(7) } => panic!("as the test wants it"),
-                Event::Applied { .. } => {
+                Event::TimerExpired { timer: TimerId(7) } => panic!("as the test wants it"),
+                Event::MarkApplied { .. } => {
                     let host = HostId(0);
-                    out.extend([Order::Withdraw { host, out: true }, Order::Forget { host }]);
+                    out.extend([Order::Withdraw { host, withdrawn: true }, Order::ForgetHost { host }]);
                 }
-                Event::Joined { fresh: false, .. } if self.1 == 6 => {
-                    out.push(Order::Withdraw { host: HostId(2), out: true });
+                Event::ProxyJoined { without_table: false, .. } if self.1 == 6 => {
+                    out.push(Order::Withdraw { host: HostId(2), withdrawn: true });
                 }
-                Event::List { news: ListNews::Changes, .. } => {
-                    let (tbl, host, proxy) = (TblId(4), HostId(0), ProxyId(1));
-                    let products = Products::one(ProductId(1));
-                    out.push(Order::Share { tbl, host, weight: 1.5 });
-                    out.push(Order::Withdraw { host, out: true });
-                    out.push(Order::Withdraw { host: HostId(1), out: true });
-                    out.push(Order::Withdraw { host, out: false });
-                    out.push(Order::Clear { tbl });
-                    out.push(Order::Bind { proxy, tbl, products: Products::ALL });
-                    out.push(Order::Admit { tbl, products, level: 0.9, tries: Tries::AfterProof });
-                    let (tbl, products) = (TblId::ALL, Products::ALL);
-                    out.push(Order::Admit { tbl, products, level: 1.0, tries: Tries::One });
-                    out.push(Order::Mark { mark: MarkId(905), everyone: true });
+                Event::List { update: ListUpdate::Changes, .. } => {
+                    let (table, host, proxy) = (TableId(4), HostId(0), ProxyId(1));
+                    let classes = ClassSet::one(ClassId(1));
+                    out.push(Order::SetEntry { table, host, weight: 1.5 });
+                    out.push(Order::Withdraw { host, withdrawn: true });
+                    out.push(Order::Withdraw { host: HostId(1), withdrawn: true });
+                    out.push(Order::Withdraw { host, withdrawn: false });
+                    out.push(Order::ClearTable { table });
+                    out.push(Order::Bind { proxy, table, classes: ClassSet::ALL });
+                    out.push(Order::Admit { table, classes, level: 0.9, tries: RetryPolicy::AfterProof });
+                    let (table, classes) = (TableId::ALL, ClassSet::ALL);
+                    out.push(Order::Admit { table, classes, level: 1.0, tries: RetryPolicy::One });
+                    out.push(Order::Mark { mark: MarkId(905), all_proxies: true });
                     out.extend([Order::Probe { host }, Order::Probe { host: HostId(1) }]);
-                    out.push(Order::Watch { on: true });
-                    out.push(Order::Timer { after: 1_500.5, timer: TimerId(7) });
+                    out.push(Order::WatchList { on: true });
+                    out.push(Order::StartTimer { after: 1_500.5, timer: TimerId(7) });
                 }
                 _ => {}
             }
@@ -81,7 +81,7 @@
 /// Under a policy that nobody has told yet: reads are declined.
 fn ward(ties: &Ties) -> Ward {
     let names = |names: [&str; 2]| names.map(String::from).to_vec();
-    let govern = [ProductId(0)].into();
+    let govern = [ClassId(0)].into();
     let facts = Facts { zones: names(["a", "b"]), products: names(["read", "write"]), govern };
     let (caps, counters) = (Caps::default(), ties.counters.clone());
     let judge = Judge::new(2, 1_000.0);
@@ -359,7 +359,7 @@
         let hosts = vec![row("s-0", "127.0.0.2:3000", "a", Health::InService, 0.0)];
         Heard::Listed(Listing { seq, whole: true, hosts })
     };
-    let (host, outcome, report) = (HostId(0), Outcome::Answered, LoadReport::default());
+    let (host, outcome, report) = (HostId(0), ProbeOutcome::Answered, LoadReport::default());
     let entry = Entry { dial: "127.0.0.2:3000".parse().unwrap(), born_ms: 0.0 };
     let sum = || {
         let (zone, host) = ("a".into(), "s-0".into());
@@ -416,7 +416,7 @@
     let trace = told_beside(
         vec![
             (100, Heard::Listed(listing)),
-            (200, probed(Outcome::Answered)),
+            (200, probed(ProbeOutcome::Answered)),
             (300, Heard::Sum(met)),
             (400, Heard::Loads(vec![believed])),
         ],
--- a/crates/steward/tests/steward/governed.rs
+++ b/crates/steward/tests/steward/governed.rs
@@ -32,15 +32,15 @@
         let mut out = Vec::new();
         for event in events {
             match event {
-                Event::Reach { .. } | Event::Bound { .. } => {
+                Event::ReachRule { .. } | Event::ServiceBound { .. } => {
                     self.0.note(&format!("seed {}: {event:?}", self.1))
                 }
-                Event::Joined { proxy, .. } => {
-                    let (tbl, host) = (TblId(4), HostId(0));
-                    out.push(Order::Share { tbl, host, weight: 1.0 });
-                    out.push(Order::Bind { proxy: *proxy, tbl, products: Products::one(ProductId(1)) });
-                    out.push(Order::Bind { proxy: *proxy, tbl, products: Products::one(ProductId(0)) });
-                    out.push(Order::Mark { mark: MarkId(7), everyone: true });
+                Event::ProxyJoined { proxy, .. } => {
+                    let (table, host) = (TableId(4), HostId(0));
+                    out.push(Order::SetEntry { table, host, weight: 1.0 });
+                    out.push(Order::Bind { proxy: *proxy, table, classes: ClassSet::one(ClassId(1)) });
+                    out.push(Order::Bind { proxy: *proxy, table, classes: ClassSet::one(ClassId(0)) });
+                    out.push(Order::Mark { mark: MarkId(7), all_proxies: true });
                 }
                 _ => {}
             }
@@ -64,7 +64,7 @@
 
 fn facts() -> Facts {
     let names = |names: [&str; 2]| names.map(String::from).to_vec();
-    Facts { zones: names(["a", "b"]), products: names(["read", "write"]), govern: [ProductId(0)].into() }
+    Facts { zones: names(["a", "b"]), products: names(["read", "write"]), govern: [ClassId(0)].into() }
 }
 
 fn holds(under: u64, text: &str) -> Heard {
@@ -184,7 +184,7 @@
 /// while this steward can't use what holds.
 #[test]
 fn what_the_fleet_governs_beside_the_file_is_declined_while_it_can_not_be_known_what_holds() {
-    let also = Holds { under: Under(1), stage: None, rules: vec![], also: [ProductId(1)].into() };
+    let also = Holds { under: Under(1), stage: None, rules: vec![], also: [ClassId(1)].into() };
     expect![[r#"
         0 seed 5: Bound { zone: ZoneId(0), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
         0 seed 5: Bound { zone: ZoneId(1), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
@@ -288,7 +288,7 @@
 /// Guards against a bound of the policy that a restart of the decisions loses.
 #[test]
 fn what_grants_let_in_is_told_with_the_lesser_of_both_and_lifted_with_them() {
-    let bound = |share| Heard::Bound(Some(Bound { zone: ZoneId(1), product: ProductId(1), share }));
+    let bound = |share| Heard::Bound(Some(Bound { zone: ZoneId(1), product: ClassId(1), share }));
     let heard =
         vec![(100, holds(1, ANYWHERE)), (200, bound(0.4)), (300, bound(0.3)), (400, Heard::Bound(None))];
     expect![[r#"
@@ -317,7 +317,7 @@
             let level = |name: &str, enter, leave| Level {
                 name: name.into(),
                 keep: Default::default(),
-                tries: Tries::AfterAny,
+                tries: RetryPolicy::AfterAny,
                 enter,
                 leave,
                 stay: 0.0,
@@ -326,7 +326,7 @@
             };
             let ladder = vec![level("full", vec![], vec![]), level("lean", on(0.9), on(0.5))];
             let ladder = Ladder::new(ladder, &[]).expect("a ladder");
-            let sums = Sums { every: 1_000.0, lines_per_s: 0.0 };
+            let sums = ReportSettings { interval: 1_000.0, max_lines_per_s: 0.0 };
             let levels = Rc::new(RefCell::new(ServiceLevels::new(ladder, 2, vec![], &sums, acts)));
             let ties = ties(&trace);
             let (tell, counters) = (Box::new(Noted(trace.clone())), ties.counters.clone());
@@ -334,7 +334,7 @@
             let ward = Ward::new(Arc::new(facts()), judge, 100.0, tell, Caps::default(), counters, ties.log);
             let mut ward = ward.follows(levels.clone());
             // No proxy says that it was told another one.
-            levels.borrow_mut().hear(0.0, &Event::Left { proxy: ProxyId(0) });
+            levels.borrow_mut().hear(0.0, &Event::ProxyLeft { proxy: ProxyId(0) });
             for now in [0.0, 2_000.0, 3_000.0] {
                 levels.borrow_mut().look(now);
                 ward.sees(now, Default::default);
@@ -379,7 +379,7 @@
         let mut places = 0..;
         feed(replies, async move |ruled| {
             let place: u16 = places.next().unwrap();
-            let order = Order::Clear { tbl: TblId(place) };
+            let order = Order::ClearTable { table: TableId(place) };
             let bytes = format!("{place}").into();
             let orders = vec![Encoded { bytes, binds: None, mark: None, order: Some(order) }];
             to.send(Reply { orders, mark: None, ruled }).await.unwrap();
--- a/crates/steward/tests/steward/listen.rs
+++ b/crates/steward/tests/steward/listen.rs
@@ -1,7 +1,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use amberarch_core::{HostId, Outcome};
+use amberarch_core::{HostId, ProbeOutcome};
 use amberarch_steward::counters::Count;
 use amberarch_steward::heard::{Entry, Probe};
 use amberarch_steward::listen::{connection, Guests, Inside, Seat, Stage};
@@ -215,8 +215,8 @@
         let connect_within = Duration::from_millis(250);
         let prober = Prober { path: "/load", connect_within, most: 1, ties: ties(&trace) };
         for host in 0..script.len() as u32 {
-            let (outcome, report): (Outcome, _) = prober.probe(&dial, HOME).await;
-            trace.note(&format!("{:?} {outcome:?} {:?}", HostId(host), report.busy));
+            let (outcome, report): (ProbeOutcome, _) = prober.probe(&dial, HOME).await;
+            trace.note(&format!("{:?} {outcome:?} {:?}", HostId(host), report.utilization));
         }
     });
     let told: String =
@@ -301,8 +301,8 @@
     let told = for_ms(10_000, |trace| async move {
         let prober =
             Prober { path: "/load", connect_within: Duration::from_millis(250), most: 1, ties: ties(&trace) };
-        let (outcome, report): (Outcome, _) = prober.probe(&Peer::new(&trace, script), HOME).await;
-        trace.note(&format!("{outcome:?} {:?}", report.busy));
+        let (outcome, report): (ProbeOutcome, _) = prober.probe(&Peer::new(&trace, script), HOME).await;
+        trace.note(&format!("{outcome:?} {:?}", report.utilization));
     });
     assert!(told.ends_with("Answered None\n"), "{told}");
 }
--- a/crates/steward/tests/steward/probes.rs
+++ b/crates/steward/tests/steward/probes.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use amberarch_core::Outcome;
+use amberarch_core::ProbeOutcome;
 use amberarch_steward::probe::Prober;
 
 use crate::peers::{for_ms, ties, Dialled, Peer, HOME};
@@ -32,9 +32,9 @@
 #[test]
 fn a_dial_that_fails_for_want_of_something_here_says_nothing_of_the_host() {
     for errno in [EINTR, ENOMEM, ENFILE, EMFILE, EADDRNOTAVAIL, ENETUNREACH, ENOBUFS] {
-        assert_eq!(outcome(errno), format!("0 {:?}\n", Outcome::Unknown), "errno {errno}");
+        assert_eq!(outcome(errno), format!("0 {:?}\n", ProbeOutcome::Unknown), "errno {errno}");
     }
     for errno in [ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH] {
-        assert_eq!(outcome(errno), format!("0 {:?}\n", Outcome::Unreachable), "errno {errno}");
+        assert_eq!(outcome(errno), format!("0 {:?}\n", ProbeOutcome::Unreachable), "errno {errno}");
     }
 }
