--- a/crates/wirehost/src/events.rs
+++ b/crates/wirehost/src/events.rs
@@ -10,7 +10,7 @@
     End,
     Enlist { who: u64, steward: Box<dyn Decide> },
     Destroy { who: u64 },
-    List { who: u64, news: ListNews, rows: usize },
+    List { who: u64, news: ListUpdate, rows: usize },
     Event { who: u64, event: Event },
 }
 
@@ -58,10 +58,10 @@
         "FLEET" => {
             let _version: u64 = f.number("gen")?;
             let news = match f.text("how")? {
-                "update" => ListNews::Changes,
-                "replace" => ListNews::Whole,
-                "restored" => ListNews::Restored,
-                "unavailable" => ListNews::Failed,
+                "update" => ListUpdate::Changes,
+                "replace" => ListUpdate::Full,
+                "restored" => ListUpdate::FromSnapshot,
+                "unavailable" => ListUpdate::Failed,
                 other => {
                     return Err(format!("expected update, replace, restored or unavailable, found '{other}'"))
                 }
@@ -69,107 +69,107 @@
             let rows = f.number("number of entries")?;
             return Ok(Line::List { who, news, rows });
         }
-        "TOOK_EFFECT" => Event::Applied {
+        "TOOK_EFFECT" => Event::MarkApplied {
             proxy: ProxyId(f.number("sidecar")?),
             mark: MarkId(f.number("gen")?),
-            took: f.time("costTime")?,
+            duration: f.time("costTime")?,
         },
-        "OFFERED_LOAD" => Event::Came {
+        "OFFERED_LOAD" => Event::ProxyReport {
             proxy: ProxyId(f.number("sidecar")?),
-            product: ProductId(f.number("tierClass")?),
+            class: ClassId(f.number("tierClass")?),
             txns: f.number("n")?,
-            voided: f.number("failed")?,
-            over: f.time("covers")?,
+            failed: f.number("failed")?,
+            covered: f.time("covers")?,
         },
         "SUBSCRIBED" => {
             let txns_per_s = f.real("weight")?;
-            Event::Joined {
+            Event::ProxyJoined {
                 proxy: ProxyId(f.number("sidecar")?),
                 zone: ZoneId(f.number("site")?),
                 txns_per_s,
-                fresh: f.flag("set")?,
+                without_table: f.flag("set")?,
             }
         }
-        "TALLY" => Event::Met {
+        "TALLY" => Event::HostReport {
             host: names.id(f.text("host")?),
-            over: f.time("covers")?,
+            covered: f.time("covers")?,
             zone: ZoneId(f.number("site")?),
             tries: f.number("n")?,
-            mean: f.time("costTime")?,
-            voided: f.number("failed")?,
-            report: report(f.text("report")?)?,
+            mean_latency: f.time("costTime")?,
+            failed: f.number("failed")?,
+            load: report(f.text("report")?)?,
         },
         "STANDING_LINE" => {
             let weight = f.real("weight")?;
-            Event::SliceLine {
+            Event::SliceEntry {
                 slice: SliceId(f.number("routeTable")?),
                 host: names.id(f.text("host")?),
                 weight,
             }
         }
-        "MAIL" => Event::Peer {
+        "MAIL" => Event::PeerMessage {
             from: PeerId(f.number("from")?),
-            blob: match f.text("blob")? {
+            payload: match f.text("blob")? {
                 "-" => Vec::new(),
                 text => BASE64_STANDARD
                     .decode(text)
                     .map_err(|_| format!("expected base64 for blob, found '{text}'"))?,
             },
         },
-        "HANDED" => Event::SliceGiven { slice: SliceId(f.number("routeTable")?), ours: f.flag("set")? },
-        "ELAPSED" => Event::Due { timer: TimerId(f.number("ctx")?) },
+        "HANDED" => Event::SliceAssigned { slice: SliceId(f.number("routeTable")?), owned: f.flag("set")? },
+        "ELAPSED" => Event::TimerExpired { timer: TimerId(f.number("ctx")?) },
         "CHECK_RESULT" => {
             let outcome = match f.number::<u8>("result")? {
-                0 => Outcome::Errored,
-                1 => Outcome::Answered,
-                2 => Outcome::Full,
-                3 => Outcome::TimedOut,
-                4 => Outcome::Unreachable,
-                5 => Outcome::Reset,
-                _ => Outcome::Unknown,
+                0 => ProbeOutcome::Errored,
+                1 => ProbeOutcome::Answered,
+                2 => ProbeOutcome::Full,
+                3 => ProbeOutcome::TimedOut,
+                4 => ProbeOutcome::Unreachable,
+                5 => ProbeOutcome::Reset,
+                _ => ProbeOutcome::Unknown,
             };
-            Event::Probed {
+            Event::ProbeResult {
                 outcome,
                 host: names.id(f.text("host")?),
-                took: f.time("costTime")?,
-                report: report(f.text("report")?)?,
+                duration: f.time("costTime")?,
+                load: report(f.text("report")?)?,
             }
         }
         "HOTNESS" => {
-            let voided = f.number("failed")?;
+            let failed = f.number("failed")?;
             let slice = SliceId(f.number("routeTable")?);
-            let over = f.time("covers")?;
-            Event::SliceCame {
+            let covered = f.time("covers")?;
+            Event::SliceReport {
                 slice,
-                voided,
-                over,
-                product: ProductId(f.number("tierClass")?),
+                failed,
+                covered,
+                class: ClassId(f.number("tierClass")?),
                 txns: f.number("n")?,
             }
         }
-        _ => Event::Left { proxy: ProxyId(f.number("sidecar")?) },
+        _ => Event::ProxyLeft { proxy: ProxyId(f.number("sidecar")?) },
     };
     Ok(Line::Event { who, event })
 }
 
-pub fn row(text: &str, names: &mut Names) -> Result<Listed, String> {
+pub fn row(text: &str, names: &mut Names) -> Result<HostEntry, String> {
     let mut f = Fields::new(text);
     match f.word() {
         "ROW" => {}
         other => return Err(format!("expected ROW, found '{other}'")),
     }
     let weight = f.real("weight")?;
-    Ok(Listed {
+    Ok(HostEntry {
         weight,
         zone: ZoneId(f.number("site")?),
         pod: PodId(f.number("stripe")?),
-        kind: KindId(f.number("type")?),
+        instance_type: InstanceTypeId(f.number("type")?),
         host: names.id(f.text("host")?),
-        born: f.maybe_time("born")?.filter(|born| *born != 0.0),
-        standing: match f.text("availability")? {
-            "on" => Standing::On,
-            "fading" => Standing::Draining,
-            "off" => Standing::Gone,
+        started_at: f.maybe_time("born")?.filter(|born| *born != 0.0),
+        availability: match f.text("availability")? {
+            "on" => Availability::InService,
+            "fading" => Availability::Draining,
+            "off" => Availability::Removed,
             other => return Err(format!("expected on, fading or off, found '{other}'")),
         },
     })
@@ -185,10 +185,10 @@
         let (name, value) = pair.split_once(':').ok_or_else(bad)?;
         let value: f64 = value.parse().map_err(|_| bad())?;
         match name {
-            "inflight" => report.in_hand = Some(value),
-            "queue" => report.waiting = Some(value),
-            "util" => report.busy = Some(value),
-            "latency_ms" => report.service = Some(value),
+            "inflight" => report.in_flight = Some(value),
+            "queue" => report.queued = Some(value),
+            "util" => report.utilization = Some(value),
+            "latency_ms" => report.latency = Some(value),
             _ => {}
         }
     }
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -126,7 +126,7 @@
                     instance.events.push(event);
                 }
             }
-            Line::List { who, news, rows } => {
+            Line::List { who, news: update, rows } => {
                 let mut entries = Vec::with_capacity(rows.min(4096));
                 for _ in 0..rows {
                     if !reader.next()? {
@@ -138,7 +138,7 @@
                     }
                 }
                 if let Some(instance) = instances.get_mut(&who) {
-                    instance.events.push(Event::List { news, entries });
+                    instance.events.push(Event::List { update, entries });
                 }
             }
         }
--- a/crates/wirehost/src/orders.rs
+++ b/crates/wirehost/src/orders.rs
@@ -2,54 +2,54 @@
 
 use std::fmt::Write;
 
-use amberarch_core::{Order, Tries};
+use amberarch_core::{Order, RetryPolicy};
 use amberarch_facts::Names;
 use base64::prelude::{Engine, BASE64_STANDARD};
 
 pub fn write(who: u64, order: &Order, names: &mut Names, out: &mut String) {
     let written = match order {
-        Order::Share { tbl, host, weight } => {
+        Order::SetEntry { table, host, weight } => {
             let Some(host) = names.name(*host) else { return };
-            writeln!(out, "ASSIGN {who} {} {weight} {host}", tbl.0)
+            writeln!(out, "ASSIGN {who} {} {weight} {host}", table.0)
         }
-        Order::Clear { tbl } => writeln!(out, "RESET_TABLE {who} {}", tbl.0),
-        Order::Withdraw { host, out: set } => {
+        Order::ClearTable { table } => writeln!(out, "RESET_TABLE {who} {}", table.0),
+        Order::Withdraw { host, withdrawn: set } => {
             let Some(host) = names.name(*host) else { return };
             writeln!(out, "HOLD_BACK {who} {} {host}", u8::from(*set))
         }
-        Order::Bind { proxy, tbl, products } => {
-            writeln!(out, "POINT {who} {} {} {}", proxy.0, tbl.0, products.0)
+        Order::Bind { proxy, table, classes } => {
+            writeln!(out, "POINT {who} {} {} {}", proxy.0, table.0, classes.0)
         }
-        Order::Admit { tbl, products, level, tries } => {
+        Order::Admit { table, classes, level, tries } => {
             let tries = match tries {
-                Tries::One => 0,
-                Tries::AfterProof => 1,
-                Tries::AfterAny => 2,
-                Tries::TwiceAfterAny => 3,
+                RetryPolicy::One => 0,
+                RetryPolicy::AfterProof => 1,
+                RetryPolicy::AfterAny => 2,
+                RetryPolicy::TwiceAfterAny => 3,
             };
-            writeln!(out, "THROTTLE {who} {} {tries} {level} {}", tbl.0, products.0)
+            writeln!(out, "THROTTLE {who} {} {tries} {level} {}", table.0, classes.0)
         }
-        Order::Mark { mark, everyone } => {
-            writeln!(out, "FENCE_POST {who} {} {}", mark.0, u8::from(*everyone))
+        Order::Mark { mark, all_proxies } => {
+            writeln!(out, "FENCE_POST {who} {} {}", mark.0, u8::from(*all_proxies))
         }
         Order::Probe { host } => {
             let Some(host) = names.name(*host) else { return };
             writeln!(out, "ASK_LOAD {who} {host}")
         }
         // Stewards of the simulator start from nothing.
-        Order::Learnt { .. } => return,
-        Order::Forget { host } => return names.forget(*host),
-        Order::Watch { on } => writeln!(out, "FOLLOW {who} {}", u8::from(*on)),
-        Order::Fetch => writeln!(out, "LOOKUP {who}"),
-        Order::Tell { peer, blob } => {
+        Order::StoreHint { .. } => return,
+        Order::ForgetHost { host } => return names.forget(*host),
+        Order::WatchList { on } => writeln!(out, "FOLLOW {who} {}", u8::from(*on)),
+        Order::FetchList => writeln!(out, "LOOKUP {who}"),
+        Order::SendToPeer { peer, payload } => {
             let peer = peer.map_or(-1, |peer| i64::from(peer.0));
-            let blob = match blob.is_empty() {
+            let blob = match payload.is_empty() {
                 true => "-".into(),
-                false => BASE64_STANDARD.encode(blob),
+                false => BASE64_STANDARD.encode(payload),
             };
             writeln!(out, "WRITE_PEER {who} {peer} {blob}")
         }
-        Order::Timer { after, timer } => {
+        Order::StartTimer { after, timer } => {
             let ns = (after * 1e6).round().max(0.0) as u64;
             writeln!(out, "DEFER {who} {ns} {}", timer.0)
         }
