--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -13,7 +13,7 @@
 mod world;
 
 use amberarch_core::*;
-use amberarch_policy::Steward;
+use amberarch_policy::Controller;
 
 pub use arrivals::{Arrivals, Spoilt, Trial};
 pub use discovery::Asked;
@@ -180,7 +180,7 @@
         1_000.0 * f64::from(self.hosts * self.cores) * self.use_of_cores / work
     }
 
-    fn steward(&self, seed: u64) -> Steward {
+    fn steward(&self, seed: u64) -> Controller {
         let post = InstanceSettings {
             seed,
             zone: ZoneId(0),
@@ -203,7 +203,7 @@
     }
 
     /// One with that post and channel; `asked`: it has to ask for the list.
-    fn steward_at(&self, post: InstanceSettings, channel: Channel, on_request: bool) -> Steward {
+    fn steward_at(&self, post: InstanceSettings, channel: Channel, on_request: bool) -> Controller {
         let sidecars = ProxySettings {
             proxy_count: u32::from(self.proxies),
             bootstrap_hosts: STANDING,
@@ -219,7 +219,7 @@
             removal_not_binding: false,
         };
         let products = self.products.iter().map(|(product, ..)| product.clone()).collect();
-        Steward::new(post, products, channel, sidecars, self.warmup.clone(), roster, self.sums.clone())
+        Controller::new(post, products, channel, sidecars, self.warmup.clone(), roster, self.sums.clone())
     }
 }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -186,7 +186,10 @@
         let each = shape.rate() / f64::from(shape.proxies);
         let rates: Vec<f64> = shape.products.iter().map(|(_, part, _)| part * each).collect();
         let proxy = |at| Proxy::new(ZoneId(at % shape.zones), rates.clone());
-        let line = intake::Line { load: amberarch_policy::FULL_LOAD, beside: amberarch_policy::BESIDE };
+        let line = intake::Line {
+            load: amberarch_policy::OVERLOAD_THRESHOLD,
+            beside: amberarch_policy::OVERLOAD_RATIO_TO_MEDIAN,
+        };
         let intake = match reports {
             Reports::Off => None,
             Reports::On { each } => {
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -9,7 +9,7 @@
 use std::str::FromStr;
 
 use amberarch_core::*;
-use amberarch_policy::Steward;
+use amberarch_policy::Controller;
 use serde_json::Value;
 
 pub use names::Names;
@@ -202,9 +202,9 @@
     }
 
     /// A new controller with these settings.
-    pub fn steward(&self, seed: u64) -> Result<Steward, String> {
+    pub fn steward(&self, seed: u64) -> Result<Controller, String> {
         let Start { post, products, channel, sidecars, warmup, roster, sums } = self.start(seed)?;
-        Ok(Steward::new(post, products, channel, sidecars, warmup, roster, sums))
+        Ok(Controller::new(post, products, channel, sidecars, warmup, roster, sums))
     }
 
     /// The bootstrap settings, for a subsystem that needs them without a controller.
--- a/crates/guard/tests/guard/seeded.rs
+++ b/crates/guard/tests/guard/seeded.rs
@@ -5,14 +5,14 @@
 
 use amberarch_core::*;
 use amberarch_guard::*;
-use amberarch_policy::Steward;
+use amberarch_policy::Controller;
 
 use crate::help::*;
 
 /// The decisions with a fault: each line of a table goes out one batch late, so that proxies are bound before anything
 /// in their table serves.
 struct BindsFirst {
-    inner: Steward,
+    inner: Controller,
     late: Vec<Order>,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-fn steward() -> Steward {
+fn steward() -> Controller {
     let post = InstanceSettings {
         seed: 1,
         zone: ZoneId(0),
@@ -65,7 +65,7 @@
     };
     let facts = facts(1, 0);
     let sums = ReportSettings { interval: 2_000.0, max_lines_per_s: 1_000.0 };
-    Steward::new(post, vec![product], facts.channel, sidecars, facts.warmup, roster, sums)
+    Controller::new(post, vec![product], facts.channel, sidecars, facts.warmup, roster, sums)
 }
 
 /// What is found over ten seconds of decisions, behind a door that only watches.
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use amberarch_core::*;
-use amberarch_policy::Steward;
+use amberarch_policy::Controller;
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, SamplingMode};
 
 const ZONES: u16 = 5;
@@ -21,7 +21,7 @@
 
 /// The state of a fleet between two decisions, and one controller with its share of the proxies.
 struct Fixture {
-    steward: Steward,
+    steward: Controller,
     now: f64,
     proxies: Vec<(ProxyId, ZoneId)>,
     hosts: Vec<u32>,
@@ -108,7 +108,7 @@
             }
         };
         let products = (0..PRODUCTS).map(product).collect();
-        let steward = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
+        let steward = Controller::new(post, products, channel, sidecars, warmup, roster, sums);
         let all = (0..proxies).map(|proxy| (ProxyId(proxy), ZoneId(proxy % ZONES)));
         let own_proxies = all.filter(|(_, zone)| u32::from(zone.0) % controllers == 0).collect();
         let (hosts, next_host) = ((0..hosts).collect(), hosts);
--- a/crates/policy/src/binds.rs
+++ b/crates/policy/src/binds.rs
@@ -39,7 +39,7 @@
     /// How many of these binds, in their order, have to be sent now so that none is applied after the grace
     /// of its proxy.
     fn count_overdue(&self, binds: &[Bind]) -> usize {
-        let Steward { proxies, channel, list_settings, .. } = self.controller;
+        let Controller { proxies, channel, list_settings, .. } = self.controller;
         let mut lines_ahead = self.backlog_lines;
         let mut overdue = 0;
         for (index, ((proxy, table), _)) in binds.iter().enumerate() {
@@ -113,7 +113,7 @@
     /// because the next proxy's table has no usable host: its hosts could not be restored before an answer
     /// arrived.
     pub(crate) fn probe_channel(&mut self, desired: &DesiredState) -> Option<(usize, f64)> {
-        let Steward { channel, stall_detector, .. } = self.controller;
+        let Controller { channel, stall_detector, .. } = self.controller;
         if !self.channel_refused || !self.lines_by_proxy.is_empty() {
             return None;
         }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -59,7 +59,7 @@
     }
 }
 
-impl Steward {
+impl Controller {
     pub(crate) fn handle_probe(
         &mut self,
         now: f64,
--- a/crates/policy/src/hear.rs
+++ b/crates/policy/src/hear.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
-impl Steward {
+impl Controller {
     pub(crate) fn handle_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { update: ListUpdate::Failed, .. } => {
--- a/crates/policy/src/levels.rs
+++ b/crates/policy/src/levels.rs
@@ -50,7 +50,7 @@
     rate_cap(rates, share).map_or(1e6, |cap| 2f64.powf((cap.max(0.05).log2() * 4.0).round() / 4.0))
 }
 
-impl Steward {
+impl Controller {
     /// Plans the admission levels of a zone from the zone's own figures: traffic at the hosts as reported by
     /// its proxies, and its demand.
     pub(crate) fn plan_levels(
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,4 @@
-//! amberarch's decisions. Create one [`Steward`] from the bootstrap settings, pass all events of one moment
+//! amberarch's decisions. Create one [`Controller`] from the bootstrap settings, pass all events of one moment
 //! to `decide`, and carry out the returned orders in their order. docs/design.md describes the design and
 //! where it departs from its source.
 
@@ -19,11 +19,11 @@
 mod seats;
 mod stall;
 
-pub use parts::{BESIDE, FULL_LOAD};
+pub use parts::{OVERLOAD_RATIO_TO_MEDIAN, OVERLOAD_THRESHOLD};
 use {bind_wait::*, health::*, levels::*, limits::*, parts::*, plan::*, reply::*, seats::*, stall::*};
 
 /// The controller: it receives all events and decides on the orders to the proxies.
-pub struct Steward {
+pub struct Controller {
     instance: InstanceSettings,
     /// The request classes, in the order of their ids.
     classes: Vec<RequestClass>,
@@ -81,7 +81,7 @@
 /// The interval between plans.
 const TICK_MS: f64 = PROBE_PERIOD_MS / 5.0;
 
-impl Decide for Steward {
+impl Decide for Controller {
     fn decide(&mut self, now: f64, events: &[Event]) -> Vec<Order> {
         let mut orders = Vec::new();
         events.iter().for_each(|event| self.handle_event(now, event));
@@ -110,7 +110,7 @@
     }
 }
 
-impl Steward {
+impl Controller {
     /// Creates a controller without hosts and proxies.
     #[rustfmt::skip]
     pub fn new(
@@ -121,7 +121,7 @@
             classes.iter().map(|class| class.latency_target).sum::<f64>() / classes.len().max(1) as f64;
         let (reach_rules, published) =
             (ReachRules::new(&classes, instance.zone_count), PublishedState::new(instance.zone_count));
-        Steward {
+        Controller {
             instance, classes, mean_latency_target, proxy_settings, warmup, report_settings, channel,
             list_settings, backlog: ChannelBacklog::default(), stall_detector: StallDetector::default(),
             withdrawals_delayed: false, unbound_monitor: UnboundProxyMonitor::default(), report_cover: 0.0,
--- a/crates/policy/src/parts.rs
+++ b/crates/policy/src/parts.rs
@@ -3,10 +3,10 @@
 
 use super::*;
 
-/// A host counts as overloaded by its reported load if that is above `FULL_LOAD` (half as many txns wait as
-/// run) and above `BESIDE` times the median of the hosts.
-pub const FULL_LOAD: f64 = 1.5;
-pub const BESIDE: f64 = 2.0;
+/// A host counts as overloaded by its reported load if that is above `OVERLOAD_THRESHOLD` (half as many txns wait as
+/// run) and above `OVERLOAD_RATIO_TO_MEDIAN` times the median of the hosts.
+pub const OVERLOAD_THRESHOLD: f64 = 1.5;
+pub const OVERLOAD_RATIO_TO_MEDIAN: f64 = 2.0;
 /// How long a reported load is used, in ms, and the least confidence it must have.
 pub const LOAD_VALID_MS: f64 = 2_000.0;
 pub const MIN_LOAD_CONFIDENCE: f64 = 0.5;
@@ -114,14 +114,18 @@
         let Some((load, _)) = self.observed_load.filter(|seen| now < seen.1 + LOAD_VALID_MS) else { return };
         let due =
             now >= self.latency_factor_at + 2.0 * report_cover + 2_000.0 && self.capacity(now, warmup) >= 1.0;
-        if due && load > FULL_LOAD && load > BESIDE * median_load && self.latency_factor > 0.15 {
+        if due
+            && load > OVERLOAD_THRESHOLD
+            && load > OVERLOAD_RATIO_TO_MEDIAN * median_load
+            && self.latency_factor > 0.15
+        {
             (self.latency_factor, self.latency_factor_at) =
-                (self.latency_factor * (BESIDE * median_load / load).clamp(0.5, 0.75), now);
+                (self.latency_factor * (OVERLOAD_RATIO_TO_MEDIAN * median_load / load).clamp(0.5, 0.75), now);
         }
     }
 }
 
-impl Steward {
+impl Controller {
     /// Guards against a slow instance type that carries a quick one's weight where listed weights are all
     /// equal and reports are rare: the hosts of one type together show in one report period what a single
     /// host shows in three. Each host raises its factor again on its own.
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -21,7 +21,7 @@
     cold_zones: BTreeSet<ZoneId>,
 }
 
-impl Steward {
+impl Controller {
     pub(crate) fn desired_state(&mut self, now: f64) -> DesiredState {
         let mut view = self.fleet_view(now);
         view.withdrawn = self.hosts_to_withdraw(now, &view);
--- a/crates/policy/src/publish.rs
+++ b/crates/policy/src/publish.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-impl Steward {
+impl Controller {
     /// Sends what the channel accepts of the differences between desired and published state.
     pub(crate) fn publish(&mut self, now: f64, desired: DesiredState, orders: &mut Vec<Order>) {
         let published = std::mem::take(&mut self.published);
--- a/crates/policy/src/reply.rs
+++ b/crates/policy/src/reply.rs
@@ -6,7 +6,7 @@
 pub struct Reply<'a> {
     /// The time of the decision, in ms.
     pub(crate) now: f64,
-    pub(crate) controller: &'a Steward,
+    pub(crate) controller: &'a Controller,
     /// The published state with the orders of this reply applied.
     pub(crate) published: PublishedState,
     /// Tables that a request class still uses although they do not conform to its reach: no entries are added
@@ -29,7 +29,7 @@
 
 impl<'a> Reply<'a> {
     /// Starts a reply without orders.
-    pub(crate) fn new(now: f64, controller: &'a Steward, published: PublishedState) -> Reply<'a> {
+    pub(crate) fn new(now: f64, controller: &'a Controller, published: PublishedState) -> Reply<'a> {
         Reply {
             now,
             controller,
@@ -72,7 +72,7 @@
     pub(crate) fn enqueue(
         &mut self, limits: Limits, recipients: &[ProxyId], lines_each: f64, orders: &[Order],
     ) -> Result<(), Refusal> {
-        let Steward { channel, backlog, .. } = self.controller;
+        let Controller { channel, backlog, .. } = self.controller;
         let (window, max_messages) =
             (channel.message_window + 2.0 * BUCKET_MS, limits.message_fraction * f64::from(channel.max_messages));
         let at_message_limit = |id: &ProxyId| {
--- a/crates/policy/tests/policy/fleet.rs
+++ b/crates/policy/tests/policy/fleet.rs
@@ -2,10 +2,10 @@
 //! their orders as a trace of short lines.
 
 use amberarch_core::*;
-use amberarch_policy::Steward;
+use amberarch_policy::Controller;
 
 pub struct Fleet {
-    pub controller: Steward,
+    pub controller: Controller,
     /// Orders and notes, one per line with the time in ms.
     pub trace: String,
     /// ms
@@ -132,7 +132,7 @@
             removal_not_binding: false,
         };
         let sums = ReportSettings { interval: 1_000.0, max_lines_per_s: 100.0 };
-        let controller = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
+        let controller = Controller::new(post, products, channel, sidecars, warmup, roster, sums);
         let (mark, trace) = (MarkId(0), String::new());
         let mut fleet = Fleet {
             controller,
--- a/crates/policy/tests/policy/model.rs
+++ b/crates/policy/tests/policy/model.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::*;
-use amberarch_policy::Steward;
+use amberarch_policy::Controller;
 use proptest::prelude::*;
 
 use crate::fleet::product;
@@ -230,7 +230,7 @@
         removal_not_binding: false,
     };
     let sums = ReportSettings { interval: 1_000.0, max_lines_per_s: 100.0 };
-    let mut controller = Steward::new(post, products, channel, sidecars, warmup, roster, sums);
+    let mut controller = Controller::new(post, products, channel, sidecars, warmup, roster, sums);
     let entry = |host: u32, zone: u16, availability, started_at| HostEntry {
         host: HostId(host),
         weight: 1.0,
--- a/crates/steward/src/intake.rs
+++ b/crates/steward/src/intake.rs
@@ -33,7 +33,10 @@
         message_bytes: *section.most_message_bytes.get_ref() as usize,
         window: section.window(),
     };
-    let line = Line { load: amberarch_policy::FULL_LOAD, beside: amberarch_policy::BESIDE };
+    let line = Line {
+        load: amberarch_policy::OVERLOAD_THRESHOLD,
+        beside: amberarch_policy::OVERLOAD_RATIO_TO_MEDIAN,
+    };
     let reports_per_s = f64::from(*section.reports_per_s.get_ref());
     let echo = Echo((unix_ms * 1e3) as u64);
     let basis = Basis { reports_per_s, line, start: start.into_std(), echo };
