--- a/crates/steward/tests/steward/desk.rs
+++ b/crates/steward/tests/steward/desk.rs
@@ -155,13 +155,13 @@
         (entries, named)
     };
     let (entries, named) = told(true);
-    expect!["100 seed 5: List { news: Changes, entries: [Listed { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), kind: KindId(1), born: None, standing: Gone }] }"].assert_eq(&entries);
+    expect!["100 seed 5: List { update: Changes, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: Removed }] }"].assert_eq(&entries);
     assert!(named.is_empty(), "{named:?}");
     let (entries, named) = told(false);
-    expect!["100 seed 5: List { news: Changes, entries: [] }"].assert_eq(&entries);
+    expect!["100 seed 5: List { update: Changes, entries: [] }"].assert_eq(&entries);
     assert_eq!(named, ["s-0"]);
     let back = told_under(vec![(100, moved(42, "nowhere")), (200, moved(43, "b"))], None, true);
-    let there = "Changes, entries: [Listed { host: HostId(0), weight: 1.0, zone: ZoneId(1), pod: PodId(3), kind: KindId(1), born: None, standing: On }";
+    let there = "Changes, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }";
     assert!(back.contains(there), "{back}");
 }
 
@@ -179,9 +179,9 @@
     let listing = Listing { seq: 42, whole: false, hosts };
     let trace = told(vec![(100, joins(1, true)), (200, Heard::Listed(listing))]);
     expect![[r#"
-        0 seed 5: List { news: Restored, entries: [Listed { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), kind: KindId(1), born: None, standing: On }] }
-        100 seed 5: Joined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, fresh: true }
-        200 seed 5: List { news: Changes, entries: [Listed { host: HostId(1), weight: 1.0, zone: ZoneId(1), pod: PodId(3), kind: KindId(1), born: Some(-4000.0), standing: On }, Listed { host: HostId(2), weight: 1.0, zone: ZoneId(1), pod: PodId(3), kind: KindId(1), born: None, standing: Gone }] }
+        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        100 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
+        200 seed 5: List { update: Changes, entries: [HostEntry { host: HostId(1), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: Some(-4000.0), availability: InService }, HostEntry { host: HostId(2), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: Removed }] }
         200 reply Some(MarkId(905))
         {"op":"share","server":"s-0","table":4,"weight":1.5}
         {"op":"withdraw","server":"s-0"}
@@ -195,9 +195,9 @@
         200 ask Watch
         200 probe HostId(0) at 127.0.0.2:3000
         200 probe HostId(1) at 127.0.0.4:3000
-        1701 seed 5: Due { timer: TimerId(7) }
-        1701 seed 6: List { news: Restored, entries: [Listed { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), kind: KindId(1), born: None, standing: On }, Listed { host: HostId(1), weight: 1.0, zone: ZoneId(1), pod: PodId(3), kind: KindId(1), born: Some(-4000.0), standing: On }, Listed { host: HostId(2), weight: 1.0, zone: ZoneId(1), pod: PodId(3), kind: KindId(1), born: None, standing: Gone }] }
-        1701 seed 6: Joined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, fresh: false }
+        1701 seed 5: TimerExpired { timer: TimerId(7) }
+        1701 seed 6: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }, HostEntry { host: HostId(1), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: Some(-4000.0), availability: InService }, HostEntry { host: HostId(2), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: Removed }] }
+        1701 seed 6: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: false }
         1701 reply None
         {"op":"restore","server":"s-1"}
         {"op":"withdraw","server":"s-2"}
@@ -215,7 +215,7 @@
             (1_000, Heard::Listed(Listing { seq: 42, whole: false, hosts })),
         ]);
         let born =
-            trace.split("born: Some(").nth(1).and_then(|rest| rest.split(')').next()?.parse::<f64>().ok());
+            trace.split("started_at: Some(").nth(1).and_then(|rest| rest.split(')').next()?.parse::<f64>().ok());
         born.unwrap_or_else(|| panic!("no start in {trace}"))
     };
     const HOUR: f64 = 3.6e6;
@@ -249,20 +249,20 @@
         (250, Heard::Stood),
     ]);
     expect![[r#"
-        0 seed 5: List { news: Restored, entries: [Listed { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), kind: KindId(1), born: None, standing: On }] }
-        0 seed 5: Joined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, fresh: true }
-        0 seed 5: Joined { proxy: ProxyId(2), zone: ZoneId(1), txns_per_s: 2.0, fresh: true }
-        0 seed 5: Joined { proxy: ProxyId(3), zone: ZoneId(1), txns_per_s: 2.0, fresh: true }
-        0 seed 5: Joined { proxy: ProxyId(4), zone: ZoneId(1), txns_per_s: 2.0, fresh: true }
-        100 seed 5: Left { proxy: ProxyId(2) }
-        100 seed 5: Joined { proxy: ProxyId(2), zone: ZoneId(1), txns_per_s: 2.0, fresh: true }
-        100 seed 5: Left { proxy: ProxyId(4) }
-        100 seed 5: Joined { proxy: ProxyId(4), zone: ZoneId(1), txns_per_s: 2.0, fresh: false }
-        150 seed 5: Left { proxy: ProxyId(3) }
-        200 seed 5: Left { proxy: ProxyId(1) }
-        200 seed 5: Joined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, fresh: false }
-        250 seed 5: Left { proxy: ProxyId(2) }
-        250 seed 5: Left { proxy: ProxyId(4) }
+        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
+        0 seed 5: ProxyJoined { proxy: ProxyId(2), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
+        0 seed 5: ProxyJoined { proxy: ProxyId(3), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
+        0 seed 5: ProxyJoined { proxy: ProxyId(4), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
+        100 seed 5: ProxyLeft { proxy: ProxyId(2) }
+        100 seed 5: ProxyJoined { proxy: ProxyId(2), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
+        100 seed 5: ProxyLeft { proxy: ProxyId(4) }
+        100 seed 5: ProxyJoined { proxy: ProxyId(4), zone: ZoneId(1), txns_per_s: 2.0, without_table: false }
+        150 seed 5: ProxyLeft { proxy: ProxyId(3) }
+        200 seed 5: ProxyLeft { proxy: ProxyId(1) }
+        200 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: false }
+        250 seed 5: ProxyLeft { proxy: ProxyId(2) }
+        250 seed 5: ProxyLeft { proxy: ProxyId(4) }
     "#]].assert_eq(&trace);
 }
 
@@ -294,9 +294,9 @@
         rate(1, "write"),
     ];
     expect![[r#"
-        0 seed 5: List { news: Restored, entries: [Listed { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), kind: KindId(1), born: None, standing: On }] }
-        0 seed 5: Met { host: HostId(0), zone: ZoneId(0), over: 1000.0, tries: 4, voided: 1, mean: 40.0, report: LoadReport { in_hand: None, waiting: None, busy: None, service: None } }
-        0 seed 5: Came { proxy: ProxyId(1), product: ProductId(1), txns: 3, voided: 1, over: 1000.0 }
+        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: HostReport { host: HostId(0), zone: ZoneId(0), covered: 1000.0, tries: 4, failed: 1, mean_latency: 40.0, load: LoadReport { in_flight: None, queued: None, utilization: None, latency: None } }
+        0 seed 5: ProxyReport { proxy: ProxyId(1), class: ClassId(1), txns: 3, failed: 1, covered: 1000.0 }
     "#]].assert_eq(&told(sums.map(|sum| (0, Heard::Sum(sum))).into()));
 }
 
@@ -313,12 +313,12 @@
         (300, listing(43, 1e12 - 4_000.0)),
         (400, listing(44, 1e12 - 1_000.0)),
     ]);
-    let born = trace.lines().filter(|line| line.contains("Whole"));
-    let born: Vec<&str> = born.filter_map(|line| line.split("born: ").nth(1)).collect();
+    let born = trace.lines().filter(|line| line.contains("update: Full"));
+    let born: Vec<&str> = born.filter_map(|line| line.split("started_at: ").nth(1)).collect();
     expect![[r#"
-        Some(-4000.0), standing: On }] }
-        Some(-4000.0), standing: On }] }
-        Some(-1000.0), standing: On }] }"#]]
+        Some(-4000.0), availability: InService }] }
+        Some(-4000.0), availability: InService }] }
+        Some(-1000.0), availability: InService }] }"#]]
     .assert_eq(&born.join("\n"));
 }
 
@@ -337,15 +337,15 @@
         (300, Heard::NotTaken { binds: None, orders: vec![] }),
     ]);
     expect![[r#"
-        0 seed 5: List { news: Restored, entries: [Listed { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), kind: KindId(1), born: None, standing: On }] }
-        0 seed 5: Joined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, fresh: true }
-        100 seed 5: Left { proxy: ProxyId(1) }
-        100 seed 5: Joined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, fresh: false }
-        250 seed 5: Applied { proxy: ProxyId(1), mark: MarkId(9), took: 3.5 }
+        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
+        100 seed 5: ProxyLeft { proxy: ProxyId(1) }
+        100 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: false }
+        250 seed 5: MarkApplied { proxy: ProxyId(1), mark: MarkId(9), duration: 3.5 }
         250 reply None
         {"op":"withdraw","server":"s-0"}
-        1000 seed 6: List { news: Restored, entries: [] }
-        1000 seed 6: Joined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, fresh: false }
+        1000 seed 6: List { update: FromSnapshot, entries: [] }
+        1000 seed 6: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: false }
         1000 reply None
 
     "#]].assert_eq(&trace);
@@ -374,14 +374,14 @@
         (500, Heard::Probed { host, entry, outcome, took: 1.0, report }),
     ]);
     expect![[r#"
-        0 seed 5: List { news: Restored, entries: [Listed { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), kind: KindId(1), born: None, standing: On }] }
-        0 seed 5: Joined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, fresh: true }
-        100 seed 5: Applied { proxy: ProxyId(1), mark: MarkId(9), took: 1.0 }
+        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
+        100 seed 5: MarkApplied { proxy: ProxyId(1), mark: MarkId(9), duration: 1.0 }
         100 reply None
         {"op":"withdraw","server":"s-0"}
-        300 seed 5: List { news: Whole, entries: [Listed { host: HostId(1), weight: 1.0, zone: ZoneId(0), pod: PodId(3), kind: KindId(1), born: None, standing: On }] }
-        400 seed 5: Met { host: HostId(1), zone: ZoneId(0), over: 1000.0, tries: 4, voided: 1, mean: 40.0, report: LoadReport { in_hand: None, waiting: None, busy: None, service: None } }
-        500 seed 5: Probed { host: HostId(0), outcome: Answered, took: 1.0, report: LoadReport { in_hand: None, waiting: None, busy: None, service: None } }
+        300 seed 5: List { update: Full, entries: [HostEntry { host: HostId(1), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        400 seed 5: HostReport { host: HostId(1), zone: ZoneId(0), covered: 1000.0, tries: 4, failed: 1, mean_latency: 40.0, load: LoadReport { in_flight: None, queued: None, utilization: None, latency: None } }
+        500 seed 5: ProbeResult { host: HostId(0), outcome: Answered, duration: 1.0, load: LoadReport { in_flight: None, queued: None, utilization: None, latency: None } }
     "#]].assert_eq(&trace);
 }
 
@@ -422,7 +422,7 @@
         ],
         Some(witness.clone()),
     );
-    assert!(trace.contains("Load { host: HostId(1), load: 1.25, age: 80.0, sure: 1.0 }"), "{trace}");
+    assert!(trace.contains("LoadEstimate { host: HostId(1), load: 1.25, age: 80.0, confidence: 1.0 }"), "{trace}");
     let told = witness.take();
     let listed: Vec<String> =
         told.list.into_iter().flatten().map(|host| format!("{} {:?}", host.name, host.born)).collect();
--- a/crates/steward/tests/steward/governed.rs
+++ b/crates/steward/tests/steward/governed.rs
@@ -148,30 +148,30 @@
 #[test]
 fn a_reply_that_would_break_residency_is_sent_without_that_and_the_decisions_start_anew() {
     expect![[r#"
-        0 seed 5: Bound { zone: ZoneId(0), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
-        0 seed 5: Bound { zone: ZoneId(1), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
-        0 seed 5: Reach { zone: ZoneId(0), product: ProductId(0), zones: Zones(0) }
-        0 seed 5: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(0) }
-        100 seed 5: Bound { zone: ZoneId(0), product: ProductId(0), share: 1.0, tries: TwiceAfterAny }
-        100 seed 5: Bound { zone: ZoneId(1), product: ProductId(0), share: 1.0, tries: TwiceAfterAny }
-        100 seed 5: Reach { zone: ZoneId(0), product: ProductId(0), zones: Zones(340282366920938463463374607431768211455) }
-        100 seed 5: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(2) }
+        0 seed 5: ServiceBound { zone: ZoneId(0), class: ClassId(0), max_share: 0.0, max_tries: TwiceAfterAny }
+        0 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(0), max_share: 0.0, max_tries: TwiceAfterAny }
+        0 seed 5: ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones: Zones(0) }
+        0 seed 5: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(0) }
+        100 seed 5: ServiceBound { zone: ZoneId(0), class: ClassId(0), max_share: 1.0, max_tries: TwiceAfterAny }
+        100 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(0), max_share: 1.0, max_tries: TwiceAfterAny }
+        100 seed 5: ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones: Zones(340282366920938463463374607431768211455) }
+        100 seed 5: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(2) }
         100 stage 1 settled: true
         200 reply under 1 of life 0
         {"op":"share","server":"s-a","table":4,"weight":1.0}
         {"op":"bind","proxy":1,"routes":["write"],"table":4}
         {"nonce_out":7,"on":1,"op":"mark"}
-        1000 seed 6: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(2) }
+        1000 seed 6: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(2) }
         1000 reply under 1 of life 1
         {"op":"share","server":"s-a","table":4,"weight":1.0}
         {"op":"bind","proxy":1,"routes":["write"],"table":4}
         {"nonce_out":4103,"on":1,"op":"mark"}
-        2000 seed 7: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(2) }
+        2000 seed 7: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(2) }
         2000 reply under 1 of life 2
         {"op":"share","server":"s-a","table":4,"weight":1.0}
         {"op":"bind","proxy":1,"routes":["write"],"table":4}
         {"nonce_out":8199,"on":1,"op":"mark"}
-        3000 seed 8: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(2) }
+        3000 seed 8: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(2) }
         3000 reply under 1 of life 3
         {"op":"share","server":"s-a","table":4,"weight":1.0}
         {"op":"bind","proxy":1,"routes":["write"],"table":4}
@@ -186,14 +186,14 @@
 fn what_the_fleet_governs_beside_the_file_is_declined_while_it_can_not_be_known_what_holds() {
     let also = Holds { under: Under(1), stage: None, rules: vec![], also: [ClassId(1)].into() };
     expect![[r#"
-        0 seed 5: Bound { zone: ZoneId(0), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
-        0 seed 5: Bound { zone: ZoneId(1), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
-        0 seed 5: Reach { zone: ZoneId(0), product: ProductId(0), zones: Zones(0) }
-        0 seed 5: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(0) }
-        100 seed 5: Bound { zone: ZoneId(0), product: ProductId(1), share: 0.0, tries: TwiceAfterAny }
-        100 seed 5: Bound { zone: ZoneId(1), product: ProductId(1), share: 0.0, tries: TwiceAfterAny }
-        100 seed 5: Reach { zone: ZoneId(0), product: ProductId(1), zones: Zones(0) }
-        100 seed 5: Reach { zone: ZoneId(1), product: ProductId(1), zones: Zones(0) }
+        0 seed 5: ServiceBound { zone: ZoneId(0), class: ClassId(0), max_share: 0.0, max_tries: TwiceAfterAny }
+        0 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(0), max_share: 0.0, max_tries: TwiceAfterAny }
+        0 seed 5: ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones: Zones(0) }
+        0 seed 5: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(0) }
+        100 seed 5: ServiceBound { zone: ZoneId(0), class: ClassId(1), max_share: 0.0, max_tries: TwiceAfterAny }
+        100 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(1), max_share: 0.0, max_tries: TwiceAfterAny }
+        100 seed 5: ReachRule { zone: ZoneId(0), class: ClassId(1), allowed_zones: Zones(0) }
+        100 seed 5: ReachRule { zone: ZoneId(1), class: ClassId(1), allowed_zones: Zones(0) }
         3500 breaches 0
     "#]]
     .assert_eq(&told(vec![(100, Heard::Holds(also))]));
@@ -204,14 +204,14 @@
 fn a_change_is_settled_only_once_the_proxies_have_answered() {
     let applied = Heard::News(News::Applied { proxy: 1, mark: 7, took_ms: 20.0 });
     expect![[r#"
-        0 seed 5: Bound { zone: ZoneId(0), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
-        0 seed 5: Bound { zone: ZoneId(1), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
-        0 seed 5: Reach { zone: ZoneId(0), product: ProductId(0), zones: Zones(0) }
-        0 seed 5: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(0) }
-        100 seed 5: Bound { zone: ZoneId(0), product: ProductId(0), share: 1.0, tries: TwiceAfterAny }
-        100 seed 5: Bound { zone: ZoneId(1), product: ProductId(0), share: 1.0, tries: TwiceAfterAny }
-        100 seed 5: Reach { zone: ZoneId(0), product: ProductId(0), zones: Zones(340282366920938463463374607431768211455) }
-        100 seed 5: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(1) }
+        0 seed 5: ServiceBound { zone: ZoneId(0), class: ClassId(0), max_share: 0.0, max_tries: TwiceAfterAny }
+        0 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(0), max_share: 0.0, max_tries: TwiceAfterAny }
+        0 seed 5: ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones: Zones(0) }
+        0 seed 5: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(0) }
+        100 seed 5: ServiceBound { zone: ZoneId(0), class: ClassId(0), max_share: 1.0, max_tries: TwiceAfterAny }
+        100 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(0), max_share: 1.0, max_tries: TwiceAfterAny }
+        100 seed 5: ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones: Zones(340282366920938463463374607431768211455) }
+        100 seed 5: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(1) }
         100 stage 1 settled: true
         200 stage 1 settled: false
         200 reply under 1 of life 0
@@ -292,18 +292,18 @@
     let heard =
         vec![(100, holds(1, ANYWHERE)), (200, bound(0.4)), (300, bound(0.3)), (400, Heard::Bound(None))];
     expect![[r#"
-        0 seed 5: Bound { zone: ZoneId(0), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
-        0 seed 5: Bound { zone: ZoneId(1), product: ProductId(0), share: 0.0, tries: TwiceAfterAny }
-        0 seed 5: Reach { zone: ZoneId(0), product: ProductId(0), zones: Zones(0) }
-        0 seed 5: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(0) }
-        100 seed 5: Bound { zone: ZoneId(0), product: ProductId(0), share: 1.0, tries: TwiceAfterAny }
-        100 seed 5: Bound { zone: ZoneId(1), product: ProductId(0), share: 1.0, tries: TwiceAfterAny }
-        100 seed 5: Reach { zone: ZoneId(0), product: ProductId(0), zones: Zones(340282366920938463463374607431768211455) }
-        100 seed 5: Reach { zone: ZoneId(1), product: ProductId(0), zones: Zones(1) }
+        0 seed 5: ServiceBound { zone: ZoneId(0), class: ClassId(0), max_share: 0.0, max_tries: TwiceAfterAny }
+        0 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(0), max_share: 0.0, max_tries: TwiceAfterAny }
+        0 seed 5: ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones: Zones(0) }
+        0 seed 5: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(0) }
+        100 seed 5: ServiceBound { zone: ZoneId(0), class: ClassId(0), max_share: 1.0, max_tries: TwiceAfterAny }
+        100 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(0), max_share: 1.0, max_tries: TwiceAfterAny }
+        100 seed 5: ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones: Zones(340282366920938463463374607431768211455) }
+        100 seed 5: ReachRule { zone: ZoneId(1), class: ClassId(0), allowed_zones: Zones(1) }
         100 stage 1 settled: true
-        200 seed 5: Bound { zone: ZoneId(1), product: ProductId(1), share: 0.4, tries: TwiceAfterAny }
-        300 seed 5: Bound { zone: ZoneId(1), product: ProductId(1), share: 0.3, tries: TwiceAfterAny }
-        400 seed 5: Bound { zone: ZoneId(1), product: ProductId(1), share: 1.0, tries: TwiceAfterAny }
+        200 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(1), max_share: 0.4, max_tries: TwiceAfterAny }
+        300 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(1), max_share: 0.3, max_tries: TwiceAfterAny }
+        400 seed 5: ServiceBound { zone: ZoneId(1), class: ClassId(1), max_share: 1.0, max_tries: TwiceAfterAny }
         3500 breaches 0
     "#]].assert_eq(&told(heard));
 }
@@ -412,11 +412,11 @@
     expect![[r#"
         0 a connection
         0 POST /txn {"changes":[0]}
-        100 -> Fenced { life: 0, orders: [Clear { tbl: TblId(1) }] }
-        200 -> Fenced { life: 0, orders: [Clear { tbl: TblId(2) }] }
+        100 -> Fenced { life: 0, orders: [ClearTable { table: TableId(1) }] }
+        200 -> Fenced { life: 0, orders: [ClearTable { table: TableId(2) }] }
         300 POST /txn {"changes":[3]}
-        500 -> Fenced { life: 1, orders: [Clear { tbl: TblId(4) }] }
-        600 -> Fenced { life: 2, orders: [Clear { tbl: TblId(5) }] }
+        500 -> Fenced { life: 1, orders: [ClearTable { table: TableId(4) }] }
+        600 -> Fenced { life: 2, orders: [ClearTable { table: TableId(5) }] }
         2500 fenced calls 3
     "#]]
     .assert_eq(&written(script, replies));
@@ -430,7 +430,7 @@
     let replies = vec![(470, ruled(2, 0)), (510, ruled(2, 0))];
     expect![[r#"
         470 -> Behind { on: true }
-        520 -> Fenced { life: 0, orders: [Clear { tbl: TblId(0) }, Clear { tbl: TblId(1) }] }
+        520 -> Fenced { life: 0, orders: [ClearTable { table: TableId(0) }, ClearTable { table: TableId(1) }] }
         520 -> Behind { on: false }
         2500 fenced calls 1
     "#]]
@@ -448,7 +448,7 @@
     let replies = vec![(300, ruled(2, 0)), (400, ruled(2, 0)), (700, ruled(3, 1)), (800, ruled(3, 1))];
     expect![[r#"
         300 -> Behind { on: true }
-        534 -> Fenced { life: 0, orders: [Clear { tbl: TblId(0) }, Clear { tbl: TblId(1) }] }
+        534 -> Fenced { life: 0, orders: [ClearTable { table: TableId(0) }, ClearTable { table: TableId(1) }] }
         534 -> Behind { on: false }
         700 -> Behind { on: true }
         925 a connection
--- a/crates/steward/tests/steward/listen.rs
+++ b/crates/steward/tests/steward/listen.rs
@@ -79,7 +79,7 @@
         (20_000, b"PING\r\n$-1\r\nRATE proxy=17 class=b tries=18 failed=0 span_ms=1000.0\r\n".to_vec()),
     ];
     expect![[r#"
-        400 -> Sum(Load { zone: "a", host: "s-1", tries: 21, voided: 3, mean: 41.7, over: 1000.0, report: LoadReport { in_hand: Some(7.0), waiting: None, busy: None, service: None } })
+        400 -> Sum(Load { zone: "a", host: "s-1", tries: 21, voided: 3, mean: 41.7, over: 1000.0, report: LoadReport { in_flight: Some(7.0), queued: None, utilization: None, latency: None } })
         500 -> Sum(Rate { proxy: 17, product: "b", txns: 0, voided: 2, over: 1000.0 })
         20000 ended, connections_joined=1 connections_refused=0 connections_shed=0 lines_taken=2 lines_skipped=9
     "#]].assert_eq(&guest(pieces));
