--- a/crates/guard/src/door.rs
+++ b/crates/guard/src/door.rs
@@ -1,7 +1,7 @@
-//! The one door to the proxies: what decisions order goes through it, and what is held back is owed. Decisions count
-//! all that they ordered as sent; so what they want stands, and what the guard did not let through is tried again with
-//! each batch, until it passes, or a later order says otherwise. Nothing is lost by it, and nothing goes round: what
-//! is owed for too long makes the decisions start anew, once.
+//! All orders to the proxies pass through the `Door`. The decisions assume that everything they ordered was
+//! sent, so orders that the guard held back stay pending: they are retried with each batch until they pass or
+//! a later order replaces them. If an order stays pending for too long, the decisions are told once to plan
+//! afresh.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -12,17 +12,17 @@
 use crate::model::{Finding, Guard};
 use crate::verdict::{Breach, Rule, Verdict};
 
-/// What is owed for so long is told to the decisions: longer than a cold host needs for a step, and than a drain's
-/// grace. In ms.
-const OWED_FOR: f64 = 20_000.0;
-/// The last refusals that are kept for those who ask.
-const KEPT: usize = 32;
+/// After this time in ms pending orders are discarded and the decisions plan afresh. It is longer than a cold
+/// host needs for a warm-up step and longer than the grace time of a drain.
+const MAX_PENDING: f64 = 20_000.0;
+/// The number of recent violations kept for inspection.
+const KEPT_BREACHES: usize = 32;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
     #[default]
     Off,
-    /// Counts and tells what it would hold back, and lets all through.
+    /// Counts and reports what would be held back, but lets everything through.
     Watch,
     Enforce,
 }
@@ -32,31 +32,31 @@
     pub batches: u64,
     pub mended: u64,
     pub refused: u64,
-    /// By rule, in their order.
+    /// Violations by rule, in the order of `Rule::ALL`.
     pub by_rule: [u64; 4],
-    /// Batches that went out above what hosts survive, since nothing better was found.
+    /// Batches sent with load above what hosts survive, since nothing better was found.
     pub least_bad: u64,
-    /// What decisions heard of, as it was owed for too long.
+    /// How often the decisions had to plan afresh because orders were pending for too long.
     pub anew: u64,
-    /// Proxies that were found not to be where they were thought to be.
+    /// Findings about the guard's own model: proxies that were not in the state assumed for them.
     pub wrong: u64,
 }
 
-/// What goes to the relay.
+/// The outcome of a batch: the orders to send to the relay, and why they differ.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Passed {
     pub orders: Vec<Order>,
-    /// What was found wrong with the batch, and was not with the one before.
+    /// Violations of this batch that the previous batch did not have.
     pub why: Vec<Breach>,
     pub price: f64,
     pub findings: Vec<Finding>,
-    /// The decisions have to plan anew: what they count as ordered won't be.
+    /// The decisions have to plan afresh: pending orders that they count as sent were discarded.
     pub anew: bool,
 }
 
-/// What an order is about; a later one of the same replaces it.
+/// What an order sets; a later order with the same subject replaces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum About {
+enum Subject {
     Line(TableId, HostId),
     Table(TableId),
     Host(HostId),
@@ -67,17 +67,17 @@
 pub struct Door {
     guard: Guard,
     mode: Mode,
-    owed: Vec<(f64, Order)>,
-    /// Told already, so that what is owed is told once.
-    told: BTreeSet<(Rule, u64)>,
+    pending: Vec<(f64, Order)>,
+    /// Violations of the previous batch, so that a lasting one is reported only once.
+    reported: BTreeSet<(Rule, u64)>,
     counts: Counts,
     last: VecDeque<(f64, Breach)>,
 }
 
 impl Door {
     pub fn new(guard: Guard, mode: Mode) -> Door {
-        let (owed, told, counts, last) = (vec![], BTreeSet::new(), Counts::default(), VecDeque::new());
-        Door { guard, mode, owed, told, counts, last }
+        let (pending, reported, counts, last) = (vec![], BTreeSet::new(), Counts::default(), VecDeque::new());
+        Door { guard, mode, pending, reported, counts, last }
     }
 
     pub fn mode(&self) -> Mode {
@@ -86,7 +86,7 @@
     pub fn counts(&self) -> Counts {
         self.counts
     }
-    /// The last ones, and when.
+    /// The most recent violations with their times, oldest first.
     pub fn last(&self) -> impl Iterator<Item = &(f64, Breach)> {
         self.last.iter()
     }
@@ -94,7 +94,7 @@
         &mut self.guard
     }
     pub fn owes(&self) -> usize {
-        self.owed.len()
+        self.pending.len()
     }
 
     pub fn hear(&mut self, now: f64, event: &Event) {
@@ -102,55 +102,54 @@
             return;
         }
         self.guard.hear(now, event);
-        // One that left, or joined anew, is bound anew by the decisions.
+        // The decisions bind a proxy again that left or joined again.
         if let Event::ProxyLeft { proxy } | Event::ProxyJoined { proxy, .. } = event {
-            self.owed.retain(|(_, order)| !matches!(order, Order::Bind { proxy: of, .. } if of == proxy));
+            self.pending.retain(|(_, order)| !matches!(order, Order::Bind { proxy: of, .. } if of == proxy));
         }
     }
 
-    /// Decisions that start anew owe nothing: they order all anew.
+    /// Discards the pending orders, since decisions that plan afresh order everything again.
     pub fn anew(&mut self) {
-        self.owed.clear();
+        self.pending.clear();
     }
 
-    /// Whether something is owed, which has to be tried though nothing was decided.
+    /// Whether orders are pending, which have to be retried even if nothing new was decided.
     pub fn waits(&self) -> bool {
-        !self.owed.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// A batch, and what may go out.
+    /// Checks a batch together with the pending orders, and returns what may be sent.
     pub fn pass(&mut self, now: f64, orders: Vec<Order>) -> Passed {
         if self.mode == Mode::Off {
             return Passed { orders, ..Passed::default() };
         }
-        let about: BTreeSet<About> = orders.iter().flat_map(|order| self.about(order)).collect();
-        let cleared = |tbl: &TableId| {
-            about.contains(&About::Table(*tbl)) || about.contains(&About::Table(TableId::ALL))
+        let subjects: BTreeSet<Subject> = orders.iter().flat_map(|order| self.subjects(order)).collect();
+        let cleared = |table_id: &TableId| {
+            subjects.contains(&Subject::Table(*table_id)) || subjects.contains(&Subject::Table(TableId::ALL))
         };
-        let mut owed = std::mem::take(&mut self.owed);
-        owed.retain_mut(|(_, order)| match order {
+        let mut pending = std::mem::take(&mut self.pending);
+        pending.retain_mut(|(_, order)| match order {
             Order::SetEntry { table, host, .. } => {
-                !about.contains(&About::Line(*table, *host)) && !cleared(table)
+                !subjects.contains(&Subject::Line(*table, *host)) && !cleared(table)
             }
             Order::Bind { proxy, classes, .. } => {
                 let all = self.guard.facts.all();
                 let mask = if *classes == ClassSet::ALL { all } else { classes.0 };
-                let stays = |product: &ClassId| !about.contains(&About::Use(*proxy, *product));
-                let left = crate::look::each(mask)
-                    .filter(stays)
-                    .fold(0, |all, product| all | ClassSet::one(product).0);
+                let stays = |class: &ClassId| !subjects.contains(&Subject::Use(*proxy, *class));
+                let left =
+                    crate::look::each(mask).filter(stays).fold(0, |all, class| all | ClassSet::one(class).0);
                 *classes = ClassSet(left);
                 left != 0
             }
-            order => !about_of(order).iter().any(|one| about.contains(one)),
+            order => !subjects_of(order).iter().any(|one| subjects.contains(one)),
         });
-        let since: BTreeMap<About, f64> = owed
+        let since: BTreeMap<Subject, f64> = pending
             .iter()
-            .flat_map(|(at, order)| self.about(order).into_iter().map(move |one| (one, *at)))
+            .flat_map(|(at, order)| self.subjects(order).into_iter().map(move |one| (one, *at)))
             .collect();
-        let wanted: Vec<Order> = owed.into_iter().map(|owed| owed.1).chain(orders).collect();
+        let wanted: Vec<Order> = pending.into_iter().map(|pending| pending.1).chain(orders).collect();
         if wanted.is_empty() {
-            let findings = self.found();
+            let findings = self.take_findings();
             return Passed { findings, ..Passed::default() };
         }
         self.counts.batches += 1;
@@ -162,55 +161,57 @@
                 passed.price = price;
                 (orders, why)
             }
-            // Its mark says how far proxies have come, and is nobody's harm.
+            // Marks only measure the progress of proxies and are harmless, so they are sent anyway.
             Verdict::Refused(breach) => {
                 let mark = |order: &&Order| matches!(order, Order::Mark { .. } | Order::ForgetHost { .. });
                 (wanted.iter().filter(mark).cloned().collect(), vec![breach])
             }
         };
         let refused = !why.is_empty() && out.iter().all(|order| matches!(order, Order::Mark { .. }));
-        passed.why = self.tell(now, why, refused, passed.price);
+        passed.why = self.record(now, why, refused, passed.price);
         passed.orders = if self.mode == Mode::Enforce { out } else { wanted.clone() };
         if self.mode == Mode::Enforce {
-            self.owe(now, &wanted, &passed.orders, &since);
-            if self.owed.iter().any(|owed| owed.0 + OWED_FOR < now) {
+            self.keep_pending(now, &wanted, &passed.orders, &since);
+            if self.pending.iter().any(|pending| pending.0 + MAX_PENDING < now) {
                 self.counts.anew += 1;
-                self.owed.clear();
+                self.pending.clear();
                 passed.anew = true;
             }
         }
         self.guard.commit(now, &passed.orders);
-        passed.findings = self.found();
+        passed.findings = self.take_findings();
         passed
     }
 
-    /// What was wanted and did not go out; and what went out and was not wanted is to be taken back.
-    fn owe(&mut self, now: f64, wanted: &[Order], out: &[Order], since: &BTreeMap<About, f64>) {
+    /// Makes pending what was wanted and not sent, and the reversal of what was sent and not wanted.
+    fn keep_pending(&mut self, now: f64, wanted: &[Order], out: &[Order], since: &BTreeMap<Subject, f64>) {
         let at =
-            |order: &Order| about_of(order).iter().find_map(|one| since.get(one)).copied().unwrap_or(now);
+            |order: &Order| subjects_of(order).iter().find_map(|one| since.get(one)).copied().unwrap_or(now);
         let mut left: Vec<&Order> = out.iter().collect();
         for order in wanted {
             if let Some(place) = left.iter().position(|one| *one == order) {
                 left.remove(place);
             } else if !matches!(order, Order::Mark { .. } | Order::ForgetHost { .. }) {
-                self.owed.push((at(order), order.clone()));
+                self.pending.push((at(order), order.clone()));
             }
         }
         for order in left {
             if let Order::SetEntry { table, host, .. } = order {
-                let known =
-                    self.owed.iter().any(|(_, one)| about_of(one).contains(&About::Line(*table, *host)));
+                let known = self
+                    .pending
+                    .iter()
+                    .any(|(_, one)| subjects_of(one).contains(&Subject::Line(*table, *host)));
                 let before = self.guard.tables.get(table).and_then(|table| table.lines.get(host)).copied();
                 if !known {
                     let weight = before.unwrap_or(0.0);
-                    self.owed.push((now, Order::SetEntry { table: *table, host: *host, weight }));
+                    self.pending.push((now, Order::SetEntry { table: *table, host: *host, weight }));
                 }
             }
         }
     }
 
-    /// Counts what was found, and gives what is new of it.
-    fn tell(&mut self, now: f64, why: Vec<Breach>, refused: bool, price: f64) -> Vec<Breach> {
+    /// Counts the violations and returns those that are new.
+    fn record(&mut self, now: f64, why: Vec<Breach>, refused: bool, price: f64) -> Vec<Breach> {
         let key = |breach: &Breach| {
             use crate::verdict::Witness::*;
             let number = match breach.witness {
@@ -222,8 +223,9 @@
             (breach.rule, number)
         };
         let keys: BTreeSet<(Rule, u64)> = why.iter().map(key).collect();
-        let new: Vec<Breach> = why.into_iter().filter(|breach| !self.told.contains(&key(breach))).collect();
-        self.told = keys;
+        let new: Vec<Breach> =
+            why.into_iter().filter(|breach| !self.reported.contains(&key(breach))).collect();
+        self.reported = keys;
         if !new.is_empty() {
             *(if refused { &mut self.counts.refused } else { &mut self.counts.mended }) += 1;
             self.counts.least_bad += u64::from(price > 0.0);
@@ -231,43 +233,43 @@
         for breach in &new {
             self.counts.by_rule[breach.rule.place()] += 1;
             self.last.push_back((now, *breach));
-            if self.last.len() > KEPT {
+            if self.last.len() > KEPT_BREACHES {
                 self.last.pop_front();
             }
         }
         new
     }
 
-    fn found(&mut self) -> Vec<Finding> {
+    fn take_findings(&mut self) -> Vec<Finding> {
         let findings = self.guard.findings();
         self.counts.wrong += findings.len() as u64;
         findings
     }
 
-    fn about(&self, order: &Order) -> Vec<About> {
+    fn subjects(&self, order: &Order) -> Vec<Subject> {
         match order {
             Order::Bind { proxy, classes, .. } if *classes == ClassSet::ALL => {
-                crate::look::each(self.guard.facts.all()).map(|product| About::Use(*proxy, product)).collect()
+                crate::look::each(self.guard.facts.all()).map(|class| Subject::Use(*proxy, class)).collect()
             }
-            order => about_of(order),
+            order => subjects_of(order),
         }
     }
 }
 
-fn about_of(order: &Order) -> Vec<About> {
+fn subjects_of(order: &Order) -> Vec<Subject> {
     match order {
-        Order::SetEntry { table, host, .. } => vec![About::Line(*table, *host)],
-        Order::ClearTable { table } => vec![About::Table(*table)],
-        Order::Withdraw { host, .. } => vec![About::Host(*host)],
+        Order::SetEntry { table, host, .. } => vec![Subject::Line(*table, *host)],
+        Order::ClearTable { table } => vec![Subject::Table(*table)],
+        Order::Withdraw { host, .. } => vec![Subject::Host(*host)],
         Order::Bind { proxy, classes, .. } => {
-            crate::look::each(classes.0).map(|product| About::Use(*proxy, product)).collect()
+            crate::look::each(classes.0).map(|class| Subject::Use(*proxy, class)).collect()
         }
-        Order::Admit { table, classes, .. } => vec![About::Level(*table, *classes)],
+        Order::Admit { table, classes, .. } => vec![Subject::Level(*table, *classes)],
         _ => vec![],
     }
 }
 
-/// Decisions behind the door, where nothing stands between them and the proxies that would have to hear of it.
+/// Decisions whose orders pass through a `Door`, where no other component has to learn what the door held back.
 pub struct Guarded<D> {
     inner: D,
     door: Rc<RefCell<Door>>,
@@ -299,7 +301,7 @@
         let (mut out, calls): (Vec<Order>, Vec<Order>) =
             self.inner.decide(now, events).into_iter().partition(stays);
         out.extend(door.pass(now, calls).orders);
-        // Nothing here is written twice.
+        // No call is written twice here, so each counts as answered at once.
         let place = door.guard().place();
         door.guard().answered(now, place);
         out
--- a/crates/guard/src/facts.rs
+++ b/crates/guard/src/facts.rs
@@ -1,4 +1,4 @@
-//! What the guard is told at its start.
+//! Settings that the guard is created with.
 
 use amberarch_core::{
     Channel, HostListSettings, InstanceSettings, ProxySettings, ReportSettings, RequestClass, Warmup,
@@ -6,21 +6,22 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Facts {
-    /// How many products there are, 64 at most, and which of them hosts of the proxy's own zone alone may serve.
+    /// The number of request classes (64 at most), and a mask of those that only hosts of the proxy's home
+    /// zone may serve.
     pub products: u16,
     pub at_home: u64,
     pub channel: Channel,
     pub warmup: Warmup,
-    /// How long a host that drains may still be tried, ms.
+    /// How long a draining host may still be tried, in ms.
     pub grace: f64,
-    /// For how long a proxy may stay without any table, ms.
+    /// How long a proxy may stay without any table, in ms.
     pub bare_for: f64,
-    /// From one sum to the next, ms.
+    /// The interval between two traffic reports, in ms.
     pub every: f64,
-    /// Other stewards' proxies may send to the same hosts.
+    /// True if no proxies of other controllers send to the same hosts.
     pub alone: bool,
-    /// Txns a second that a warm host of weight 1 is known to do; none: it is learnt from sums, as what was done at
-    /// least, and then warm hosts are not judged by it.
+    /// The known capacity of a warm host of weight 1, in txns a second. If `None`, it is learnt from host
+    /// reports; these give only a lower bound, so warm hosts are not checked against it.
     pub per_weight: Option<f64>,
 }
 
@@ -34,7 +35,7 @@
         roster: &HostListSettings,
         sums: &ReportSettings,
     ) -> Facts {
-        let home = products.iter().take(64).enumerate().filter(|(_, product)| product.home_zone_only);
+        let home = products.iter().take(64).enumerate().filter(|(_, class)| class.home_zone_only);
         Facts {
             products: products.len().min(64) as u16,
             at_home: home.fold(0, |all, (place, _)| all | 1 << place),
@@ -52,7 +53,7 @@
         Facts { per_weight, ..self }
     }
 
-    /// The mask of all products.
+    /// The mask of all request classes.
     pub(crate) fn all(&self) -> u64 {
         if self.products >= 64 {
             u64::MAX
--- a/crates/guard/src/least.rs
+++ b/crates/guard/src/least.rs
@@ -1,38 +1,41 @@
-//! The least bad: what goes to hosts that survive only so much, over the tables that name them, so that as little as
-//! can be lies above what they survive, and as little as can be is changed. A linear program over (table, host); what a
-//! table does not give to them goes to its other hosts, in the proportions that they have.
+//! Assigns load when some hosts would exceed what they survive: minimizes first the load above the hosts'
+//! limits, then the change from the intended load. This is a linear program over pairs of table and host.
+//! Load that a table does not assign to limited hosts goes to its other hosts, in proportion to their
+//! weights.
 
 use amberarch_core::{HostId, TableId};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, Variable};
 
-/// What lies above is worth so much more than a change of as much, and the worst host's part so much more again.
+/// Costs in the objective function: one txn a second above a limit costs as much as a change of `EXCESS` txns
+/// a second, and the largest relative excess of any host costs `WORST` times as much again.
 const EXCESS: f64 = 1_000.0;
 const WORST: f64 = 10.0;
 
-/// A table: what comes to it, and whether hosts that are not judged take the rest.
-pub struct Dealt {
-    pub tbl: TableId,
+/// A table: its demand in txns a second, and whether hosts without a limit take the remainder.
+pub struct TableDemand {
+    pub table_id: TableId,
     pub demand: f64,
     pub rest: bool,
-    /// By host, what it would get.
+    /// The load that each limited host would get without the change, by host.
     pub hosts: Vec<(HostId, f64)>,
 }
 
-/// A host: what it may get from those tables.
-pub struct Room {
+/// A host and the load in txns a second that it may get from these tables.
+pub struct HostLimit {
     pub host: HostId,
-    pub room: f64,
+    pub limit: f64,
 }
 
-pub struct Least {
-    /// In the order of the tables: what each host gets, txns a second, and what goes to the rest.
-    pub dealt: Vec<(Vec<(HostId, f64)>, f64)>,
-    /// What lies above, txns a second.
+pub struct Allocation {
+    /// For each table in order: the load of each host, in txns a second, and the load that goes to the hosts
+    /// without a limit.
+    pub loads: Vec<(Vec<(HostId, f64)>, f64)>,
+    /// The load above the limits, in txns a second.
     pub price: f64,
 }
 
-/// None: the solver found none, which stands for "as it is".
-pub fn least(tables: &[Dealt], rooms: &[Room]) -> Option<Least> {
+/// Solves the linear program. Returns `None` if the solver finds no solution.
+pub fn minimize_excess(tables: &[TableDemand], limits: &[HostLimit]) -> Option<Allocation> {
     let mut problem = Problem::new(OptimizationDirection::Minimize);
     let any = (0.0, f64::INFINITY);
     let worst = problem.add_var(WORST * EXCESS, any);
@@ -51,7 +54,7 @@
         parts.push((row.iter().take(table.hosts.len()).map(|(part, _)| *part).collect(), rest));
     }
     let mut excesses = Vec::new();
-    for Room { host, room } in rooms {
+    for HostLimit { host, limit } in limits {
         let excess = problem.add_var(EXCESS, any);
         excesses.push(excess);
         let mut row = vec![(excess, -1.0)];
@@ -60,14 +63,14 @@
                 table.hosts.iter().zip(vars).filter(|(named, _)| named.0 == *host).map(|(_, v)| (*v, 1.0)),
             );
         }
-        problem.add_constraint(&row, ComparisonOp::Le, room.max(0.0));
-        problem.add_constraint([(worst, room.max(1.0)), (excess, -1.0)], ComparisonOp::Ge, 0.0);
+        problem.add_constraint(&row, ComparisonOp::Le, limit.max(0.0));
+        problem.add_constraint([(worst, limit.max(1.0)), (excess, -1.0)], ComparisonOp::Ge, 0.0);
     }
     let solution = problem.solve().ok()?.into_solution().ok()?;
-    let dealt = tables.iter().zip(&parts).map(|(table, (vars, rest))| {
+    let loads = tables.iter().zip(&parts).map(|(table, (vars, rest))| {
         let hosts = table.hosts.iter().zip(vars).map(|((host, _), var)| (*host, solution[*var]));
         (hosts.collect(), rest.map_or(0.0, |rest| solution[rest]))
     });
     let price = excesses.iter().map(|excess| solution[*excess]).sum();
-    Some(Least { dealt: dealt.collect(), price })
+    Some(Allocation { loads: loads.collect(), price })
 }
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,9 +1,10 @@
-//! The last check between decisions and proxies, whoever decided. What is heard and the orders that were let through
-//! go in and make a model of what every joined proxy may hold; a batch of orders is judged by it before it is sent:
-//! accepted, mended by the smallest change that was found, or refused, each with the rule and a witness.
+//! Validates every batch of orders before it is sent to the proxies, independently of the code that produced
+//! it. From the events received and the orders already sent, the guard maintains a model of the state that
+//! every joined proxy may hold. Each batch is accepted, amended by the smallest change found, or refused;
+//! amendments and refusals name the violated rule and a witness.
 //!
-//! What it never does: choose a host for a txn, read a clock, write or send anything. Times are ms of one clock that
-//! the caller reads.
+//! The guard never chooses a host for a txn, reads a clock, or performs I/O. All times are milliseconds of
+//! one clock that the caller reads.
 
 mod door;
 mod facts;
@@ -20,7 +21,7 @@
 
 pub use door::{Counts, Door, Guarded, Mode, Passed};
 pub use facts::Facts;
-pub use model::{At, Finding, Guard};
+pub use model::{CallIndex, Finding, Guard};
 pub use plain::{Fate, Plain};
 pub use standing::{gate, standing, step, Anew};
 pub use trial::{Kind, Small, Step, Told};
--- a/crates/guard/src/look.rs
+++ b/crates/guard/src/look.rs
@@ -1,58 +1,62 @@
-//! One batch tried on the model: carried out, looked at by what it touches, taken back.
+//! Checks a batch: applies it to the model, evaluates the tables and hosts that it affects, and rolls it
+//! back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::*;
 
-use crate::model::{At, Call, Doubt, Guard, Hop, Host, Old, Span, Table, Use, Writes};
+use crate::model::{
+    Binding, Call, CallIndex, Guard, Host, PastState, Rebind, Span, Table, Uncertainty, Writes,
+};
 use crate::verdict::{Breach, Rule, Witness};
 
-/// Shares and loads that differ by less are the same: sums of fractions.
+/// Fractions and loads that differ by less count as equal, because of rounding in sums.
 const SAME: f64 = 1e-9;
 
-/// A relay that is asked five times a second and is silent for four seconds: 210 runs.
-const MOST_UNSURE: usize = 20;
+/// The number of unconfirmed calls up to which each range of repeated calls is checked separately. It covers
+/// a relay that gets five calls a second and is silent for four seconds, which makes 210 ranges.
+const MAX_UNCONFIRMED: usize = 20;
 
 enum Undo {
     Line(TableId, HostId, Option<f64>, bool),
     Out(HostId, bool),
-    Uses(ProxyId, Vec<Use>, Vec<(TableId, f64)>),
-    Hops(ProxyId, usize),
+    Bindings(ProxyId, Vec<Binding>, Vec<(TableId, f64)>),
+    Rebinds(ProxyId, usize),
     MissingLine(TableId, HostId, f64),
     MissingHost(HostId, bool),
 }
 
-/// What a batch did to the model.
+/// The effects of a batch on the model.
 #[derive(Default)]
 pub(crate) struct Trial {
     undo: Vec<Undo>,
-    /// Tables whose shares changed: what was unsure, as it was.
-    pub before: BTreeMap<TableId, Option<Doubt>>,
-    /// What hosts had in tables before it changed that.
+    /// Tables in which hosts' fractions changed, with the uncertainty before the batch.
+    pub before: BTreeMap<TableId, Option<Uncertainty>>,
+    /// The weights of hosts in tables before the batch changed them.
     had: BTreeMap<TableId, BTreeMap<HostId, f64>>,
-    /// Tables whose lines, or whose hosts' gates, it writes.
+    /// Tables for which the batch changes entries or withdrawals of hosts named there.
     pub tables: BTreeSet<TableId>,
     pub writes: Writes,
-    /// What its binds ended.
+    /// Bindings that the batch ends.
     pub left: Vec<(ProxyId, TableId, u64)>,
-    /// What those whom it binds used before it.
-    used: BTreeMap<ProxyId, Vec<Use>>,
-    let_in: Vec<HostId>,
+    /// The bindings before the batch of the proxies that it binds.
+    used: BTreeMap<ProxyId, Vec<Binding>>,
+    restored: Vec<HostId>,
 }
 
-/// A run of unsure calls, by their places among those, carried out again over the newest state.
+/// A range of unconfirmed calls (first and last index) that is carried out again on top of the newest state.
 type Run = Option<(usize, usize)>;
 
-/// What is wrong with a batch, and where.
+/// A violation by a batch, and where it occurs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Found {
     pub breach: Breach,
-    /// The table that is left bare.
-    pub tbl: Option<TableId>,
+    /// The table that is left without a usable host.
+    pub table_id: Option<TableId>,
 }
 
 impl Guard {
-    /// Carries the batch out on the model.
+    /// Applies the batch to the model.
     pub(crate) fn apply(&mut self, now: f64, orders: &[Order]) -> Trial {
         self.at += 1;
         let mut trial = Trial::default();
@@ -67,32 +71,34 @@
                         true => self.tables.keys().copied().collect(),
                         false => vec![*table],
                     };
-                    for tbl in of {
-                        let lines = self.tables.get(&tbl).map(|table| table.lines.keys().copied().collect());
+                    for table_id in of {
+                        let lines =
+                            self.tables.get(&table_id).map(|table| table.lines.keys().copied().collect());
                         let hosts: Vec<HostId> = lines.unwrap_or_default();
-                        hosts.into_iter().for_each(|host| self.set_line(&mut trial, tbl, host, 0.0));
-                        trial.writes.lines.retain(|line, _| line.0 != tbl);
-                        trial.writes.clears.insert(tbl);
-                        trial.tables.insert(tbl);
+                        hosts.into_iter().for_each(|host| self.set_line(&mut trial, table_id, host, 0.0));
+                        trial.writes.lines.retain(|line, _| line.0 != table_id);
+                        trial.writes.clears.insert(table_id);
+                        trial.tables.insert(table_id);
                     }
                 }
                 Order::Withdraw { host, withdrawn } => {
-                    for tbl in self.named.get(host).into_iter().flatten() {
-                        let weight = self.tables.get(tbl).map_or(0.0, |table| self.open_weight(table, *host));
-                        trial.had.entry(*tbl).or_default().entry(*host).or_insert(weight);
+                    for table_id in self.tables_of_host.get(host).into_iter().flatten() {
+                        let weight =
+                            self.tables.get(table_id).map_or(0.0, |table| self.open_weight(table, *host));
+                        trial.had.entry(*table_id).or_default().entry(*host).or_insert(weight);
                     }
                     let was = match withdrawn {
-                        true => !self.out.insert(*host),
-                        false => self.out.remove(host),
+                        true => !self.withdrawn.insert(*host),
+                        false => self.withdrawn.remove(host),
                     };
                     trial.undo.push(Undo::Out(*host, was));
-                    // Set anew it is missing no more.
+                    // Once set again the host's withdrawal is no longer missing.
                     if let Some(missing) = self.missing.hosts.remove(host) {
                         trial.undo.push(Undo::MissingHost(*host, missing));
                     }
-                    trial.let_in.extend((was && !withdrawn).then_some(*host));
+                    trial.restored.extend((was && !withdrawn).then_some(*host));
                     trial.writes.hosts.insert(*host, *withdrawn);
-                    trial.tables.extend(self.named.get(host).into_iter().flatten());
+                    trial.tables.extend(self.tables_of_host.get(host).into_iter().flatten());
                 }
                 Order::Admit { table, .. } if *table != TableId::ALL && self.tables.contains_key(table) => {
                     trial.tables.insert(*table);
@@ -105,293 +111,316 @@
                 _ => {}
             }
         }
-        let (until, at, doubts) = (now + self.facts.channel.max_transit, self.at, self.doubts());
-        for tbl in &trial.tables {
-            let changed: Vec<(HostId, f64)> = trial.had.remove(tbl).unwrap_or_default().into_iter().collect();
-            let Some(table) = self.tables.get_mut(tbl) else { continue };
-            let sum = table.sums.all();
-            table.sums.update(&table.lines, &self.out, changed.iter().map(|had| had.0));
-            let doubted = doubts.then(|| self.doubt(*tbl));
-            let Some(table) = self.tables.get_mut(tbl) else { continue };
-            if changed.is_empty() && table.doubted == doubted {
+        let (until, at, is_uncertain) = (now + self.facts.channel.max_transit, self.at, self.is_uncertain());
+        for table_id in &trial.tables {
+            let changed: Vec<(HostId, f64)> =
+                trial.had.remove(table_id).unwrap_or_default().into_iter().collect();
+            let Some(table) = self.tables.get_mut(table_id) else { continue };
+            let sum = table.weight_sums.all();
+            table.weight_sums.update(&table.lines, &self.withdrawn, changed.iter().map(|had| had.0));
+            let uncertainty = is_uncertain.then(|| self.uncertainty_of(*table_id));
+            let Some(table) = self.tables.get_mut(table_id) else { continue };
+            if changed.is_empty() && table.uncertainty == uncertainty {
                 continue;
             }
-            let doubted = std::mem::replace(&mut table.doubted, doubted);
-            trial.before.insert(*tbl, doubted.clone());
-            table.old.push_back(Old { until, at, sum, changed, doubted, again: false });
+            let uncertainty = std::mem::replace(&mut table.uncertainty, uncertainty);
+            trial.before.insert(*table_id, uncertainty.clone());
+            table.past.push_back(PastState { until, at, sum, changed, uncertainty, again: false });
         }
         trial
     }
 
     pub(crate) fn roll_back(&mut self, trial: Trial) {
         let mut changed = Vec::new();
-        for (tbl, doubted) in trial.before {
-            let Some(table) = self.tables.get_mut(&tbl) else { continue };
-            table.doubted = doubted;
-            changed.extend(table.old.pop_back().map(|old| (tbl, old.changed)));
+        for (table_id, uncertainty) in trial.before {
+            let Some(table) = self.tables.get_mut(&table_id) else { continue };
+            table.uncertainty = uncertainty;
+            changed.extend(table.past.pop_back().map(|old| (table_id, old.changed)));
         }
         for undo in trial.undo.into_iter().rev() {
             match undo {
-                Undo::Line(tbl, host, before, named) => {
-                    let Some(table) = self.tables.get_mut(&tbl) else { continue };
+                Undo::Line(table_id, host, before, named) => {
+                    let Some(table) = self.tables.get_mut(&table_id) else { continue };
                     match before {
                         Some(weight) => drop(table.lines.insert(host, weight)),
                         None => drop(table.lines.remove(&host)),
                     }
                     if named {
-                        self.named.get_mut(&host).map(|tables| tables.remove(&tbl));
+                        self.tables_of_host.get_mut(&host).map(|tables| tables.remove(&table_id));
                     }
                 }
-                Undo::MissingLine(tbl, host, weight) => drop(self.missing.lines.insert((tbl, host), weight)),
+                Undo::MissingLine(id, host, weight) => drop(self.missing.lines.insert((id, host), weight)),
                 Undo::MissingHost(host, out) => drop(self.missing.hosts.insert(host, out)),
-                Undo::Out(host, true) => drop(self.out.insert(host)),
-                Undo::Out(host, false) => drop(self.out.remove(&host)),
-                Undo::Uses(id, before, demands) => {
+                Undo::Out(host, true) => drop(self.withdrawn.insert(host)),
+                Undo::Out(host, false) => drop(self.withdrawn.remove(&host)),
+                Undo::Bindings(id, before, demands) => {
                     let Some(proxy) = self.proxies.get_mut(&id) else { continue };
-                    let (zone, now) = (proxy.zone, std::mem::replace(&mut proxy.uses, before.clone()));
-                    now.iter().for_each(|held| self.ungroup(id, zone, held));
-                    before.iter().for_each(|held| self.group(id, zone, held));
-                    // Sums of fractions do not come back to what they were by themselves.
-                    for (tbl, demand) in demands {
-                        self.tables.entry(tbl).or_default().demand = demand;
+                    let (zone, now) = (proxy.zone, std::mem::replace(&mut proxy.bindings, before.clone()));
+                    now.iter().for_each(|binding| self.ungroup(id, zone, binding));
+                    before.iter().for_each(|binding| self.group(id, zone, binding));
+                    // Subtracting what was added does not restore a floating-point sum exactly, so the
+                    // earlier values are put back.
+                    for (table_id, demand) in demands {
+                        self.tables.entry(table_id).or_default().demand = demand;
                     }
                 }
-                Undo::Hops(id, before) => {
-                    if let Some(hops) = self.hops.get_mut(&id) {
-                        hops.truncate(before);
-                        if hops.is_empty() {
-                            self.hops.remove(&id);
+                Undo::Rebinds(id, before) => {
+                    if let Some(rebinds) = self.rebinds.get_mut(&id) {
+                        rebinds.truncate(before);
+                        if rebinds.is_empty() {
+                            self.rebinds.remove(&id);
                         }
                     }
                 }
             }
         }
-        for (tbl, changed) in changed {
-            let Some(table) = self.tables.get_mut(&tbl) else { continue };
-            table.sums.update(&table.lines, &self.out, changed.iter().map(|had| had.0));
+        for (table_id, changed) in changed {
+            let Some(table) = self.tables.get_mut(&table_id) else { continue };
+            table.weight_sums.update(&table.lines, &self.withdrawn, changed.iter().map(|had| had.0));
         }
         self.at -= 1;
     }
 
-    fn set_line(&mut self, trial: &mut Trial, tbl: TableId, host: HostId, weight: f64) {
-        let had = self.tables.get(&tbl).map_or(0.0, |table| self.open_weight(table, host));
-        trial.had.entry(tbl).or_default().entry(host).or_insert(had);
-        let table = self.tables.entry(tbl).or_default();
+    fn set_line(&mut self, trial: &mut Trial, table_id: TableId, host: HostId, weight: f64) {
+        let had = self.tables.get(&table_id).map_or(0.0, |table| self.open_weight(table, host));
+        trial.had.entry(table_id).or_default().entry(host).or_insert(had);
+        let table = self.tables.entry(table_id).or_default();
         let before = match weight > 0.0 {
             true => table.lines.insert(host, weight),
             false => table.lines.remove(&host),
         };
-        let named = weight > 0.0 && self.named.entry(host).or_default().insert(tbl);
-        trial.undo.push(Undo::Line(tbl, host, before, named));
-        if let Some(missing) = self.missing.lines.remove(&(tbl, host)) {
-            trial.undo.push(Undo::MissingLine(tbl, host, missing));
+        let named = weight > 0.0 && self.tables_of_host.entry(host).or_default().insert(table_id);
+        trial.undo.push(Undo::Line(table_id, host, before, named));
+        if let Some(missing) = self.missing.lines.remove(&(table_id, host)) {
+            trial.undo.push(Undo::MissingLine(table_id, host, missing));
         }
-        trial.writes.lines.insert((tbl, host), weight);
-        trial.tables.insert(tbl);
+        trial.writes.lines.insert((table_id, host), weight);
+        trial.tables.insert(table_id);
     }
 
-    fn bind(&mut self, now: f64, trial: &mut Trial, id: ProxyId, tbl: TableId, mask: u64) {
+    fn bind(&mut self, now: f64, trial: &mut Trial, id: ProxyId, table_id: TableId, mask: u64) {
         let Some(proxy) = self.proxies.get(&id).filter(|_| mask != 0) else { return };
-        let (zone, before) = (proxy.zone, proxy.uses.clone());
-        let mut uses: Vec<Use> = Vec::with_capacity(before.len() + 1);
+        let (zone, before) = (proxy.zone, proxy.bindings.clone());
+        let mut bindings: Vec<Binding> = Vec::with_capacity(before.len() + 1);
         let until = now + self.facts.channel.max_transit;
         let mut all = mask;
-        let (mut left, mut stays_here) = (Vec::new(), 0);
-        for held in &before {
-            if held.tbl == tbl {
-                all |= held.mask;
-                // A call that binds it where it is may be carried out again, and bring it back here.
-                stays_here = held.mask & mask;
+        let (mut left, mut unchanged) = (Vec::new(), 0);
+        for binding in &before {
+            if binding.table_id == table_id {
+                all |= binding.mask;
+                // If the call that binds the proxy to its present table is carried out again, it may bring
+                // the proxy back here.
+                unchanged = binding.mask & mask;
             } else {
-                let (stays, ends) = (held.mask & !mask, held.mask & mask);
+                let (stays, ends) = (binding.mask & !mask, binding.mask & mask);
                 if stays != 0 {
-                    uses.push(Use { mask: stays, demand: self.demand(proxy, stays), ..*held });
+                    bindings.push(Binding { mask: stays, demand: self.demand(proxy, stays), ..*binding });
                 }
                 if ends != 0 {
-                    left.push((held.tbl, ends));
+                    left.push((binding.table_id, ends));
                 }
             }
         }
-        uses.push(Use { tbl, mask: all, demand: self.demand(proxy, all) });
-        let known = before.iter().fold(0, |known, held| known | held.mask);
+        bindings.push(Binding { table_id, mask: all, demand: self.demand(proxy, all) });
+        let known = before.iter().fold(0, |known, binding| known | binding.mask);
         if mask & !known != 0 {
             left.push((TableId::ALL, mask & !known));
         }
-        let of = before.iter().chain(&uses).map(|held| held.tbl).collect::<BTreeSet<_>>();
-        let demands = of.into_iter().map(|tbl| (tbl, self.tables.get(&tbl).map_or(0.0, |t| t.demand)));
-        trial.undo.push(Undo::Uses(id, before.clone(), demands.collect()));
+        let of = before.iter().chain(&bindings).map(|binding| binding.table_id).collect::<BTreeSet<_>>();
+        let demands =
+            of.into_iter().map(|table_id| (table_id, self.tables.get(&table_id).map_or(0.0, |t| t.demand)));
+        trial.undo.push(Undo::Bindings(id, before.clone(), demands.collect()));
         trial.used.entry(id).or_insert_with(|| before.clone());
         if let Some(proxy) = self.proxies.get_mut(&id) {
-            proxy.uses = uses.clone();
+            proxy.bindings = bindings.clone();
         }
-        before.iter().for_each(|held| self.ungroup(id, zone, held));
-        uses.iter().for_each(|held| self.group(id, zone, held));
+        before.iter().for_each(|binding| self.ungroup(id, zone, binding));
+        bindings.iter().for_each(|binding| self.group(id, zone, binding));
         let at = self.at;
-        let hops = self.hops.entry(id).or_default();
-        trial.undo.push(Undo::Hops(id, hops.len()));
-        for (from, mask) in left.into_iter().chain((stays_here != 0).then_some((tbl, stays_here))) {
-            hops.push(Hop { until, at, mask, from });
-            if from != TableId::ALL && from != tbl {
+        let rebinds = self.rebinds.entry(id).or_default();
+        trial.undo.push(Undo::Rebinds(id, rebinds.len()));
+        for (from, mask) in left.into_iter().chain((unchanged != 0).then_some((table_id, unchanged))) {
+            rebinds.push(Rebind { until, at, mask, from });
+            if from != TableId::ALL && from != table_id {
                 trial.left.push((id, from, mask));
             }
         }
-        trial.writes.binds.push((id, tbl, mask));
+        trial.writes.binds.push((id, table_id, mask));
     }
 
-    /// All that is wrong with the batch; the model is as it was.
-    pub(crate) fn look(&mut self, now: f64, orders: &[Order]) -> Vec<Found> {
+    /// All violations by the batch; the model is left unchanged.
+    pub(crate) fn check(&mut self, now: f64, orders: &[Order]) -> Vec<Found> {
         let mut found = Vec::new();
         let trial = self.apply(now, orders);
-        let listed =
-            |host: &HostId| self.hosts.get(host).filter(|known| known.standing != Availability::InService);
-        for host in trial.let_in.iter().filter(|host| listed(host).is_some() && !self.out.contains(host)) {
+        let listed = |host: &HostId| {
+            self.hosts.get(host).filter(|known| known.availability != Availability::InService)
+        };
+        for host in
+            trial.restored.iter().filter(|host| listed(host).is_some() && !self.withdrawn.contains(host))
+        {
             let witness = Witness::LetIn { host: *host };
-            found.push(Found { breach: Breach { rule: Rule::Drain, witness }, tbl: None });
+            found.push(Found { breach: Breach { rule: Rule::Drain, witness }, table_id: None });
         }
-        let bare = self.bare(&trial);
-        let over = self.over(now, &trial);
-        let from: BTreeSet<TableId> = trial.used.values().flatten().map(|held| held.tbl).collect();
+        let bare = self.unserved_tables(&trial);
+        let over = self.overloaded_hosts(now, &trial);
+        let from: BTreeSet<TableId> = trial.used.values().flatten().map(|binding| binding.table_id).collect();
         self.roll_back(trial);
-        // Only what the batch begins is its fault: who had nothing for certain loses nothing, and a host that had too
-        // much is not worse off with as much.
+        // Reports only violations that the batch begins: a proxy that certainly had no usable host loses
+        // nothing, and a host with too much load is not worse off with the same load.
         if !bare.is_empty() {
             let tables = bare.iter().map(|bare| bare.0).chain(from);
-            let before: BTreeSet<TableId> = tables.filter(|tbl| self.surely_bare(*tbl)).collect();
-            let out = self.out.clone();
+            let before: BTreeSet<TableId> = tables.filter(|table_id| self.surely_bare(*table_id)).collect();
+            let out = self.withdrawn.clone();
             let trial = self.apply(now, orders);
-            for (tbl, run) in bare {
-                if let Some(witness) = self.nothing(now, &trial, (tbl, run), &before, &out) {
-                    found.push(Found { breach: Breach { rule: Rule::Bare, witness }, tbl: Some(tbl) });
+            for (table_id, run) in bare {
+                if let Some(witness) = self.find_unserved(now, &trial, (table_id, run), &before, &out) {
+                    found.push(Found {
+                        breach: Breach { rule: Rule::Bare, witness },
+                        table_id: Some(table_id),
+                    });
                 }
             }
             self.roll_back(trial);
         }
         for (host, load, most) in over {
-            if !self.exact(host) || load > self.load(now, host) * (1.0 + SAME) + SAME {
+            if !self.is_exact(host) || load > self.load(now, host) * (1.0 + SAME) + SAME {
                 let witness = Witness::Over { host, load, most };
-                found.push(Found { breach: Breach { rule: Rule::Pushed, witness }, tbl: None });
+                found.push(Found { breach: Breach { rule: Rule::Pushed, witness }, table_id: None });
             }
         }
-        found.extend(self.too_much(now, orders).map(|breach| Found { breach, tbl: None }));
+        found.extend(self.over_channel_limits(now, orders).map(|breach| Found { breach, table_id: None }));
         found
     }
 
-    /// All runs of unsure calls. Those that set nothing begin and end none.
+    /// All ranges of unconfirmed calls. A call that sets nothing neither begins nor ends one.
     fn runs(&self) -> impl Iterator<Item = Run> + '_ {
-        let writes = move |place: &usize| !self.loose[*place].writes.is_empty();
-        let calls = self.loose.len();
+        let writes = move |place: &usize| !self.unconfirmed[*place].writes.is_empty();
+        let calls = self.unconfirmed.len();
         let from = (0..calls).filter(writes);
         let runs = from.flat_map(move |from| (from..calls).filter(writes).map(move |to| Some((from, to))));
         [None].into_iter().chain(runs)
     }
 
-    /// More unsure calls than that are not looked at run by run, but all at once, any of them: that refuses more.
-    fn is_vague(&self) -> bool {
-        self.loose.iter().filter(|call| !call.writes.is_empty()).count() > MOST_UNSURE
+    /// With more unconfirmed calls the ranges are not checked one by one; instead any of the calls may be
+    /// repeated, which refuses more batches.
+    fn too_many_unconfirmed(&self) -> bool {
+        self.unconfirmed.iter().filter(|call| !call.writes.is_empty()).count() > MAX_UNCONFIRMED
     }
 
     fn calls(&self, run: Run) -> impl DoubleEndedIterator<Item = &Call> {
         let (from, to) = run.map_or((1, 0), |run| run);
-        (from..=to).filter(move |_| run.is_some()).filter_map(|place| self.loose.get(place))
+        (from..=to).filter(move |_| run.is_some()).filter_map(|place| self.unconfirmed.get(place))
     }
 
-    fn line_serves(&self, tbl: TableId, table: &Table, host: HostId, run: Run) -> bool {
-        let written = self.calls(run).rev().find_map(|call| call.writes.line(tbl, host));
-        let stands = || table.lines.contains_key(&host) && self.missing.line(tbl, host) != Some(0.0);
+    fn line_serves(&self, table_id: TableId, table: &Table, host: HostId, run: Run) -> bool {
+        let written = self.calls(run).rev().find_map(|call| call.writes.line(table_id, host));
+        let stands = || table.lines.contains_key(&host) && self.missing.line(table_id, host) != Some(0.0);
         if !written.map_or_else(stands, |weight| weight > 0.0) {
             return false;
         }
         let gate = self.calls(run).rev().find_map(|call| call.writes.hosts.get(&host).copied());
-        let out = || self.out.contains(&host) || self.missing.hosts.get(&host) == Some(&true);
+        let out = || self.withdrawn.contains(&host) || self.missing.hosts.get(&host) == Some(&true);
         !gate.unwrap_or_else(out) && self.hosts.get(&host).is_some_and(Host::serves)
     }
 
-    fn nothing_serves(&self, tbl: TableId, run: Run) -> bool {
-        let Some(table) = self.tables.get(&tbl) else { return true };
-        let standing = table.lines.keys().any(|host| self.line_serves(tbl, table, *host, run));
+    fn nothing_serves(&self, table_id: TableId, run: Run) -> bool {
+        let Some(table) = self.tables.get(&table_id) else { return true };
+        let standing = table.lines.keys().any(|host| self.line_serves(table_id, table, *host, run));
         let again = || {
             let mut lines = self.calls(run).flat_map(|call| call.writes.lines.keys());
-            lines.any(|line| line.0 == tbl && self.line_serves(tbl, table, line.1, run))
+            lines.any(|line| line.0 == table_id && self.line_serves(table_id, table, line.1, run))
         };
         !standing && !again()
     }
 
-    /// Tables that it touches in which nothing serves, with the first run that makes it so.
-    fn bare(&self, trial: &Trial) -> Vec<(TableId, Run)> {
+    /// Affected tables without a usable host, with the ranges of repeated calls that lead to it.
+    fn unserved_tables(&self, trial: &Trial) -> Vec<(TableId, Run)> {
         let bound = trial.writes.binds.iter().map(|bind| bind.1);
         let tables: BTreeSet<TableId> = trial.tables.iter().copied().chain(bound).collect();
         let mut bare = Vec::new();
-        if self.is_vague() {
-            let all = Some((0, self.loose.len() - 1));
-            let surely = |tbl: &TableId| {
-                self.tables.get(tbl).is_some_and(|table| {
+        if self.too_many_unconfirmed() {
+            let all = Some((0, self.unconfirmed.len() - 1));
+            let surely = |table_id: &TableId| {
+                self.tables.get(table_id).is_some_and(|table| {
                     let serves = |host: &HostId| self.hosts.get(host).is_some_and(Host::serves);
                     let mut hosts = table.lines.keys().filter(|host| serves(host));
-                    hosts.any(|host| self.between(*tbl, table, *host).0 > 0.0)
+                    hosts.any(|host| self.weight_bounds(*table_id, table, *host).0 > 0.0)
                 })
             };
-            let unsure = tables.into_iter().filter(|tbl| !surely(tbl) && self.anyone(*tbl, all));
-            return unsure.map(|tbl| (tbl, all)).collect();
+            let unsure =
+                tables.into_iter().filter(|table_id| !surely(table_id) && self.has_users(*table_id, all));
+            return unsure.map(|table_id| (table_id, all)).collect();
         }
-        for tbl in tables {
-            // Who is there by a call that is carried out again is there in that run alone.
-            let runs = self.runs().filter(|run| self.nothing_serves(tbl, *run) && self.anyone(tbl, *run));
-            bare.extend(runs.map(|run| (tbl, run)));
+        for table_id in tables {
+            // A proxy that is in the table only because a call is carried out again is there in that range
+            // alone.
+            let runs = self
+                .runs()
+                .filter(|run| self.nothing_serves(table_id, *run) && self.has_users(table_id, *run));
+            bare.extend(runs.map(|run| (table_id, run)));
         }
         bare
     }
 
-    fn anyone(&self, tbl: TableId, run: Run) -> bool {
-        let bound = |writes: &Writes| writes.binds.iter().any(|bind| bind.1 == tbl);
-        let missing = self.missing.binds.iter().any(|bind| bind.1 == tbl);
-        self.tables.get(&tbl).is_some_and(|table| table.users > 0)
+    fn has_users(&self, table_id: TableId, run: Run) -> bool {
+        let bound = |writes: &Writes| writes.binds.iter().any(|bind| bind.1 == table_id);
+        let missing = self.missing.binds.iter().any(|bind| bind.1 == table_id);
+        self.tables.get(&table_id).is_some_and(|table| table.users > 0)
             || missing
             || self.calls(run).any(|call| bound(&call.writes))
     }
 
-    /// Who is left with nothing in that table, that had something and for whom a host is ready.
-    fn nothing(
+    /// A proxy that is left without a usable host in that table, had one before, and for which a host is
+    /// ready.
+    fn find_unserved(
         &self,
         now: f64,
         trial: &Trial,
-        (tbl, run): (TableId, Run),
+        (table_id, run): (TableId, Run),
         before: &BTreeSet<TableId>,
         out: &BTreeSet<HostId>,
     ) -> Option<Witness> {
         let mut ready: BTreeMap<(ZoneId, ClassId), Option<HostId>> = BTreeMap::new();
-        let vague = self.is_vague();
+        let any_repeated = self.too_many_unconfirmed();
         let mut witness = |proxy: ProxyId, zone: ZoneId, mask: u64| {
-            for product in each(mask) {
-                let bit = ClassSet::one(product).0;
+            for class in each(mask) {
+                let bit = ClassSet::one(class).0;
                 let again = self.calls(run).rev().find_map(|call| call.writes.bound(proxy, bit));
-                if again.is_some_and(|again| again != tbl) && !vague {
+                if again.is_some_and(|again| again != table_id) && !any_repeated {
                     continue;
                 }
-                // Bound for the first time: nobody knows what it held.
+                // The state before the first bind is unknown, so the proxy may have had a usable host.
                 let had = match trial.used.get(&proxy) {
                     Some(used) => {
-                        let held = used.iter().find(|held| held.mask & bit != 0);
-                        held.is_none_or(|held| !before.contains(&held.tbl))
+                        let binding = used.iter().find(|binding| binding.mask & bit != 0);
+                        binding.is_none_or(|binding| !before.contains(&binding.table_id))
                     }
-                    None => !before.contains(&tbl),
+                    None => !before.contains(&table_id),
                 };
                 if !had {
                     continue;
                 }
-                let host =
-                    *ready.entry((zone, product)).or_insert_with(|| self.ready(now, zone, product, out));
+                let host = *ready.entry((zone, class)).or_insert_with(|| self.ready(now, zone, class, out));
                 if let Some(ready) = host {
-                    let place = |at: usize| self.loose.get(at).map_or(0, |call| call.at);
+                    let place = |at: usize| self.unconfirmed.get(at).map_or(0, |call| call.at);
                     let again = run.map(|(from, to)| (place(from), place(to)));
-                    return Some(Witness::Nothing { proxy, zone, product, tbl, again, ready });
+                    return Some(Witness::Nothing {
+                        proxy,
+                        zone,
+                        product: class,
+                        tbl: table_id,
+                        again,
+                        ready,
+                    });
                 }
             }
             None
         };
-        let groups = self.tables.get(&tbl).map(|table| &table.groups);
+        let groups = self.tables.get(&table_id).map(|table| &table.groups);
         for ((zone, mask), proxies) in groups.into_iter().flatten() {
-            // Proxies that the batch does not bind fare alike: the first of them speaks for all. Those whom a run binds
-            // elsewhere are not here in it.
+            // Proxies of a group that neither the batch nor the repeated calls bind are equivalent, so only
+            // the first of them is checked. Proxies that the repeated calls bind elsewhere are not in this
+            // table.
             let binds = |proxy: &ProxyId, call: &Call| call.writes.binds.iter().any(|bind| bind.0 == *proxy);
             let moved = |proxy: &&ProxyId| {
                 trial.used.contains_key(*proxy) || self.calls(run).any(|call| binds(proxy, call))
@@ -406,140 +435,160 @@
             }
         }
         let again = self.calls(run).flat_map(|call| &call.writes.binds).chain(&self.missing.binds);
-        let again = again.filter(|bind| bind.1 == tbl).filter_map(|bind| {
+        let again = again.filter(|bind| bind.1 == table_id).filter_map(|bind| {
             let proxy = self.proxies.get(&bind.0)?;
             Some((bind.0, proxy.zone, bind.2))
         });
         again.into_iter().find_map(|(proxy, zone, mask)| witness(proxy, zone, mask))
     }
 
-    /// A host that is in the list, warm, answers probes, was not shut out before or is let in, and may serve them.
+    /// A host that is in service, warm, answers probes, was open before or is restored by the batch, and may
+    /// serve this zone and class.
     pub(crate) fn ready(
         &self,
         now: f64,
         zone: ZoneId,
-        product: ClassId,
+        class: ClassId,
         out: &BTreeSet<HostId>,
     ) -> Option<HostId> {
         let ready = |(id, host): &(&HostId, &Host)| {
-            let open = !(out.contains(id) && self.out.contains(id));
-            let on = host.standing == Availability::InService && !host.failing;
-            on && open && host.warm(now, &self.facts.warmup) && self.may(zone, product, host.zone)
+            let open = !(out.contains(id) && self.withdrawn.contains(id));
+            let on = host.availability == Availability::InService && !host.failing;
+            on && open && host.warm(now, &self.facts.warmup) && self.may_route(zone, class, host.zone)
         };
         self.hosts.iter().find(ready).map(|found| *found.0)
     }
 
-    pub(crate) fn may(&self, zone: ZoneId, product: ClassId, to: ZoneId) -> bool {
-        let home = self.facts.at_home & ClassSet::one(product).0 != 0;
-        let reach = self.reach.get(&(zone, product)).copied().unwrap_or(Zones::ALL);
+    pub(crate) fn may_route(&self, zone: ZoneId, class: ClassId, to: ZoneId) -> bool {
+        let home = self.facts.at_home & ClassSet::one(class).0 != 0;
+        let reach = self.reach.get(&(zone, class)).copied().unwrap_or(Zones::ALL);
         (!home || zone == to) && (reach == Zones::ALL || reach.contains(to))
     }
 
-    /// Txns a second that a host survives; none: it is not judged.
-    pub(crate) fn most(&self, now: f64, host: HostId) -> Option<f64> {
+    /// The load in txns a second that a host survives; `None` if the host is not checked.
+    pub(crate) fn max_load(&self, now: f64, host: HostId) -> Option<f64> {
         let known = self.hosts.get(&host)?;
         let each = match self.facts.per_weight {
             Some(each) => each,
-            // What was done is what can be done at the least: enough to judge a cold host by beside the warm ones,
-            // and too little to tell a warm one that it can't do more.
-            None if !known.warm(now, &self.facts.warmup) && self.best > 0.0 => self.best,
+            // Observed rates are only a lower bound of the capacity: enough to limit a cold host relative to
+            // warm ones, but too low to limit a warm host.
+            None if !known.warm(now, &self.facts.warmup) && self.best_rate > 0.0 => self.best_rate,
             None => return None,
         };
-        Some(self.facts.warmup.failure_load * each * known.weight * known.able(now, &self.facts.warmup))
+        Some(
+            self.facts.warmup.failure_load
+                * each
+                * known.weight
+                * known.warm_fraction(now, &self.facts.warmup),
+        )
     }
 
-    /// Txns a second that may come to a host, at the most, over all states that proxies may hold.
+    /// The maximum load of a host in txns a second, over all states that proxies may hold.
     pub(crate) fn load(&self, now: f64, host: HostId) -> f64 {
         let Some(known) = self.hosts.get(&host) else { return 0.0 };
-        let mut load = self.others(now, known) + self.of_late(host);
+        let mut load = self.foreign_load(now, known) + self.lagging_load(host);
         let mut spans: BTreeMap<TableId, (f64, Vec<Span>)> = BTreeMap::new();
-        for tbl in self.named.get(&host).into_iter().flatten() {
-            let Some(table) = self.tables.get(tbl) else { continue };
+        for table_id in self.tables_of_host.get(&host).into_iter().flatten() {
+            let Some(table) = self.tables.get(table_id) else { continue };
             let each: Vec<Span> = table.spans(host, self.open_weight(table, host)).collect();
             let peak = each.iter().map(|span| span.part).fold(0.0, f64::max);
             load += table.demand * peak;
             if peak > 0.0 {
-                spans.insert(*tbl, (peak, each));
+                spans.insert(*table_id, (peak, each));
             }
         }
         if spans.is_empty() {
             return load.max(0.0);
         }
-        // Who came to a table does not hold what it was before, and may hold what those were where it has been.
-        for (id, hops) in &self.hops {
+        // A proxy that came to a table cannot hold the table's earlier states, but may hold states of its
+        // former tables from the time it used them.
+        for (id, rebinds) in &self.rebinds {
             let Some(proxy) = self.proxies.get(id) else { continue };
-            let there = |tbl: &TableId| spans.contains_key(tbl);
-            if !proxy.uses.iter().map(|held| &held.tbl).chain(hops.iter().map(|hop| &hop.from)).any(there) {
+            let there = |table_id: &TableId| spans.contains_key(table_id);
+            if !proxy
+                .bindings
+                .iter()
+                .map(|binding| &binding.table_id)
+                .chain(rebinds.iter().map(|rebind| &rebind.from))
+                .any(there)
+            {
                 continue;
             }
-            for held in &proxy.uses {
-                let peak = spans.get(&held.tbl).map_or(0.0, |there| there.0);
-                let (mut left, mut all, mut most) = (held.mask, 0.0, 0.0f64);
+            for binding in &proxy.bindings {
+                let peak = spans.get(&binding.table_id).map_or(0.0, |there| there.0);
+                let (mut left, mut all, mut most) = (binding.mask, 0.0, 0.0f64);
                 while left != 0 {
                     let first = left & left.wrapping_neg();
-                    // Products that went together.
+                    // Request classes that were always rebound together.
                     let same = |mask: u64| if mask & first != 0 { mask } else { !mask };
-                    let group = hops.iter().fold(left, |group, hop| group & same(hop.mask));
-                    let part = self.most_of(now, held.tbl, hops, first, &spans);
+                    let group = rebinds.iter().fold(left, |group, rebind| group & same(rebind.mask));
+                    let part = self.max_share_of(now, binding.table_id, rebinds, first, &spans);
                     all += self.demand(proxy, group) * part;
                     most = most.max(part);
                     left &= !group;
                 }
-                load += all.min(held.demand * most) - held.demand * peak;
+                load += all.min(binding.demand * most) - binding.demand * peak;
             }
         }
         load.max(0.0)
     }
 
-    /// The largest part of a proxy's product that a host may get, wherever the proxy may be: in the table where it is
-    /// since it came there; where it has been, as that was then; and where an unsure call would bring it, as that
-    /// may be since.
-    fn most_of(
+    /// The largest fraction of a proxy's class that a host may get in any table that the proxy may use: the
+    /// present table in its states since the proxy was bound to it, former tables in their states of that
+    /// time, and tables that an unconfirmed call would bring it back to, in their states since.
+    fn max_share_of(
         &self,
         now: f64,
-        tbl: TableId,
-        hops: &[Hop],
-        product: u64,
+        table_id: TableId,
+        rebinds: &[Rebind],
+        class: u64,
         spans: &BTreeMap<TableId, (f64, Vec<Span>)>,
     ) -> f64 {
-        let (mut most, mut came) = (0.0f64, 0);
-        let mut see = |tbl: TableId, since: At, until: At| {
-            let spans = spans.get(&tbl).into_iter().flat_map(|there| &there.1);
-            let held = spans.filter(|span| span.ended > since && span.began < until);
-            most = held.map(|span| span.part).fold(most, f64::max);
+        let (mut most, mut bound_at) = (0.0f64, 0);
+        let mut see = |table_id: TableId, since: CallIndex, until: CallIndex| {
+            let spans = spans.get(&table_id).into_iter().flat_map(|there| &there.1);
+            let overlapping = spans.filter(|span| span.ended > since && span.began < until);
+            most = overlapping.map(|span| span.part).fold(most, f64::max);
         };
-        for hop in hops.iter().filter(|hop| hop.mask & product != 0) {
-            let since = std::mem::replace(&mut came, hop.at);
-            let still = hop.until > now || hop.at > self.quiet;
-            let until = self.again_until(since).unwrap_or(0).max(if still { hop.at } else { 0 });
-            see(hop.from, since, until);
+        for rebind in rebinds.iter().filter(|rebind| rebind.mask & class != 0) {
+            let since = std::mem::replace(&mut bound_at, rebind.at);
+            let still = rebind.until > now || rebind.at > self.confirmed;
+            let until = self.repeatable_until(since).unwrap_or(0).max(if still { rebind.at } else { 0 });
+            see(rebind.from, since, until);
         }
-        see(tbl, came, At::MAX);
+        see(table_id, bound_at, CallIndex::MAX);
         most
     }
 
-    /// What a host gets was counted without any doubt, so that two counts can be compared.
-    fn exact(&self, host: HostId) -> bool {
-        let sure = |tbl: &TableId| {
-            let vague =
-                |table: &Table| table.doubted.is_some() || table.old.iter().any(|old| old.doubted.is_some());
-            !self.tables.get(tbl).is_some_and(vague)
+    /// Whether the host's load is computed without uncertainty, so that two loads can be compared.
+    fn is_exact(&self, host: HostId) -> bool {
+        let sure = |table_id: &TableId| {
+            let any_repeated = |table: &Table| {
+                table.uncertainty.is_some() || table.past.iter().any(|old| old.uncertainty.is_some())
+            };
+            !self.tables.get(table_id).is_some_and(any_repeated)
         };
-        let tables = || self.named.get(&host).into_iter().flatten();
-        let here = |tbl: &TableId| self.named.get(&host).is_some_and(|named| named.contains(tbl));
-        let moves = self.hops.iter().any(|(id, hops)| {
-            let uses = self.proxies.get(id).into_iter().flat_map(|proxy| &proxy.uses);
-            uses.map(|held| &held.tbl).chain(hops.iter().map(|hop| &hop.from)).any(here)
+        let tables = || self.tables_of_host.get(&host).into_iter().flatten();
+        let here =
+            |table_id: &TableId| self.tables_of_host.get(&host).is_some_and(|named| named.contains(table_id));
+        let moves = self.rebinds.iter().any(|(id, rebinds)| {
+            let bindings = self.proxies.get(id).into_iter().flat_map(|proxy| &proxy.bindings);
+            bindings
+                .map(|binding| &binding.table_id)
+                .chain(rebinds.iter().map(|rebind| &rebind.from))
+                .any(here)
         });
-        // Nor can two counts of what those may bring who are behind.
-        !self.doubts() && !moves && tables().all(sure) && self.of_late(host) <= 0.0
+        // The load from proxies that are behind is an upper bound, so two such loads cannot be compared
+        // either.
+        !self.is_uncertain() && !moves && tables().all(sure) && self.lagging_load(host) <= 0.0
     }
 
-    /// Hosts that get more of a table than before, or of a table that got more, and more than they survive.
-    fn over(&self, now: f64, trial: &Trial) -> Vec<(HostId, f64, f64)> {
-        // Few are cold, and tables name many.
-        let judged = |tbl: &TableId| -> Vec<HostId> {
-            let lines = self.tables.get(tbl).map(|table| &table.lines);
+    /// Hosts whose fraction of a table grew, or whose table got more demand, and that now get more than they
+    /// survive.
+    fn overloaded_hosts(&self, now: f64, trial: &Trial) -> Vec<(HostId, f64, f64)> {
+        // Few hosts are cold and tables name many, so the cold hosts are iterated.
+        let judged = |table_id: &TableId| -> Vec<HostId> {
+            let lines = self.tables.get(table_id).map(|table| &table.lines);
             let named = |host: &&HostId| lines.is_some_and(|lines| lines.contains_key(host));
             match self.facts.per_weight {
                 Some(_) => lines.into_iter().flat_map(|lines| lines.keys()).copied().collect(),
@@ -547,43 +596,44 @@
             }
         };
         let mut raised = BTreeSet::new();
-        for tbl in trial.before.keys() {
-            let Some(table) = self.tables.get(tbl) else { continue };
-            raised.extend(judged(tbl).into_iter().filter(|host| {
+        for table_id in trial.before.keys() {
+            let Some(table) = self.tables.get(table_id) else { continue };
+            raised.extend(judged(table_id).into_iter().filter(|host| {
                 let mut spans = table.spans(*host, self.open_weight(table, *host)).map(|span| span.part);
                 let (is, was) = (spans.next().unwrap_or(0.0), spans.next().unwrap_or(0.0));
                 is > was
             }));
         }
-        if self.doubts() {
+        if self.is_uncertain() {
             let judges = |host: &HostId| self.facts.per_weight.is_some() || self.cold.contains(host);
-            for tbl in trial.tables.iter().copied().chain(trial.writes.binds.iter().map(|bind| bind.1)) {
-                let Some(doubt) = self.tables.get(&tbl).and_then(|table| table.doubted.as_ref()) else {
+            for table_id in trial.tables.iter().copied().chain(trial.writes.binds.iter().map(|bind| bind.1)) {
+                let Some(doubt) = self.tables.get(&table_id).and_then(|table| table.uncertainty.as_ref())
+                else {
                     continue;
                 };
-                raised.extend(judged(&tbl));
-                raised.extend(doubt.maybe.iter().map(|maybe| maybe.0).filter(judges));
+                raised.extend(judged(&table_id));
+                raised.extend(doubt.uncertain.iter().map(|uncertain| uncertain.0).filter(judges));
             }
         }
         raised.extend(
             trial.writes.binds.iter().map(|bind| bind.1).collect::<BTreeSet<_>>().iter().flat_map(judged),
         );
         let over = raised.into_iter().filter_map(|host| {
-            let (load, most) = (self.load(now, host), self.most(now, host)?);
+            let (load, most) = (self.load(now, host), self.max_load(now, host)?);
             (load > most * (1.0 + SAME)).then_some((host, load, most))
         });
         over.collect()
     }
 
-    /// Proxies that an order goes to.
-    fn users(&self, tables: &BTreeSet<TableId>) -> BTreeSet<ProxyId> {
-        let tables = tables.iter().filter_map(|tbl| self.tables.get(tbl));
+    /// The proxies that use any of these tables.
+    fn users_of(&self, tables: &BTreeSet<TableId>) -> BTreeSet<ProxyId> {
+        let tables = tables.iter().filter_map(|table_id| self.tables.get(table_id));
         tables.flat_map(|table| table.groups.values().flatten()).copied().collect()
     }
 
-    /// Lines that a batch puts into the channel, at the most.
+    /// The maximum number of lines that a batch adds to the relay's channel.
     pub(crate) fn lines(&self, orders: &[Order]) -> f64 {
-        let users = |tbl: &TableId| self.tables.get(tbl).map_or(0, |table| table.users);
+        let users = |table_id: &TableId| self.tables.get(table_id).map_or(0, |table| table.users);
         let (mut lines, mut whom, mut named) = (0, 0, BTreeMap::<TableId, usize>::new());
         for order in orders {
             match order {
@@ -594,8 +644,9 @@
                 }
                 Order::ClearTable { table } => lines += users(table),
                 Order::Withdraw { host, .. } => {
-                    // One that uses two of its tables gets it once: no more than all.
-                    let tables = self.named.get(host).into_iter().flatten();
+                    // A proxy that uses two of the host's tables gets the line once, so the count is at most
+                    // the number of proxies.
+                    let tables = self.tables_of_host.get(host).into_iter().flatten();
                     let count = tables.map(users).sum::<usize>().min(self.proxies.len());
                     lines += count;
                     whom = whom.max(count);
@@ -612,18 +663,19 @@
         lines as f64 + whom as f64 * (self.facts.channel.message_overhead + 1.0)
     }
 
-    fn too_much(&self, now: f64, orders: &[Order]) -> Option<Breach> {
+    fn over_channel_limits(&self, now: f64, orders: &[Order]) -> Option<Breach> {
         let lines = self.lines(orders);
         let most = self.facts.channel.max_backlog;
-        if lines > 0.0 && self.waiting + lines > most {
-            let witness = Witness::Backlog { lines: self.waiting + lines, most };
+        if lines > 0.0 && self.backlog + lines > most {
+            let witness = Witness::Backlog { lines: self.backlog + lines, most };
             return Some(Breach { rule: Rule::Queue, witness });
         }
         let most = self.facts.channel.max_messages;
         if lines <= 0.0 || most == 0 || (self.messages.len() as u32) < most {
             return None;
         }
-        // Who gets one more, and how many it had: by what it uses now, counted once for each kind of use.
+        // Counts the recent messages of each affected proxy, by the tables that it uses now; proxies with the
+        // same tables share the count.
         let mut tables = BTreeSet::new();
         let mut whom = BTreeSet::new();
         for order in orders {
@@ -631,20 +683,24 @@
                 Order::SetEntry { table, .. } | Order::Admit { table, .. } | Order::ClearTable { table } => {
                     tables.insert(*table);
                 }
-                Order::Withdraw { host, .. } => tables.extend(self.named.get(host).into_iter().flatten()),
+                Order::Withdraw { host, .. } => {
+                    tables.extend(self.tables_of_host.get(host).into_iter().flatten())
+                }
                 Order::Bind { proxy, .. } => drop(whom.insert(*proxy)),
                 _ => {}
             }
         }
-        whom.extend(self.users(&tables));
+        whom.extend(self.users_of(&tables));
         let mut counted: BTreeMap<Vec<TableId>, u32> = BTreeMap::new();
         let over = self.facts.channel.message_window;
         let recent = || self.messages.iter().filter(|message| message.when + over >= now);
         whom.into_iter().find_map(|id| {
             let proxy = self.proxies.get(&id)?;
-            let uses: Vec<TableId> = proxy.uses.iter().map(|held| held.tbl).collect();
-            let at_tables = *counted.entry(uses).or_insert_with_key(|uses| {
-                recent().filter(|message| uses.iter().any(|tbl| message.tables.contains(tbl))).count() as u32
+            let bindings: Vec<TableId> = proxy.bindings.iter().map(|binding| binding.table_id).collect();
+            let at_tables = *counted.entry(bindings).or_insert_with_key(|bindings| {
+                recent()
+                    .filter(|message| bindings.iter().any(|table_id| message.tables.contains(table_id)))
+                    .count() as u32
             });
             let own = recent().filter(|message| message.proxies.contains(&id)).count() as u32;
             let messages = at_tables.max(own) + 1;
--- a/crates/guard/src/plain.rs
+++ b/crates/guard/src/plain.rs
@@ -1,5 +1,6 @@
-//! The same rules by brute force, for sizes that allow it: every state that any proxy may be in is written out, and
-//! each is looked at whole. It shares no structure with the guard; it is there to find the guard wrong.
+//! A brute-force implementation of the same rules for small fleets: it enumerates every state that any proxy
+//! may be in and checks each one completely. It shares no data structure with the guard, so that comparing
+//! both reveals errors of the guard.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,11 +12,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fate {
     pub zone: ZoneId,
-    /// A line to it is of use; it is on, warm and answers; it drains or is gone.
+    /// `serves`: the host can answer txns. `ready`: it is in service, warm and answers probes. `leaving`: it
+    /// drains or has been removed.
     pub serves: bool,
     pub ready: bool,
-    pub leaves: bool,
-    /// Txns a second that it survives, where it is judged.
+    pub leaving: bool,
+    /// The load in txns a second that the host survives; `None` if it is not checked.
     pub most: Option<f64>,
 }
 
@@ -23,15 +25,15 @@
 struct Call {
     when: f64,
     orders: Vec<Order>,
-    /// The first call that was unsure when this one was written.
+    /// The index of the first call that was unconfirmed when this one was sent.
     unsure: usize,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct State {
     lines: BTreeMap<(TableId, HostId), f64>,
-    out: BTreeSet<HostId>,
-    uses: BTreeMap<(ProxyId, ClassId), TableId>,
+    withdrawn: BTreeSet<HostId>,
+    bindings: BTreeMap<(ProxyId, ClassId), TableId>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -41,18 +43,19 @@
     pub transit_worst: f64,
     pub hosts: BTreeMap<HostId, Fate>,
     pub proxies: BTreeMap<ProxyId, ZoneId>,
-    /// Txns a second, at most.
+    /// The maximum demand in txns a second.
     pub demand: BTreeMap<(ProxyId, ClassId), f64>,
-    /// Those that are behind, and how many calls they have carried out for certain.
+    /// Proxies that are behind, with the number of calls that each has certainly carried out.
     pub late: BTreeMap<ProxyId, usize>,
     calls: Vec<Call>,
-    /// Calls before this one are not carried out again.
-    quiet: usize,
-    /// When that was so for how many: a copy is there within the worst transit after.
+    /// Calls before this index are not carried out again.
+    confirmed: usize,
+    /// When which number of calls was confirmed. The last copies of these calls arrive within the maximum
+    /// transit time after it.
     answers: Vec<(f64, usize)>,
 }
 
-/// Calls carried out again, from one to another.
+/// A range of calls (first and last index) that is carried out again.
 type Run = Option<(usize, usize)>;
 
 impl State {
@@ -64,13 +67,13 @@
                 }
                 Order::SetEntry { table, host, .. } => drop(self.lines.remove(&(*table, *host))),
                 Order::ClearTable { table } => self.lines.retain(|line, _| line.0 != *table),
-                Order::Withdraw { host, withdrawn: true } => drop(self.out.insert(*host)),
-                Order::Withdraw { host, withdrawn: false } => drop(self.out.remove(host)),
+                Order::Withdraw { host, withdrawn: true } => drop(self.withdrawn.insert(*host)),
+                Order::Withdraw { host, withdrawn: false } => drop(self.withdrawn.remove(host)),
                 Order::Bind { proxy, table, classes } if plain.proxies.contains_key(proxy) => {
                     let of = (0..plain.products).map(ClassId);
                     let of =
                         of.filter(|id| *classes == ClassSet::ALL || classes.0 & ClassSet::one(*id).0 != 0);
-                    self.uses.extend(of.map(|product| ((*proxy, product), *table)));
+                    self.bindings.extend(of.map(|class| ((*proxy, class), *table)));
                 }
                 _ => {}
             }
@@ -78,17 +81,19 @@
     }
 
     fn bare(&self, plain: &Plain, of: (ProxyId, ClassId)) -> bool {
-        let serves =
-            |host: &HostId| !self.out.contains(host) && plain.hosts.get(host).is_some_and(|host| host.serves);
-        let Some(tbl) = self.uses.get(&of) else { return false };
-        !self.lines.keys().any(|(of, host)| of == tbl && serves(host))
+        let serves = |host: &HostId| {
+            !self.withdrawn.contains(host) && plain.hosts.get(host).is_some_and(|host| host.serves)
+        };
+        let Some(table_id) = self.bindings.get(&of) else { return false };
+        !self.lines.keys().any(|(of, host)| of == table_id && serves(host))
     }
 
     fn share(&self, of: (ProxyId, ClassId), host: HostId) -> f64 {
-        let Some(tbl) = self.uses.get(&of) else { return 0.0 };
-        let open = self.lines.iter().filter(|((of, host), _)| of == tbl && !self.out.contains(host));
+        let Some(table_id) = self.bindings.get(&of) else { return 0.0 };
+        let open =
+            self.lines.iter().filter(|((of, host), _)| of == table_id && !self.withdrawn.contains(host));
         let sum: f64 = open.map(|line| *line.1).sum();
-        let own = self.lines.get(&(*tbl, host)).filter(|_| !self.out.contains(&host));
+        let own = self.lines.get(&(*table_id, host)).filter(|_| !self.withdrawn.contains(&host));
         own.map_or(0.0, |weight| weight / sum)
     }
 }
@@ -98,8 +103,8 @@
         Plain { products, at_home, transit_worst, ..Plain::default() }
     }
 
-    /// The states of a proxy that has carried out so many calls: as they are, and with any run of the unsure ones
-    /// carried out again.
+    /// The states that a proxy may be in after `count` calls: the state as ordered, and the states after any
+    /// range of the unconfirmed calls is carried out again.
     fn states(&self, calls: &[Call], count: usize, unsure: usize) -> BTreeMap<Run, State> {
         let mut base = State::default();
         calls[..count].iter().for_each(|call| base.carry_out(self, &call.orders));
@@ -114,20 +119,24 @@
         all
     }
 
-    /// The most that may come to a host.
+    /// The maximum load of a host.
     fn load(&self, now: f64, calls: &[Call], host: HostId) -> f64 {
         let still = |count: &usize| {
-            calls.get(*count).is_none_or(|next| next.when + self.transit_worst > now || *count >= self.quiet)
+            calls
+                .get(*count)
+                .is_none_or(|next| next.when + self.transit_worst > now || *count >= self.confirmed)
         };
         let counts: BTreeSet<usize> = (0..=calls.len()).filter(still).collect();
-        // An answer says that a call was carried out then, or before: its last copy is not on its way for good.
+        // An answer shows that a call was carried out at that time or before, so its last copy arrives within
+        // the maximum transit time after the answer.
         let there = self.answers.iter().filter(|(when, _)| when + self.transit_worst <= now);
         let there = there.map(|(_, count)| *count).max().unwrap_or(0);
         let unsure = |count: usize| count.checked_sub(1).map_or(0, |last| calls[last].unsure.max(there));
         let states =
             counts.into_iter().flat_map(|count| self.states(calls, count, unsure(count)).into_values());
         let states: Vec<State> = states.collect();
-        // Who is behind may be at each state since, with all that was unsure by then carried out again.
+        // A proxy that is behind may be in each state since its last answer, with all calls that were
+        // unconfirmed by then carried out again.
         let first = |count: usize| count.checked_sub(1).map_or(0, |last| calls[last].unsure);
         let since = |from: usize| {
             let after = (from..=calls.len())
@@ -143,28 +152,29 @@
         self.demand.iter().map(|(of, demand)| demand * part(of)).sum()
     }
 
-    /// The rules that a batch would begin to break.
+    /// The rules that a batch would newly violate.
     pub fn breaks(&self, now: f64, orders: &[Order]) -> BTreeSet<Rule> {
         let mut broken = BTreeSet::new();
         let mut next = self.calls.clone();
-        next.push(Call { when: now, orders: orders.to_vec(), unsure: self.quiet });
+        next.push(Call { when: now, orders: orders.to_vec(), unsure: self.confirmed });
         let (before, after) = (
-            self.states(&self.calls, self.calls.len(), self.quiet),
-            self.states(&next, next.len(), self.quiet),
+            self.states(&self.calls, self.calls.len(), self.confirmed),
+            self.states(&next, next.len(), self.confirmed),
         );
-        let (was, is) = (&before[&None].out, &after[&None].out);
-        if was.iter().any(|host| !is.contains(host) && self.hosts.get(host).is_some_and(|host| host.leaves)) {
+        let (was, is) = (&before[&None].withdrawn, &after[&None].withdrawn);
+        if was.iter().any(|host| !is.contains(host) && self.hosts.get(host).is_some_and(|host| host.leaving))
+        {
             broken.insert(Rule::Drain);
         }
         for (proxy, zone) in &self.proxies {
-            for product in (0..self.products).map(ClassId) {
-                let (of, home) = ((*proxy, product), self.at_home & ClassSet::one(product).0 != 0);
+            for class in (0..self.products).map(ClassId) {
+                let (of, home) = ((*proxy, class), self.at_home & ClassSet::one(class).0 != 0);
                 let ready = |(id, host): (&HostId, &Fate)| {
                     host.ready && !(was.contains(id) && is.contains(id)) && (!home || host.zone == *zone)
                 };
-                // The same doubt before it: without the batch. What was bare there already, while nobody was ready or
-                // it had nothing, is not what this batch makes reachable: it may let in who is ready, or have
-                // nothing to do with it.
+                // Compares with the same repeated calls without the batch. If the proxy had no usable host
+                // there already, because no host was ready or it had no entries, the batch is not at fault:
+                // it may restore the ready host, or be unrelated.
                 let last = self.calls.len();
                 let without = |run: Run| match run {
                     Some((from, to)) if to == last => (from < last).then(|| (from, last - 1)),
@@ -188,35 +198,34 @@
         broken
     }
 
-    /// A batch that goes out.
+    /// Records a batch as sent.
     pub fn commit(&mut self, now: f64, orders: &[Order]) {
-        self.calls.push(Call { when: now, orders: orders.to_vec(), unsure: self.quiet });
+        self.calls.push(Call { when: now, orders: orders.to_vec(), unsure: self.confirmed });
     }
 
-    /// How many went out.
+    /// The number of batches sent.
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// All calls so far are answered for.
+    /// The relay has confirmed all calls so far.
     pub fn answered(&mut self, now: f64) {
-        self.quiet = self.calls.len();
-        self.answers.push((now, self.quiet));
+        self.confirmed = self.calls.len();
+        self.answers.push((now, self.confirmed));
     }
 
-    /// Proxies that have nothing in the newest state, while a host is ready for them.
+    /// Proxies and classes without a usable host in the newest state although a host is ready for them.
     pub fn bare_now(&self) -> Vec<(ProxyId, ClassId)> {
         let state = &self.states(&self.calls, self.calls.len(), self.calls.len())[&None];
         let mut bare = Vec::new();
         for (proxy, zone) in &self.proxies {
-            for product in (0..self.products).map(ClassId) {
-                let home = self.at_home & ClassSet::one(product).0 != 0;
-                let ready = self
-                    .hosts
-                    .iter()
-                    .any(|(id, host)| host.ready && !state.out.contains(id) && (!home || host.zone == *zone));
-                if ready && state.bare(self, (*proxy, product)) {
-                    bare.push((*proxy, product));
+            for class in (0..self.products).map(ClassId) {
+                let home = self.at_home & ClassSet::one(class).0 != 0;
+                let ready = self.hosts.iter().any(|(id, host)| {
+                    host.ready && !state.withdrawn.contains(id) && (!home || host.zone == *zone)
+                });
+                if ready && state.bare(self, (*proxy, class)) {
+                    bare.push((*proxy, class));
                 }
             }
         }
--- a/crates/guard/src/standing.rs
+++ b/crates/guard/src/standing.rs
@@ -1,5 +1,5 @@
-//! A fleet that stands, as large as wanted, for measuring what a batch costs: its guard, and beside it all of it looked
-//! at anew after each batch.
+//! Builds a fleet of any size in a steady state, to measure the cost of checking a batch: its guard and, for
+//! comparison, a check that evaluates the whole fleet after each batch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +9,10 @@
 use crate::model::Guard;
 
 const ZONES: u16 = 8;
-/// Tables of a zone's class, over which its hosts are dealt; the first names them all.
+/// Tables for each zone and class group. The first names all hosts of the group; the others split them.
 const NODES: u16 = 4;
 const PRODUCTS: u16 = 3;
-/// The first two products may go to the next zone, the third stays.
+/// The first two request classes may also use hosts of the next zone, the third only those of its own.
 const CLASSES: [(ClassSet, u16); 2] = [(ClassSet(0b011), 2), (ClassSet(0b100), 1)];
 const RATE: f64 = 10.0;
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// What brings the fleet there from nothing.
+/// The orders that bring an empty fleet to the steady state.
 fn all(proxies: u16, hosts: u32) -> Vec<Order> {
     let mut orders = Vec::new();
     for (zone, (class, (_, width))) in
@@ -76,7 +76,8 @@
     orders
 }
 
-/// All have joined, told of their demand, and been bound; a host of every fifty is cold, and one batch is a while ago.
+/// A guard of a fleet in which all proxies have joined, reported their demand and been bound. One host in
+/// fifty is cold, and the one batch sent is confirmed.
 pub fn standing(proxies: u16, hosts: u32) -> Guard {
     let mut guard = Guard::new(facts());
     let listed = |host: u32| HostEntry {
@@ -113,9 +114,8 @@
     guard
 }
 
-/// No batch here has a mark: nobody answers one, and who does not is behind.
-///
-/// A gate changes: a host is shut out, and the one before it let in.
+/// A batch that withdraws a host and restores the one before it. Batches of this module carry no mark: nobody
+/// answers marks here, and the proxies would count as behind.
 pub fn gate(hosts: u32, number: u32) -> Vec<Order> {
     let host = |number: u32| HostId(number.wrapping_mul(7) % hosts);
     vec![
@@ -124,7 +124,7 @@
     ]
 }
 
-/// Weights of a table, and proxies that move to another one.
+/// A batch that changes weights of a table and binds proxies to other tables.
 pub fn step(proxies: u16, hosts: u32, number: u32) -> Vec<Order> {
     let (zone, node) = ((number % u32::from(ZONES)) as u16, (number / 8) as u16 % NODES);
     let named = (0..hosts).filter(|host| zone_of(*host) == zone);
@@ -142,12 +142,12 @@
     orders
 }
 
-/// The newest state alone, without doubts, of which all is looked at after each batch.
+/// The newest state only, without unconfirmed calls; all of it is evaluated after each batch.
 #[derive(Default)]
 pub struct Anew {
     lines: BTreeMap<TableId, BTreeMap<HostId, f64>>,
-    out: BTreeSet<HostId>,
-    uses: BTreeMap<(ProxyId, u64), TableId>,
+    withdrawn: BTreeSet<HostId>,
+    bindings: BTreeMap<(ProxyId, u64), TableId>,
     rate: f64,
     most: f64,
 }
@@ -165,24 +165,24 @@
                 self.lines.entry(*table).or_default().insert(*host, *weight);
             }
             Order::SetEntry { table, host, .. } => drop(self.lines.entry(*table).or_default().remove(host)),
-            Order::Withdraw { host, withdrawn: true } => drop(self.out.insert(*host)),
-            Order::Withdraw { host, withdrawn: false } => drop(self.out.remove(host)),
-            Order::Bind { proxy, table, classes } => drop(self.uses.insert((*proxy, classes.0), *table)),
+            Order::Withdraw { host, withdrawn: true } => drop(self.withdrawn.insert(*host)),
+            Order::Withdraw { host, withdrawn: false } => drop(self.withdrawn.remove(host)),
+            Order::Bind { proxy, table, classes } => drop(self.bindings.insert((*proxy, classes.0), *table)),
             _ => {}
         }
     }
 
-    /// Whether all proxies have something, and no host too much.
+    /// Whether every proxy has an open host and no host gets too much load.
     pub fn judge(&mut self, orders: &[Order]) -> bool {
         orders.iter().for_each(|order| self.carry_out(order));
         let mut demand: BTreeMap<TableId, f64> = BTreeMap::new();
-        for ((_, products), tbl) in &self.uses {
-            *demand.entry(*tbl).or_default() += self.rate * f64::from(products.count_ones());
+        for ((_, products), table_id) in &self.bindings {
+            *demand.entry(*table_id).or_default() += self.rate * f64::from(products.count_ones());
         }
         let (mut load, mut all) = (BTreeMap::<HostId, f64>::new(), true);
-        for (tbl, demand) in demand {
-            let lines = self.lines.get(&tbl).into_iter().flatten();
-            let open: Vec<(&HostId, &f64)> = lines.filter(|line| !self.out.contains(line.0)).collect();
+        for (table_id, demand) in demand {
+            let lines = self.lines.get(&table_id).into_iter().flatten();
+            let open: Vec<(&HostId, &f64)> = lines.filter(|line| !self.withdrawn.contains(line.0)).collect();
             let sum: f64 = open.iter().map(|line| *line.1).sum();
             all &= sum > 0.0;
             open.iter()
--- a/crates/guard/src/sums.rs
+++ b/crates/guard/src/sums.rs
@@ -1,27 +1,27 @@
-//! The weight of a table's open lines, kept in step with them. Sums of blocks of hosts, of blocks of blocks and so on
-//! up: a change counts the blocks on its path anew, each from what stands below it. So the sum is the same whatever
-//! came before it, and what is taken back leaves what was there: carried along by differences it would drift, and
-//! forget the small weight beside the huge one.
+//! The total weight of a table's entries whose hosts are not withdrawn, updated incrementally. Weights are
+//! summed in a tree of blocks of hosts; a change recomputes the blocks on its path from their children. The
+//! total therefore does not depend on the order of earlier changes, and undoing a change restores it exactly.
+//! A running total adjusted by differences would drift and would lose small weights beside huge ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::HostId;
 
-/// 256 to a block: with 3,000 hosts a change counts some hundred entries, about what finding its place costs, and ids
-/// of 32 bits take three levels.
+/// Each block has 256 children. With 3,000 hosts a change then sums some hundred entries, about the cost of
+/// looking up its place, and 32-bit ids need three levels.
 const BITS: u32 = 8;
 const LEVELS: usize = 3;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Sums {
+pub(crate) struct WeightSums {
     blocks: [BTreeMap<u32, f64>; LEVELS],
     all: f64,
 }
 
-/// What stands of each level on the paths of some hosts.
-type Paths = ([Vec<(u32, f64)>; LEVELS], f64);
+/// The recomputed blocks of each level on the paths of some hosts, and the new total.
+type PathSums = ([Vec<(u32, f64)>; LEVELS], f64);
 
-/// In the order of the ids, with what is fresh in place of what stands.
+/// Sums the weights in the order of ids, with those of `fresh` replacing the present ones.
 fn sum(standing: impl Iterator<Item = (u32, f64)>, fresh: &[(u32, f64)]) -> f64 {
     let (mut all, mut fresh) = (0.0, fresh.iter().peekable());
     for (id, weight) in standing {
@@ -33,21 +33,23 @@
     fresh.fold(all, |all, after| all + after.1)
 }
 
-impl Sums {
+impl WeightSums {
     pub fn all(&self) -> f64 {
         self.all
     }
 
-    /// Those lines have changed, or whether their hosts are shut out; by host.
+    /// Recomputes the sums after the entries of these hosts, or their withdrawal, changed. Hosts come in
+    /// ascending order.
     pub fn update(
         &mut self,
         lines: &BTreeMap<HostId, f64>,
-        out: &BTreeSet<HostId>,
+        withdrawn: &BTreeSet<HostId>,
         changed: impl Iterator<Item = HostId>,
     ) {
-        let open = |host: HostId| lines.get(&host).copied().filter(|_| !out.contains(&host)).unwrap_or(0.0);
+        let open =
+            |host: HostId| lines.get(&host).copied().filter(|_| !withdrawn.contains(&host)).unwrap_or(0.0);
         let fresh: Vec<(u32, f64)> = changed.map(|host| (host.0, open(host))).collect();
-        let (levels, all) = self.paths(lines, out, fresh);
+        let (levels, all) = self.paths(lines, withdrawn, fresh);
         for (blocks, fresh) in self.blocks.iter_mut().zip(levels) {
             for (block, weight) in fresh {
                 match weight > 0.0 {
@@ -59,25 +61,25 @@
         self.all = all;
     }
 
-    /// What it would be if these hosts had those weights; by host.
-    pub fn with(
+    /// The total if these hosts had these weights. Hosts come in ascending order.
+    pub fn total_with(
         &self,
         lines: &BTreeMap<HostId, f64>,
-        out: &BTreeSet<HostId>,
+        withdrawn: &BTreeSet<HostId>,
         weights: Vec<(u32, f64)>,
     ) -> f64 {
         if weights.is_empty() {
             return self.all;
         }
-        self.paths(lines, out, weights).1
+        self.paths(lines, withdrawn, weights).1
     }
 
     fn paths(
         &self,
         lines: &BTreeMap<HostId, f64>,
-        out: &BTreeSet<HostId>,
+        withdrawn: &BTreeSet<HostId>,
         mut fresh: Vec<(u32, f64)>,
-    ) -> Paths {
+    ) -> PathSums {
         let mut levels: [Vec<(u32, f64)>; LEVELS] = Default::default();
         for (level, of_level) in levels.iter_mut().enumerate() {
             let mut blocks: Vec<(u32, f64)> = Vec::new();
@@ -88,7 +90,7 @@
                     0 => {
                         let there = lines.range(HostId(first)..=HostId(last));
                         let open = |(host, weight): (&HostId, &f64)| {
-                            (host.0, if out.contains(host) { 0.0 } else { *weight })
+                            (host.0, if withdrawn.contains(host) { 0.0 } else { *weight })
                         };
                         sum(there.map(open), of)
                     }
@@ -106,12 +108,12 @@
         (levels, all)
     }
 
-    /// All of it anew.
+    /// Recomputes everything from the entries, for comparison.
     #[cfg(any(test, debug_assertions))]
-    pub fn anew(lines: &BTreeMap<HostId, f64>, out: &BTreeSet<HostId>) -> Sums {
-        let mut sums = Sums::default();
-        sums.update(lines, out, lines.keys().copied());
-        sums
+    pub fn recomputed(lines: &BTreeMap<HostId, f64>, withdrawn: &BTreeSet<HostId>) -> WeightSums {
+        let mut weight_sums = WeightSums::default();
+        weight_sums.update(lines, withdrawn, lines.keys().copied());
+        weight_sums
     }
 }
 
@@ -121,7 +123,8 @@
 
     use super::*;
 
-    /// A line set or taken out, a host shut out or let in; ids near and far, weights that forget each other.
+    /// An entry set or removed, or a host withdrawn or restored. Ids lie in the same and in distant blocks,
+    /// and weights differ so much that one is lost when added to the other.
     fn change() -> impl Strategy<Value = (u32, Option<f64>, bool)> {
         let host = prop_oneof![0..40u32, 250..260u32, Just(70_000), Just(u32::MAX)];
         let weight = prop_oneof![Just(1e9), Just(1e-9), Just(0.1), Just(0.3), Just(1e100), Just(1e-300)];
@@ -131,9 +134,9 @@
     proptest! {
         #[test]
         fn a_kept_sum_differs_from_one_counted_anew(changes in prop::collection::vec(change(), 1..60)) {
-            let (mut lines, mut out, mut sums) = (BTreeMap::new(), BTreeSet::new(), Sums::default());
+            let (mut lines, mut withdrawn, mut weight_sums) = (BTreeMap::new(), BTreeSet::new(), WeightSums::default());
             for part in changes.chunks(3) {
-                let (was, was_out) = (lines.clone(), out.clone());
+                let (was, was_withdrawn) = (lines.clone(), withdrawn.clone());
                 let mut hosts = BTreeSet::new();
                 for (host, weight, gate) in part {
                     let host = HostId(*host);
@@ -141,19 +144,19 @@
                     match weight {
                         Some(weight) => drop(lines.insert(host, *weight)),
                         None if *gate => drop(lines.remove(&host)),
-                        None => drop(out.remove(&host) || out.insert(host)),
+                        None => drop(withdrawn.remove(&host) || withdrawn.insert(host)),
                     }
                 }
                 let weights = hosts.iter().map(|host| {
-                    let open = lines.get(host).copied().filter(|_| !out.contains(host));
+                    let open = lines.get(host).copied().filter(|_| !withdrawn.contains(host));
                     (host.0, open.unwrap_or(0.0))
                 });
-                let would = sums.with(&was, &was_out, weights.collect());
-                sums.update(&lines, &out, hosts.into_iter());
-                prop_assert_eq!(&sums, &Sums::anew(&lines, &out));
-                prop_assert_eq!(would, sums.all());
-                let plain: f64 = lines.iter().filter(|line| !out.contains(line.0)).map(|line| line.1).sum();
-                prop_assert!((sums.all() - plain).abs() <= 1e-12 * plain, "{} {}", sums.all(), plain);
+                let would = weight_sums.total_with(&was, &was_withdrawn, weights.collect());
+                weight_sums.update(&lines, &withdrawn, hosts.into_iter());
+                prop_assert_eq!(&weight_sums, &WeightSums::recomputed(&lines, &withdrawn));
+                prop_assert_eq!(would, weight_sums.all());
+                let plain: f64 = lines.iter().filter(|line| !withdrawn.contains(line.0)).map(|line| line.1).sum();
+                prop_assert!((weight_sums.all() - plain).abs() <= 1e-12 * plain, "{} {}", weight_sums.all(), plain);
             }
         }
     }
--- a/crates/guard/src/trial.rs
+++ b/crates/guard/src/trial.rs
@@ -1,5 +1,5 @@
-//! Small fleets and any batches, judged by the guard and by brute force side by side: three hosts, three proxies, two
-//! products, two tables.
+//! Small fleets with arbitrary batches, checked by the guard and by brute force side by side: three hosts,
+//! three proxies, two request classes, two tables.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     Batch(Vec<Order>),
-    /// Ms.
+    /// Time passes, in ms.
     Wait(f64),
-    /// The relay answers for all calls so far.
+    /// The relay confirms all calls so far.
     Answered,
 }
 
-/// What a host of a small fleet is.
+/// The condition of a host of a small fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Warm,
@@ -31,13 +31,13 @@
 #[derive(Clone, Debug)]
 pub struct Small {
     pub hosts: [(Kind, ZoneId); 3],
-    /// Home zones.
+    /// The home zones of the proxies.
     pub proxies: [ZoneId; 3],
-    /// Products that may not leave their zone.
+    /// The mask of request classes that may not leave their zone.
     pub at_home: u64,
     pub steps: Vec<Step>,
-    /// A proxy that answers the marks of so many calls and of none after them; the others answer all. None: nobody is
-    /// asked.
+    /// A proxy that answers the marks of this many calls and of none after them, while the others answer all.
+    /// If `None`, no marks are sent.
     pub late: Option<(ProxyId, usize)>,
 }
 
@@ -49,9 +49,9 @@
     pub falsely_refused: u64,
     pub mended: u64,
     pub refused: u64,
-    /// What was mended breaks a rule all the same, and no price was told.
+    /// Amended batches that still violate a rule without a price that accounts for it.
     pub falsely_mended: u64,
-    /// Judged while a proxy was behind.
+    /// Batches checked while a proxy was behind.
     pub late: u64,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// A host beside the fleet, in a zone of its own, shows what a warm one does.
+/// A warm host outside the fleet, in a zone of its own, from which the guard learns what a warm host does.
 const BESIDE: (HostId, ZoneId) = (HostId(9), ZoneId(7));
 
 fn listed(host: HostId, zone: ZoneId) -> HostEntry {
@@ -81,8 +81,8 @@
     fn fates(&self, guard: &Guard, now: f64) -> BTreeMap<HostId, Fate> {
         let fate = |(host, (kind, zone)): (u32, &(Kind, ZoneId))| {
             let (zone, serves, ready) = (*zone, *kind != Kind::Failing, *kind == Kind::Warm);
-            let (leaves, most) = (*kind == Kind::Draining, guard.survives(now, HostId(host)));
-            (HostId(host), Fate { zone, serves, ready, leaves, most })
+            let (leaving, most) = (*kind == Kind::Draining, guard.survives(now, HostId(host)));
+            (HostId(host), Fate { zone, serves, ready, leaving, most })
         };
         (0..).zip(&self.hosts).map(fate).collect()
     }
@@ -128,12 +128,12 @@
         }
     }
 
-    /// Plays it; `facts` are those of two products.
+    /// Runs all steps; `facts` are settings with two request classes.
     pub fn play(&self, facts: &Facts) -> Told {
         let mut guard = Guard::new(Facts { products: 2, at_home: self.at_home, ..facts.clone() });
         self.hear(&mut guard);
         let mut plain = Plain::new(2, self.at_home, facts.channel.max_transit);
-        let beside = Fate { zone: BESIDE.1, serves: true, ready: true, leaves: false, most: None };
+        let beside = Fate { zone: BESIDE.1, serves: true, ready: true, leaving: false, most: None };
         plain.hosts.insert(BESIDE.0, beside);
         plain.proxies = (0..).map(ProxyId).zip(self.proxies).collect();
         for proxy in plain.proxies.keys().copied() {
@@ -145,7 +145,8 @@
         for step in &self.steps {
             match step {
                 Step::Wait(time) => {
-                    // Marks end doubts by time, which brute force knows nothing of: no doubt lasts for so long.
+                    // Marks end uncertainty with time, which the brute-force check does not model, so all
+                    // calls are confirmed before time passes.
                     if self.late.is_some() {
                         guard.answered(now, guard.place());
                         plain.answered(now);
@@ -158,7 +159,7 @@
                 }
                 Step::Batch(orders) => {
                     now += 10.0;
-                    // Who is behind is found out by time.
+                    // The guard notices that a proxy is behind only when time advances.
                     guard.answered(now, 0);
                     plain.hosts.extend(self.fates(&guard, now));
                     let late = self.late.filter(|late| guard.is_behind(late.0));
@@ -185,7 +186,7 @@
     }
 }
 
-/// What goes out of a batch.
+/// Checks a batch with both implementations and returns what is sent of it.
 fn judged(
     guard: &mut Guard,
     plain: &Plain,
--- a/crates/guard/src/verdict.rs
+++ b/crates/guard/src/verdict.rs
@@ -1,17 +1,18 @@
-//! What is said of a batch.
+//! The result of checking a batch.
 
 use amberarch_core::{ClassId, HostId, Order, ProxyId, TableId, ZoneId};
 
-/// In the order in which they go when nothing satisfies all: the first is kept at the cost of those after it.
+/// The rules in order of precedence: if not all of them can be kept, a rule is kept at the cost of those
+/// after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Rule {
-    #[error("drains are kept")]
+    #[error("draining hosts stay withdrawn")]
     Drain,
     #[error("no proxy is left bare")]
     Bare,
-    #[error("no host is pushed over")]
+    #[error("no host gets more load than it survives")]
     Pushed,
-    #[error("queue and messages stay under their limits")]
+    #[error("channel backlog and messages stay below their limits")]
     Queue,
 }
 
@@ -22,13 +23,14 @@
     }
 }
 
-/// Who would be hit, and after which of the calls that may still be carried out, or carried out again.
+/// The host, proxy or channel affected by a violation and, where it depends on repeated calls, the calls that
+/// have to be carried out again for it.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum Witness {
-    #[error("host {} drains or is gone, and would be let in", host.0)]
+    #[error("host {} drains or has been removed, and would be restored", host.0)]
     LetIn { host: HostId },
     #[error(
-        "proxy {} in zone {}, product {}, table {}: nothing serves{}, while host {} is ready",
+        "proxy {} in zone {}, class {}, table {}: no host serves{}, although host {} is ready",
         proxy.0, zone.0, product.0, tbl.0,
         again.map_or(String::new(), |(from, to)| format!(" once calls {from} to {to} are carried out again")),
         ready.0
@@ -41,11 +43,11 @@
         again: Option<(u64, u64)>,
         ready: HostId,
     },
-    #[error("host {}: up to {load:.1} txns a second, {most:.1} at most", host.0)]
+    #[error("host {}: load of up to {load:.1} txns a second, limit {most:.1}", host.0)]
     Over { host: HostId, load: f64, most: f64 },
-    #[error("{lines:.0} lines would wait for the proxies, {most:.0} at most")]
+    #[error("{lines:.0} lines would wait in the channel, limit {most:.0}")]
     Backlog { lines: f64, most: f64 },
-    #[error("proxy {} would get {messages} messages within the stated time, {most} at most", proxy.0)]
+    #[error("proxy {} would get {messages} messages within the message window, limit {most}", proxy.0)]
     Messages { proxy: ProxyId, messages: u32, most: u32 },
 }
 
@@ -57,16 +59,20 @@
 }
 
 impl Breach {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self.witness {
-            Witness::LetIn { .. } => "nothing: the host stays out; the decisions went by an older list",
+            Witness::LetIn { .. } => {
+                "no action needed: the host stays withdrawn; the decisions used an older host list"
+            }
             Witness::Nothing { .. } => {
-                "nothing was sent of it; if it lasts, look why the hosts that are ready are in no table there"
+                "nothing of the batch was sent; if this lasts, check why no table there names the ready hosts"
+            }
+            Witness::Over { .. } => {
+                "wait until the host is warm, or add hosts; check whether traffic reports still arrive"
             }
-            Witness::Over { .. } => "wait until the host is warm, or add hosts; look whether sums still come",
             Witness::Backlog { .. } | Witness::Messages { .. } => {
-                "look whether the relay answers; what waits goes out as the channel empties"
+                "check whether the relay answers; waiting orders are sent as the channel empties"
             }
         }
     }
@@ -76,10 +82,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     Accepted,
-    /// Nothing of it: no part was found that keeps the rules.
+    /// Nothing may be sent: no amended batch was found that keeps the rules.
     Refused(Breach),
-    /// These instead. `price` are the txns a second above what hosts survive that nothing found avoids; zero: all
-    /// rules are kept.
+    /// `orders` may be sent instead. `price` is the load in txns a second above what hosts survive that no
+    /// amendment found avoids; zero means that all rules are kept.
     Mended {
         orders: Vec<Order>,
         why: Vec<Breach>,
