--- a/crates/guard/benches/guard.rs
+++ b/crates/guard/benches/guard.rs
@@ -1,4 +1,4 @@
-//! One batch judged by what it touches, beside all of it looked at anew.
+//! The cost of checking one batch by what it affects, compared with evaluating the whole fleet.
 
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/guard/src/door.rs
+++ b/crates/guard/src/door.rs
@@ -18,6 +18,7 @@
 /// The number of recent violations kept for inspection.
 const KEPT_BREACHES: usize = 32;
 
+/// What a door does with the guard's verdicts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
     #[default]
@@ -27,6 +28,7 @@
     Enforce,
 }
 
+/// Counters for metrics and logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     pub batches: u64,
@@ -60,10 +62,11 @@
     Line(TableId, HostId),
     Table(TableId),
     Host(HostId),
-    Use(ProxyId, ClassId),
+    Binding(ProxyId, ClassId),
     Level(TableId, ClassSet),
 }
 
+/// A guard together with the orders that it held back.
 pub struct Door {
     guard: Guard,
     mode: Mode,
@@ -135,7 +138,7 @@
             Order::Bind { proxy, classes, .. } => {
                 let all = self.guard.facts.all();
                 let mask = if *classes == ClassSet::ALL { all } else { classes.0 };
-                let stays = |class: &ClassId| !subjects.contains(&Subject::Use(*proxy, *class));
+                let stays = |class: &ClassId| !subjects.contains(&Subject::Binding(*proxy, *class));
                 let left =
                     crate::look::each(mask).filter(stays).fold(0, |all, class| all | ClassSet::one(class).0);
                 *classes = ClassSet(left);
@@ -249,7 +252,9 @@
     fn subjects(&self, order: &Order) -> Vec<Subject> {
         match order {
             Order::Bind { proxy, classes, .. } if *classes == ClassSet::ALL => {
-                crate::look::each(self.guard.facts.all()).map(|class| Subject::Use(*proxy, class)).collect()
+                crate::look::each(self.guard.facts.all())
+                    .map(|class| Subject::Binding(*proxy, class))
+                    .collect()
             }
             order => subjects_of(order),
         }
@@ -262,7 +267,7 @@
         Order::ClearTable { table } => vec![Subject::Table(*table)],
         Order::Withdraw { host, .. } => vec![Subject::Host(*host)],
         Order::Bind { proxy, classes, .. } => {
-            crate::look::each(classes.0).map(|class| Subject::Use(*proxy, class)).collect()
+            crate::look::each(classes.0).map(|class| Subject::Binding(*proxy, class)).collect()
         }
         Order::Admit { table, classes, .. } => vec![Subject::Level(*table, *classes)],
         _ => vec![],
--- a/crates/guard/src/late.rs
+++ b/crates/guard/src/late.rs
@@ -20,8 +20,8 @@
         if self.behind.is_empty() {
             return 0.0;
         }
-        // By table: the call that no proxy that has answered it holds the entry after, and the largest
-        // fraction that the host had.
+        // By table: the call whose answer shows that a proxy no longer holds the entry, and the largest fraction
+        // that the host had.
         let (mut tables, mut counted) =
             (BTreeMap::<TableId, (CallIndex, f64)>::new(), BTreeMap::<TableId, f64>::new());
         let cold = self.cold.contains(&host);
@@ -50,7 +50,7 @@
                 .chain(rebinds.iter().map(|rebind| rebind.from));
             let there =
                 there.chain(proxy.left_tables.keys().copied()).filter_map(|table_id| tables.get(&table_id));
-            let mut part =
+            let mut fraction =
                 there.filter(|line| line.0 > proxy.applied_up_to).map(|line| line.1).fold(0.0, f64::max);
             // Covers states that the guard has lost track of, and entries outside its list that another
             // controller may have sent to the proxy.
@@ -59,9 +59,9 @@
             // fraction larger.
             if strange
                 || proxy.applied_up_to < self.dropped_up_to
-                || part > 0.0 && proxy.applied_up_to < self.missing_until
+                || fraction > 0.0 && proxy.applied_up_to < self.missing_until
             {
-                part = 1.0;
+                fraction = 1.0;
             }
             let all: f64 = proxy.bindings.iter().map(|binding| binding.demand).sum();
             // A proxy that was rebound lately is counted through its rebinds.
@@ -69,7 +69,7 @@
             let had: f64 = stays
                 .map(|binding| binding.demand * counted.get(&binding.table_id).copied().unwrap_or(0.0))
                 .sum();
-            (all * part - had).max(0.0)
+            (all * fraction - had).max(0.0)
         });
         above.sum()
     }
@@ -78,7 +78,7 @@
     fn peak(&self, table_id: TableId, host: HostId) -> f64 {
         self.tables.get(&table_id).map_or(0.0, |table| {
             let spans = table.spans(host, self.open_weight(table, host));
-            spans.map(|span| span.part).fold(0.0, f64::max)
+            spans.map(|span| span.fraction).fold(0.0, f64::max)
         })
     }
 
--- a/crates/guard/src/least.rs
+++ b/crates/guard/src/least.rs
@@ -39,26 +39,26 @@
     let mut problem = Problem::new(OptimizationDirection::Minimize);
     let any = (0.0, f64::INFINITY);
     let worst = problem.add_var(WORST * EXCESS, any);
-    let mut parts: Vec<(Vec<Variable>, Option<Variable>)> = Vec::new();
+    let mut variables: Vec<(Vec<Variable>, Option<Variable>)> = Vec::new();
     for table in tables {
         let mut row: Vec<(Variable, f64)> = Vec::new();
         for (_, would) in &table.hosts {
-            let part = problem.add_var(0.0, (0.0, table.demand));
+            let load = problem.add_var(0.0, (0.0, table.demand));
             let less = problem.add_var(1.0, any);
-            problem.add_constraint([(part, 1.0), (less, 1.0)], ComparisonOp::Ge, *would);
-            row.push((part, 1.0));
+            problem.add_constraint([(load, 1.0), (less, 1.0)], ComparisonOp::Ge, *would);
+            row.push((load, 1.0));
         }
         let rest = table.rest.then(|| problem.add_var(0.0, any));
         row.extend(rest.map(|rest| (rest, 1.0)));
         problem.add_constraint(&row, ComparisonOp::Eq, table.demand);
-        parts.push((row.iter().take(table.hosts.len()).map(|(part, _)| *part).collect(), rest));
+        variables.push((row.iter().take(table.hosts.len()).map(|(load, _)| *load).collect(), rest));
     }
     let mut excesses = Vec::new();
     for HostLimit { host, limit } in limits {
         let excess = problem.add_var(EXCESS, any);
         excesses.push(excess);
         let mut row = vec![(excess, -1.0)];
-        for (table, (vars, _)) in tables.iter().zip(&parts) {
+        for (table, (vars, _)) in tables.iter().zip(&variables) {
             row.extend(
                 table.hosts.iter().zip(vars).filter(|(named, _)| named.0 == *host).map(|(_, v)| (*v, 1.0)),
             );
@@ -67,7 +67,7 @@
         problem.add_constraint([(worst, limit.max(1.0)), (excess, -1.0)], ComparisonOp::Ge, 0.0);
     }
     let solution = problem.solve().ok()?.into_solution().ok()?;
-    let loads = tables.iter().zip(&parts).map(|(table, (vars, rest))| {
+    let loads = tables.iter().zip(&variables).map(|(table, (vars, rest))| {
         let hosts = table.hosts.iter().zip(vars).map(|((host, _), var)| (*host, solution[*var]));
         (hosts.collect(), rest.map_or(0.0, |rest| solution[rest]))
     });
--- a/crates/guard/src/look.rs
+++ b/crates/guard/src/look.rs
@@ -49,7 +49,7 @@
 
 /// A violation by a batch, and where it occurs.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Found {
+pub(crate) struct Violation {
     pub breach: Breach,
     /// The table that is left without a usable host.
     pub table_id: Option<TableId>,
@@ -125,7 +125,7 @@
             }
             let uncertainty = std::mem::replace(&mut table.uncertainty, uncertainty);
             trial.before.insert(*table_id, uncertainty.clone());
-            table.past.push_back(PastState { until, at, sum, changed, uncertainty, again: false });
+            table.past.push_back(PastState { until, at, sum, changed, uncertainty, same_entries: false });
         }
         trial
     }
@@ -249,7 +249,7 @@
     }
 
     /// All violations by the batch; the model is left unchanged.
-    pub(crate) fn check(&mut self, now: f64, orders: &[Order]) -> Vec<Found> {
+    pub(crate) fn check(&mut self, now: f64, orders: &[Order]) -> Vec<Violation> {
         let mut found = Vec::new();
         let trial = self.apply(now, orders);
         let listed = |host: &HostId| {
@@ -259,7 +259,7 @@
             trial.restored.iter().filter(|host| listed(host).is_some() && !self.withdrawn.contains(host))
         {
             let witness = Witness::LetIn { host: *host };
-            found.push(Found { breach: Breach { rule: Rule::Drain, witness }, table_id: None });
+            found.push(Violation { breach: Breach { rule: Rule::Drain, witness }, table_id: None });
         }
         let bare = self.unserved_tables(&trial);
         let over = self.overloaded_hosts(now, &trial);
@@ -274,7 +274,7 @@
             let trial = self.apply(now, orders);
             for (table_id, run) in bare {
                 if let Some(witness) = self.find_unserved(now, &trial, (table_id, run), &before, &out) {
-                    found.push(Found {
+                    found.push(Violation {
                         breach: Breach { rule: Rule::Bare, witness },
                         table_id: Some(table_id),
                     });
@@ -285,10 +285,11 @@
         for (host, load, most) in over {
             if !self.is_exact(host) || load > self.load(now, host) * (1.0 + SAME) + SAME {
                 let witness = Witness::Over { host, load, most };
-                found.push(Found { breach: Breach { rule: Rule::Pushed, witness }, table_id: None });
+                found.push(Violation { breach: Breach { rule: Rule::Pushed, witness }, table_id: None });
             }
         }
-        found.extend(self.over_channel_limits(now, orders).map(|breach| Found { breach, table_id: None }));
+        found
+            .extend(self.over_channel_limits(now, orders).map(|breach| Violation { breach, table_id: None }));
         found
     }
 
@@ -491,7 +492,7 @@
         for table_id in self.tables_of_host.get(&host).into_iter().flatten() {
             let Some(table) = self.tables.get(table_id) else { continue };
             let each: Vec<Span> = table.spans(host, self.open_weight(table, host)).collect();
-            let peak = each.iter().map(|span| span.part).fold(0.0, f64::max);
+            let peak = each.iter().map(|span| span.fraction).fold(0.0, f64::max);
             load += table.demand * peak;
             if peak > 0.0 {
                 spans.insert(*table_id, (peak, each));
@@ -522,9 +523,9 @@
                     // Request classes that were always rebound together.
                     let same = |mask: u64| if mask & first != 0 { mask } else { !mask };
                     let group = rebinds.iter().fold(left, |group, rebind| group & same(rebind.mask));
-                    let part = self.max_share_of(now, binding.table_id, rebinds, first, &spans);
-                    all += self.demand(proxy, group) * part;
-                    most = most.max(part);
+                    let fraction = self.max_fraction_of(now, binding.table_id, rebinds, first, &spans);
+                    all += self.demand(proxy, group) * fraction;
+                    most = most.max(fraction);
                     left &= !group;
                 }
                 load += all.min(binding.demand * most) - binding.demand * peak;
@@ -536,7 +537,7 @@
     /// The largest fraction of a proxy's class that a host may get in any table that the proxy may use: the
     /// present table in its states since the proxy was bound to it, former tables in their states of that
     /// time, and tables that an unconfirmed call would bring it back to, in their states since.
-    fn max_share_of(
+    fn max_fraction_of(
         &self,
         now: f64,
         table_id: TableId,
@@ -548,7 +549,7 @@
         let mut see = |table_id: TableId, since: CallIndex, until: CallIndex| {
             let spans = spans.get(&table_id).into_iter().flat_map(|there| &there.1);
             let overlapping = spans.filter(|span| span.ended > since && span.began < until);
-            most = overlapping.map(|span| span.part).fold(most, f64::max);
+            most = overlapping.map(|span| span.fraction).fold(most, f64::max);
         };
         for rebind in rebinds.iter().filter(|rebind| rebind.mask & class != 0) {
             let since = std::mem::replace(&mut bound_at, rebind.at);
@@ -599,7 +600,7 @@
         for table_id in trial.before.keys() {
             let Some(table) = self.tables.get(table_id) else { continue };
             raised.extend(judged(table_id).into_iter().filter(|host| {
-                let mut spans = table.spans(*host, self.open_weight(table, *host)).map(|span| span.part);
+                let mut spans = table.spans(*host, self.open_weight(table, *host)).map(|span| span.fraction);
                 let (is, was) = (spans.next().unwrap_or(0.0), spans.next().unwrap_or(0.0));
                 is > was
             }));
--- a/crates/guard/src/mend.rs
+++ b/crates/guard/src/mend.rs
@@ -8,8 +8,8 @@
 use amberarch_core::*;
 
 use crate::least::{minimize_excess, HostLimit, TableDemand};
-use crate::look::{each, Found};
-use crate::model::{share, Guard, Host};
+use crate::look::{each, Violation};
+use crate::model::{fraction_of, Guard, Host};
 use crate::verdict::{Rule, Verdict, Witness};
 
 /// The maximum number of rounds: each rule may need two, and a fix for one may violate another once.
@@ -45,7 +45,7 @@
             if !why.iter().any(same) {
                 why.push(first.breach);
             }
-            let of: Vec<Found> =
+            let of: Vec<Violation> =
                 found.into_iter().filter(|one| one.breach.rule == first.breach.rule).collect();
             let mended = match first.breach.rule {
                 Rule::Drain => Some(without_restores(&next, &of)),
@@ -79,7 +79,7 @@
 
     /// Amends tables without a usable host: keeps the entries of hosts that serve, leaves proxies where they
     /// are, or adds an entry for a ready host.
-    fn keep_serving(&mut self, now: f64, orders: &[Order], found: &[Found]) -> Option<Vec<Order>> {
+    fn keep_serving(&mut self, now: f64, orders: &[Order], found: &[Violation]) -> Option<Vec<Order>> {
         let mut next = orders.to_vec();
         let bare: BTreeSet<TableId> = found.iter().filter_map(|found| found.table_id).collect();
         for table_id in bare {
@@ -134,7 +134,13 @@
     }
 
     /// An entry for a ready host that may serve all users of the table.
-    fn add_ready_host(&self, now: f64, table: TableId, found: &[Found], orders: &[Order]) -> Option<Order> {
+    fn add_ready_host(
+        &self,
+        now: f64,
+        table: TableId,
+        found: &[Violation],
+        orders: &[Order],
+    ) -> Option<Order> {
         let mut whom: BTreeSet<(ZoneId, ClassId)> = BTreeSet::new();
         let groups = self.tables.get(&table).map(|table| &table.groups);
         for (zone, mask) in groups.into_iter().flat_map(|groups| groups.keys()) {
@@ -175,7 +181,7 @@
     /// Reduces the load of hosts that would get more than they survive: by lower weights, or if these do not
     /// suffice by deferring part of the batch. Returns the load that remains above the limits, in txns a
     /// second.
-    fn reduce_load(&mut self, now: f64, orders: &[Order], found: &[Found]) -> (Vec<Order>, f64) {
+    fn reduce_load(&mut self, now: f64, orders: &[Order], found: &[Violation]) -> (Vec<Order>, f64) {
         let over: BTreeSet<HostId> = found
             .iter()
             .filter_map(|found| match found.breach.witness {
@@ -243,27 +249,27 @@
         let bound = trial.writes.binds.iter().map(|bind| bind.1);
         let touched: BTreeSet<TableId> = trial.tables.iter().copied().chain(bound).collect();
         let judged = |host: &HostId| over.contains(host) || self.max_load(now, *host).is_some();
-        let (mut tables, mut open, mut parts) = (Vec::new(), BTreeMap::new(), 0);
+        let (mut tables, mut open, mut variables) = (Vec::new(), BTreeMap::new(), 0);
         for table_id in touched {
             let Some(table) = self.tables.get(&table_id).filter(|table| table.demand > 0.0) else { continue };
-            let shares = self.max_shares(table_id);
-            if !shares.iter().any(|(host, part)| *part > 0.0 && over.contains(host)) {
+            let shares = self.max_fractions(table_id);
+            if !shares.iter().any(|(host, fraction)| *fraction > 0.0 && over.contains(host)) {
                 continue;
             }
             let (hosts, rest): (Vec<_>, Vec<_>) = shares.iter().partition(|share| judged(&share.0));
             let hosts: Vec<(HostId, f64)> =
-                hosts.into_iter().map(|(host, part)| (host, part * table.demand)).collect();
+                hosts.into_iter().map(|(host, fraction)| (host, fraction * table.demand)).collect();
             let weight = |host: &HostId| table.lines.get(host).copied().unwrap_or(0.0);
             let rest_weight: f64 = rest.iter().map(|share: &(HostId, f64)| weight(&share.0)).sum();
             let all: f64 = shares.iter().map(|share| weight(&share.0)).sum();
-            parts += hosts.len();
+            variables += hosts.len();
             open.insert(table_id, (rest_weight, all));
             tables.push(TableDemand { table_id, demand: table.demand, rest: rest_weight > 0.0, hosts });
         }
         let hosts: BTreeSet<HostId> =
             tables.iter().flat_map(|table| &table.hosts).map(|host| host.0).collect();
         let limits = hosts.iter().filter_map(|host| {
-            let here: f64 = tables.iter().map(|table| share(&table.hosts, *host)).sum();
+            let here: f64 = tables.iter().map(|table| fraction_of(&table.hosts, *host)).sum();
             // Load from other tables, and from proxies that may still hold earlier states, cannot be changed
             // by this batch.
             let elsewhere = (self.load(now, *host) - here).max(0.0);
@@ -273,7 +279,7 @@
         self.roll_back(trial);
         let finite = limits.iter().all(|limit| limit.limit.is_finite())
             && tables.iter().all(|table| table.demand.is_finite());
-        if tables.is_empty() || parts > MAX_VARIABLES || !finite {
+        if tables.is_empty() || variables > MAX_VARIABLES || !finite {
             return self.scale_down(orders, &tables, &limits, &open);
         }
         let Some(allocation) = minimize_excess(&tables, &limits) else {
@@ -309,7 +315,7 @@
     ) -> (Vec<Order>, f64) {
         let (mut weights, mut price) = (BTreeMap::new(), 0.0);
         for HostLimit { host, limit } in limits {
-            let would: f64 = tables.iter().map(|table| share(&table.hosts, *host)).sum();
+            let would: f64 = tables.iter().map(|table| fraction_of(&table.hosts, *host)).sum();
             if would <= *limit {
                 continue;
             }
@@ -317,13 +323,13 @@
                 if *limit <= 0.0 || tables.iter().any(|table| !table.rest) { would - limit } else { 0.0 };
             let keep = (limit / would).clamp(0.0, 1.0);
             for table in tables.iter().filter(|table| table.rest) {
-                let part = share(&table.hosts, *host) / table.demand;
-                if part <= 0.0 {
+                let fraction = fraction_of(&table.hosts, *host) / table.demand;
+                if fraction <= 0.0 {
                     continue;
                 }
                 let (_, all) = open[&table.table_id];
-                let (weight, less) = (part * all, keep * part);
-                let weight = weight * keep * (1.0 - part) / (1.0 - less).max(MIN_WEIGHT_FRACTION);
+                let (weight, less) = (fraction * all, keep * fraction);
+                let weight = weight * keep * (1.0 - fraction) / (1.0 - less).max(MIN_WEIGHT_FRACTION);
                 weights.insert((table.table_id, *host), weight.max(all * MIN_WEIGHT_FRACTION));
             }
         }
@@ -373,9 +379,10 @@
     Binds,
 }
 
-fn without_restores(orders: &[Order], found: &[Found]) -> Vec<Order> {
+fn without_restores(orders: &[Order], found: &[Violation]) -> Vec<Order> {
     let leaves = |host: &HostId| {
-        let of = |found: &Found| matches!(found.breach.witness, Witness::LetIn { host: out } if out == *host);
+        let of =
+            |found: &Violation| matches!(found.breach.witness, Witness::LetIn { host: out } if out == *host);
         found.iter().any(of)
     };
     let stays = |order: &&Order| !matches!(order, Order::Withdraw { host, withdrawn: false } if leaves(host));
--- a/crates/guard/src/model.rs
+++ b/crates/guard/src/model.rs
@@ -76,7 +76,7 @@
     pub uncertainty: Option<Uncertainty>,
     /// The entries are the same as in the next state: only the uncertainty ended, except for copies in
     /// transit.
-    pub again: bool,
+    pub same_entries: bool,
 }
 
 /// The fraction of a table that a host had over a range of calls.
@@ -85,7 +85,7 @@
     /// The calls that began and ended the span.
     pub began: CallIndex,
     pub ended: CallIndex,
-    pub part: f64,
+    pub fraction: f64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -106,12 +106,12 @@
     pub calls: VecDeque<(CallIndex, f64)>,
 }
 
-pub(crate) fn share(shares: &[(HostId, f64)], host: HostId) -> f64 {
+pub(crate) fn fraction_of(shares: &[(HostId, f64)], host: HostId) -> f64 {
     shares.binary_search_by_key(&host, |share| share.0).map_or(0.0, |place| shares[place].1)
 }
 
 /// The fraction of a table that a host of this weight gets.
-fn part(weight: f64, sum: f64, uncertainty: &Option<Uncertainty>, host: HostId) -> f64 {
+fn fraction(weight: f64, sum: f64, uncertainty: &Option<Uncertainty>, host: HostId) -> f64 {
     let sum = match uncertainty {
         Some(Uncertainty { least, uncertain }) => {
             match uncertain.binary_search_by_key(&host, |share| share.0) {
@@ -132,20 +132,20 @@
     /// The fractions that a host, now of this weight, has had, newest first.
     pub fn spans(&self, host: HostId, weight: f64) -> impl Iterator<Item = Span> + '_ {
         // A state whose uncertainty ended did not change the entries, so no new span begins there.
-        let ends = || self.past.iter().rev().filter(|old| !old.again).map(|old| old.at).chain([0]);
+        let ends = || self.past.iter().rev().filter(|old| !old.same_entries).map(|old| old.at).chain([0]);
         let (mut weight, mut began) = (weight, ends());
         let newest = Span {
             began: began.next().unwrap_or(0),
             ended: CallIndex::MAX,
-            part: part(weight, self.weight_sums.all(), &self.uncertainty, host),
+            fraction: fraction(weight, self.weight_sums.all(), &self.uncertainty, host),
         };
         let mut since = newest.began;
         let old = self.past.iter().rev().map(move |old| {
             weight = old.changed.iter().find(|changed| changed.0 == host).map_or(weight, |was| was.1);
-            if !old.again {
+            if !old.same_entries {
                 since = began.next().unwrap_or(0);
             }
-            Span { began: since, ended: old.at, part: part(weight, old.sum, &old.uncertainty, host) }
+            Span { began: since, ended: old.at, fraction: fraction(weight, old.sum, &old.uncertainty, host) }
         });
         [newest].into_iter().chain(old)
     }
@@ -240,7 +240,7 @@
     /// The last call that was merged into the same message.
     pub end: CallIndex,
     /// When a repeat of the call was reported.
-    pub again: Option<f64>,
+    pub repeated_at: Option<f64>,
     pub answered: Option<f64>,
     pub lines: f64,
     pub writes: Writes,
@@ -250,7 +250,7 @@
 
 /// A mark that was sent.
 #[derive(Clone, Copy, Debug)]
-struct Marked {
+struct SentMark {
     at: CallIndex,
     /// The last call merged with the mark's call: an answer to one of their marks answers all.
     end: CallIndex,
@@ -275,6 +275,7 @@
     pub from: TableId,
 }
 
+/// Checks batches of orders against the states that proxies may hold.
 pub struct Guard {
     pub(crate) facts: Facts,
     pub(crate) tables: BTreeMap<TableId, Table>,
@@ -290,10 +291,13 @@
     pub(crate) rebinds: BTreeMap<ProxyId, Vec<Rebind>>,
     /// The rebinds of all proxies, oldest first.
     rebind_expiry: VecDeque<(f64, CallIndex, ProxyId)>,
+    /// Calls that may be carried out again, oldest first.
     pub(crate) unconfirmed: VecDeque<Call>,
     /// What abandoned calls set and no later call has set again.
     pub(crate) missing: Writes,
+    /// The number of the last call.
     pub(crate) at: CallIndex,
+    /// Calls up to this one are confirmed and are not carried out again.
     pub(crate) confirmed: CallIndex,
     /// The last call of which no copy is in transit; and later confirmed calls of which one may be: until
     /// when, the call, and the first call after all its copies.
@@ -301,10 +305,10 @@
     in_flight: VecDeque<(f64, CallIndex, CallIndex)>,
     /// Tables of confirmed calls whose uncertainty lasts while other calls are unconfirmed.
     stale_tables: BTreeSet<TableId>,
-    marks: BTreeMap<MarkId, Marked>,
-    remembered: VecDeque<MarkId>,
+    marks: BTreeMap<MarkId, SentMark>,
+    mark_order: VecDeque<MarkId>,
     /// Tables with past states that expire with time.
-    ends: VecDeque<(f64, CallIndex, TableId)>,
+    state_expiry: VecDeque<(f64, CallIndex, TableId)>,
     /// The maximum number of lines in the channel, and when it was computed.
     pub(crate) backlog: f64,
     backlog_at: f64,
@@ -317,7 +321,7 @@
     pub(crate) foreign_per_weight: f64,
     /// Proxies that have not answered in time, so that their state is one of several.
     pub(crate) behind: BTreeSet<ProxyId>,
-    /// Removed entries, with the call that no proxy that has answered it holds the entry after; the same in
+    /// Removed entries, with the call whose answer shows that a proxy no longer holds the entry; the same in
     /// order of removal; and the call of the last one that was dropped for lack of space.
     pub(crate) removed_entries: BTreeMap<(HostId, TableId), CallIndex>,
     pub(crate) removed_in_order: VecDeque<(CallIndex, HostId, TableId)>,
@@ -356,8 +360,8 @@
             in_flight: VecDeque::new(),
             stale_tables: BTreeSet::new(),
             marks: BTreeMap::new(),
-            remembered: VecDeque::new(),
-            ends: VecDeque::new(),
+            mark_order: VecDeque::new(),
+            state_expiry: VecDeque::new(),
             backlog: 0.0,
             backlog_at: 0.0,
             messages: VecDeque::new(),
@@ -437,7 +441,7 @@
                     marked.copied = true;
                 }
                 for call in self.unconfirmed.iter_mut().filter(|call| call.mark == Some(*mark)) {
-                    call.again = Some(now);
+                    call.repeated_at = Some(now);
                     lines += call.lines;
                 }
                 self.backlog += lines;
@@ -599,7 +603,7 @@
     }
 
     fn mark_applied(&mut self, now: f64, id: ProxyId, mark: MarkId) {
-        let Some(Marked { at, end, copied }) = self.marks.get(&mark).copied() else {
+        let Some(SentMark { at, end, copied }) = self.marks.get(&mark).copied() else {
             self.findings.push(Finding::Unsent(id));
             return;
         };
@@ -639,7 +643,7 @@
     pub fn answered(&mut self, now: f64, place: CallIndex) {
         self.advance(now);
         for call in self.unconfirmed.iter_mut().filter(|call| call.at <= place) {
-            match call.again {
+            match call.repeated_at {
                 None => call.answered = Some(f64::MIN),
                 Some(_) => call.answered = call.answered.or(Some(now)),
             }
@@ -715,7 +719,7 @@
         let lines = self.lines(orders);
         let trial = self.apply(now, orders);
         for table_id in trial.before.keys().copied() {
-            self.ends.push_back((now + self.facts.channel.max_transit, self.at, table_id));
+            self.state_expiry.push_back((now + self.facts.channel.max_transit, self.at, table_id));
         }
         let Trial { writes, tables, left, .. } = trial;
         let bound = |proxy: ProxyId, mask: u64| writes.binds.iter().any(|b| b.0 == proxy && mask & !b.2 == 0);
@@ -751,17 +755,17 @@
             _ => None,
         });
         if let Some(mark) = mark {
-            self.marks.insert(mark, Marked { at: self.at, end: self.at, copied: false });
-            self.remembered.push_back(mark);
-            if self.remembered.len() > MARKS {
-                if let Some(oldest) = self.remembered.pop_front() {
-                    if !self.remembered.contains(&oldest) {
+            self.marks.insert(mark, SentMark { at: self.at, end: self.at, copied: false });
+            self.mark_order.push_back(mark);
+            if self.mark_order.len() > MARKS {
+                if let Some(oldest) = self.mark_order.pop_front() {
+                    if !self.mark_order.contains(&oldest) {
                         self.marks.remove(&oldest);
                     }
                 }
             }
         }
-        let (again, answered, at) = (None, None, self.at);
+        let (repeated_at, answered, at) = (None, None, self.at);
         // Carrying out a call again that sets nothing has no effect, so it is not kept.
         if writes.is_empty() && mark.is_none() {
             self.at -= 1;
@@ -775,7 +779,7 @@
                 "an incremental weight sum differs from the recomputed one"
             );
         }
-        self.unconfirmed.push_back(Call { at, mark, end: at, again, answered, lines, writes, left });
+        self.unconfirmed.push_back(Call { at, mark, end: at, repeated_at, answered, lines, writes, left });
         for order in orders {
             if let Order::ForgetHost { host } = order {
                 if self.tables_of_host.get(host).is_none_or(BTreeSet::is_empty) {
@@ -796,11 +800,11 @@
             self.messages.pop_front();
         }
         self.retire_confirmed(now);
-        while let Some((until, at, table_id)) = self.ends.front().copied() {
+        while let Some((until, at, table_id)) = self.state_expiry.front().copied() {
             if until > now || at > self.confirmed {
                 break;
             }
-            self.ends.pop_front();
+            self.state_expiry.pop_front();
             self.prune(table_id, now);
         }
         while let Some((until, at, id)) = self.rebind_expiry.front().copied() {
@@ -831,16 +835,16 @@
             self.delivered = self.in_flight.pop_front().map_or(self.delivered, |settled| settled.1);
         }
         while let Some(call) = self.unconfirmed.front() {
-            let last = call.again.unwrap_or(f64::MIN);
+            let last = call.repeated_at.unwrap_or(f64::MIN);
             // Where a repeat was reported, the answer may be to the first copy. Then a later call has to be
             // answered too, and it must not be merged with this one, since both marks would be answered
             // together.
-            let after = |later: &&Call| later.at > call.end && later.again.is_none();
+            let after = |later: &&Call| later.at > call.end && later.repeated_at.is_none();
             let later =
                 self.unconfirmed.iter().filter(after).any(|later| {
                     later.answered.is_some_and(|at| at + REPEAT_REPORTED_WITHIN.max(worst) <= now)
                 });
-            let confirmed = match (call.again, call.answered) {
+            let confirmed = match (call.repeated_at, call.answered) {
                 (None, Some(at)) => at == f64::MIN || at + REPEAT_REPORTED_WITHIN <= now,
                 (Some(_), Some(at)) => later || at.max(last) + REPEAT_REPORTED_WITHIN + worst <= now,
                 (_, None) => later,
@@ -867,8 +871,15 @@
                 let (sum, changed) = (table.weight_sums.all(), vec![]);
                 let uncertainty = std::mem::replace(&mut table.uncertainty, fresh);
                 if uncertainty.is_some() {
-                    table.past.push_back(PastState { until, at, sum, changed, uncertainty, again: true });
-                    self.ends.push_back((until, self.confirmed, table_id));
+                    table.past.push_back(PastState {
+                        until,
+                        at,
+                        sum,
+                        changed,
+                        uncertainty,
+                        same_entries: true,
+                    });
+                    self.state_expiry.push_back((until, self.confirmed, table_id));
                 }
             }
         }
@@ -879,7 +890,11 @@
         let confirmed = self.confirmed;
         let Some(table) = self.tables.get_mut(&table_id) else { return };
         let mut gone = Vec::new();
-        while table.past.front().is_some_and(|old| old.until <= now && (old.again || old.at <= confirmed)) {
+        while table
+            .past
+            .front()
+            .is_some_and(|old| old.until <= now && (old.same_entries || old.at <= confirmed))
+        {
             gone.extend(table.past.pop_front());
         }
         let uncertain = |old: &'_ PastState| {
@@ -888,7 +903,7 @@
         let hosts = gone.iter().flat_map(|old| old.changed.iter().copied().chain(uncertain(old)));
         let hosts: BTreeSet<HostId> = hosts.map(|host| host.0).collect();
         let ends = |host: &HostId| {
-            !table.lines.contains_key(host) && table.spans(*host, 0.0).all(|span| span.part <= 0.0)
+            !table.lines.contains_key(host) && table.spans(*host, 0.0).all(|span| span.fraction <= 0.0)
         };
         let ended: Vec<HostId> = hosts.into_iter().filter(ends).collect();
         for host in ended {
@@ -910,7 +925,7 @@
         self.cold_peaks.retain(|(host, _), _| self.cold.contains(host));
         let worst = self.facts.channel.max_transit;
         // Calls after the last mark cannot be answered yet.
-        let marked = self.remembered.back().and_then(|mark| self.marks.get(mark)).map_or(0, |mark| mark.at);
+        let marked = self.mark_order.back().and_then(|mark| self.marks.get(mark)).map_or(0, |mark| mark.at);
         let due = |(at, when): &(CallIndex, f64)| *at <= marked && when + worst + SCAN_INTERVAL < now;
         let last = |table: &Table| table.calls.iter().rev().find(|call| due(call)).map_or(0, |call| call.0);
         let tables: BTreeMap<TableId, CallIndex> =
@@ -966,15 +981,15 @@
 
     /// The maximum fraction of a table's demand that each host gets, whichever unconfirmed calls are carried
     /// out again.
-    pub(crate) fn max_shares(&self, table_id: TableId) -> HostFractions {
+    pub(crate) fn max_fractions(&self, table_id: TableId) -> HostFractions {
         let Some(table) = self.tables.get(&table_id) else { return vec![] };
         let uncertainty = if self.is_uncertain() { Some(self.uncertainty_of(table_id)) } else { None };
         let open = table.lines.keys().filter(|host| !self.withdrawn.contains(host));
         let mut hosts: BTreeSet<HostId> = open.copied().collect();
         hosts.extend(uncertainty.iter().flat_map(|doubt| &doubt.uncertain).map(|uncertain| uncertain.0));
         let all = table.weight_sums.all();
-        let part = |host| (host, part(self.open_weight(table, host), all, &uncertainty, host));
-        hosts.into_iter().map(part).collect()
+        let fraction = |host| (host, fraction(self.open_weight(table, host), all, &uncertainty, host));
+        hosts.into_iter().map(fraction).collect()
     }
 
     /// Computes for each host its maximum fraction: its maximum weight beside the others at their minimum.
--- a/crates/guard/src/sums.rs
+++ b/crates/guard/src/sums.rs
@@ -111,9 +111,9 @@
     /// Recomputes everything from the entries, for comparison.
     #[cfg(any(test, debug_assertions))]
     pub fn recomputed(lines: &BTreeMap<HostId, f64>, withdrawn: &BTreeSet<HostId>) -> WeightSums {
-        let mut weight_sums = WeightSums::default();
-        weight_sums.update(lines, withdrawn, lines.keys().copied());
-        weight_sums
+        let mut sums = WeightSums::default();
+        sums.update(lines, withdrawn, lines.keys().copied());
+        sums
     }
 }
 
@@ -134,7 +134,7 @@
     proptest! {
         #[test]
         fn a_kept_sum_differs_from_one_counted_anew(changes in prop::collection::vec(change(), 1..60)) {
-            let (mut lines, mut withdrawn, mut weight_sums) = (BTreeMap::new(), BTreeSet::new(), WeightSums::default());
+            let (mut lines, mut withdrawn, mut sums) = (BTreeMap::new(), BTreeSet::new(), WeightSums::default());
             for part in changes.chunks(3) {
                 let (was, was_withdrawn) = (lines.clone(), withdrawn.clone());
                 let mut hosts = BTreeSet::new();
@@ -151,12 +151,12 @@
                     let open = lines.get(host).copied().filter(|_| !withdrawn.contains(host));
                     (host.0, open.unwrap_or(0.0))
                 });
-                let would = weight_sums.total_with(&was, &was_withdrawn, weights.collect());
-                weight_sums.update(&lines, &withdrawn, hosts.into_iter());
-                prop_assert_eq!(&weight_sums, &WeightSums::recomputed(&lines, &withdrawn));
-                prop_assert_eq!(would, weight_sums.all());
+                let would = sums.total_with(&was, &was_withdrawn, weights.collect());
+                sums.update(&lines, &withdrawn, hosts.into_iter());
+                prop_assert_eq!(&sums, &WeightSums::recomputed(&lines, &withdrawn));
+                prop_assert_eq!(would, sums.all());
                 let plain: f64 = lines.iter().filter(|line| !withdrawn.contains(line.0)).map(|line| line.1).sum();
-                prop_assert!((weight_sums.all() - plain).abs() <= 1e-12 * plain, "{} {}", weight_sums.all(), plain);
+                prop_assert!((sums.all() - plain).abs() <= 1e-12 * plain, "{} {}", sums.all(), plain);
             }
         }
     }
--- a/crates/guard/src/trial.rs
+++ b/crates/guard/src/trial.rs
@@ -137,8 +137,8 @@
         plain.hosts.insert(BESIDE.0, beside);
         plain.proxies = (0..).map(ProxyId).zip(self.proxies).collect();
         for proxy in plain.proxies.keys().copied() {
-            for product in [ClassId(0), ClassId(1)] {
-                plain.demand.insert((proxy, product), guard.expects(proxy, product));
+            for class in [ClassId(0), ClassId(1)] {
+                plain.demand.insert((proxy, class), guard.expects(proxy, class));
             }
         }
         let (mut now, mut told, mut floor) = (10.0, Told::default(), 0);
--- a/crates/guard/src/verdict.rs
+++ b/crates/guard/src/verdict.rs
@@ -51,6 +51,7 @@
     Messages { proxy: ProxyId, messages: u32, most: u32 },
 }
 
+/// A violated rule, with a witness.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("{rule}: {witness}")]
 pub struct Breach {
--- a/crates/guard/tests/guard/main.rs
+++ b/crates/guard/tests/guard/main.rs
@@ -1,4 +1,4 @@
-//! Each test causes what it is named after.
+//! Each test causes the situation that it is named after.
 
 mod brute;
 mod hard;
--- a/crates/guard/tests/guard/seeded.rs
+++ b/crates/guard/tests/guard/seeded.rs
@@ -1,4 +1,4 @@
-//! Faults put into the decisions' orders on purpose are caught.
+//! Faults injected into the decisions' orders are detected.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,8 +9,8 @@
 
 use crate::help::*;
 
-/// The decisions with a fault: each line of a table goes out one batch late, so that proxies are bound before anything
-/// in their table serves.
+/// Decisions with a fault: each table entry is sent one batch late, so proxies are bound before any host of
+/// their table serves.
 struct BindsFirst {
     inner: Controller,
     late: Vec<Order>,
@@ -28,8 +28,8 @@
     }
 }
 
-fn steward() -> Controller {
-    let post = InstanceSettings {
+fn controller() -> Controller {
+    let instance = InstanceSettings {
         seed: 1,
         zone: ZoneId(0),
         zone_count: 2,
@@ -38,7 +38,7 @@
         slice_count: 0,
         may_probe: true,
     };
-    let product = RequestClass {
+    let class = RequestClass {
         latency_target: 400.0,
         deadline: 1_200.0,
         idempotency: Idempotency::Idempotent,
@@ -49,7 +49,7 @@
         home_zone_only: false,
         writes: false,
     };
-    let sidecars = ProxySettings {
+    let proxies = ProxySettings {
         proxy_count: 6,
         bootstrap_hosts: 2,
         max_time_without_host: 3_000.0,
@@ -57,31 +57,31 @@
         default_tries: RetryPolicy::AfterProof,
         try_factor: 0.8,
     };
-    let roster = HostListSettings {
+    let host_list = HostListSettings {
         on_request: false,
         request_within: 1e4,
         drain_grace: 2_000.0,
         removal_not_binding: false,
     };
     let facts = facts(1, 0);
-    let sums = ReportSettings { interval: 2_000.0, max_lines_per_s: 1_000.0 };
-    Controller::new(post, vec![product], facts.channel, sidecars, facts.warmup, roster, sums)
+    let reports = ReportSettings { interval: 2_000.0, max_lines_per_s: 1_000.0 };
+    Controller::new(instance, vec![class], facts.channel, proxies, facts.warmup, host_list, reports)
 }
 
-/// What is found over ten seconds of decisions, behind a door that only watches.
+/// The violations in ten seconds of decisions, counted by a door that only watches.
 fn found(decisions: impl Decide) -> Counts {
     let door = Rc::new(RefCell::new(Door::new(Guard::new(facts(1, 0)), Mode::Watch)));
     let mut guarded = Guarded::new(decisions, door.clone());
-    let hosts = (0..6).map(|host| on(host, host as u16 % 2)).collect();
+    let hosts = (0..6).map(|host| in_service(host, host as u16 % 2)).collect();
     let mut events = vec![Event::List { update: ListUpdate::FromSnapshot, entries: hosts }];
     events.extend((0..6).map(|proxy| joined(proxy, proxy % 2)));
     let mut marks = vec![];
     for tick in 0..50 {
         let now = 200.0 * f64::from(tick);
-        // Half the fleet starts anew.
+        // Half of the hosts restart.
         if tick == 20 {
-            let born = |host| HostEntry { started_at: Some(now), ..on(host, host as u16 % 2) };
-            events.push(list((0..3).map(born).collect()));
+            let restarted = |host| HostEntry { started_at: Some(now), ..in_service(host, host as u16 % 2) };
+            events.push(list((0..3).map(restarted).collect()));
         }
         let orders = guarded.decide(now, &events);
         events = vec![Event::TimerExpired { timer: TimerId(0) }];
@@ -101,22 +101,22 @@
 
 #[test]
 fn decisions_that_bind_before_anything_serves_are_caught() {
-    let seeded = found(BindsFirst { inner: steward(), late: vec![] });
+    let seeded = found(BindsFirst { inner: controller(), late: vec![] });
     assert!(seeded.by_rule[Rule::Bare.place()] > 0, "{seeded:?}");
-    let sound = found(steward());
+    let sound = found(controller());
     assert!(sound.batches > 0 && sound.by_rule == [0; 4], "{sound:?}");
 }
 
 #[test]
-fn what_a_seeded_fault_would_leave_bare_is_lent_a_line() {
+fn a_bind_to_a_table_without_hosts_gets_an_entry_for_a_ready_host() {
     let mut door = Door::new(Guard::new(facts(1, 0)), Mode::Enforce);
-    door.hear(0.0, &list(vec![on(0, 0)]));
+    door.hear(0.0, &list(vec![in_service(0, 0)]));
     door.hear(0.0, &joined(0, 0));
     let passed = door.pass(0.0, vec![bind(0, 0), mark(0)]);
-    assert_eq!(passed.orders, [bind(0, 0), share(0, 0, 1.0), mark(0)]);
+    assert_eq!(passed.orders, [bind(0, 0), set_entry(0, 0, 1.0), mark(0)]);
     let place = door.guard().place();
     door.guard().answered(10.0, place);
-    // Its own line comes: what was lent goes back to what is wanted.
-    assert_eq!(door.pass(200.0, vec![share(0, 0, 2.0)]).orders, [share(0, 0, 2.0)]);
+    // The entry that the decisions order replaces the added one.
+    assert_eq!(door.pass(200.0, vec![set_entry(0, 0, 2.0)]).orders, [set_entry(0, 0, 2.0)]);
     assert!(!door.waits());
 }
