--- a/crates/guard/src/late.rs
+++ b/crates/guard/src/late.rs
@@ -20,8 +20,8 @@
         if self.behind.is_empty() {
             return 0.0;
         }
-        // By table: the call whose answer shows that a proxy no longer holds the entry, and the largest fraction
-        // that the host had.
+        // By table: the call whose answer shows that a proxy no longer holds the entry, and the largest
+        // fraction that the host had.
         let (mut tables, mut counted) =
             (BTreeMap::<TableId, (CallIndex, f64)>::new(), BTreeMap::<TableId, f64>::new());
         let cold = self.cold.contains(&host);
@@ -52,11 +52,11 @@
                 there.chain(proxy.left_tables.keys().copied()).filter_map(|table_id| tables.get(&table_id));
             let mut fraction =
                 there.filter(|line| line.0 > proxy.applied_up_to).map(|line| line.1).fold(0.0, f64::max);
-            // Covers states that the guard has lost track of, and entries outside its list that another
-            // controller may have sent to the proxy.
+            // The proxy may still hold tables that another controller sent; these may name any host that was
+            // listed by then.
             let strange = !proxy.is_known() && seen <= proxy.joined + self.facts.channel.max_transit;
-            // Other entries of the table may be missing because a call was abandoned, which makes this host's
-            // fraction larger.
+            // Removed entries that the proxy may hold were dropped, or other entries of the table may be missing
+            // because a call was abandoned, which makes this host's fraction larger.
             if strange
                 || proxy.applied_up_to < self.dropped_up_to
                 || fraction > 0.0 && proxy.applied_up_to < self.missing_until
--- a/crates/guard/src/mend.rs
+++ b/crates/guard/src/mend.rs
@@ -120,7 +120,8 @@
                     })
                 };
                 next.retain(|order| {
-                    !matches!(order, Order::Bind { proxy, table: of, .. } if *of == table_id && elsewhere(proxy))
+                    !matches!(order, Order::Bind { proxy, table: of, .. }
+                        if *of == table_id && elsewhere(proxy))
                 });
             }
             if next.len() == before {
--- a/crates/guard/src/model.rs
+++ b/crates/guard/src/model.rs
@@ -2,12 +2,13 @@
 //! orders, which reaches a proxy as one message. Each proxy passes through the states in this order, so a
 //! state that was checked when its call was sent is valid for all proxies that reach it later. Three kinds of
 //! uncertainty remain:
-//! - *in transit*: a proxy may still be in any state that was the newest less than the maximum transit time ago.
-//!   This matters for load, which depends on what other proxies hold at the same time, but not for whether a
-//!   proxy has a usable host.
+//! - *in transit*: a proxy may still be in any state that was the newest less than the maximum transit time
+//!   ago. This matters for load, which depends on what other proxies hold at the same time, but not for whether
+//!   a proxy has a usable host.
 //! - *unconfirmed*: calls that the relay has not confirmed may be carried out again, in order: any contiguous
 //!   range of them, on top of the newest state. These states are reachable while any call is unconfirmed.
-//! - *abandoned*: a call that may never have been carried out. What it set may be missing until it is set again.
+//! - *abandoned*: a call that may never have been carried out. What it set may be missing until it is set
+//!   again.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
