--- a/crates/fleet/build.rs
+++ b/crates/fleet/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the protocol without a compiler of its own on the machine.
+//! Compiles `proto/fleet.proto` with protox, so that no `protoc` needs to be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/fleet.proto");
--- a/crates/fleet/src/clock.rs
+++ b/crates/fleet/src/clock.rs
@@ -1,9 +1,9 @@
-//! The clock that leases go by. It counts on while the process is stopped and while the machine sleeps, and no one
-//! sets it.
+//! The clock that leases are measured by (`CLOCK_BOOTTIME`). It advances while the process is stopped and while the
+//! machine sleeps, and is never set.
 
 use rustix::time::{clock_gettime, ClockId};
 
-/// Counts milliseconds from when it was made.
+/// Counts milliseconds since its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start_ns: i128,
@@ -19,14 +19,15 @@
         (ns(ClockId::Boottime) - self.start_ns) as f64 / 1e6
     }
 
-    /// A time of this clock on the machine's monotonic clock in ns, as histories have it; zero for what is before it.
+    /// Converts a time of this clock to the machine's monotonic clock in ns, as used in histories; zero for earlier
+    /// times.
     pub fn machine_ns(&self, at: f64) -> u64 {
         let ahead = ((at - self.now()) * 1e6).clamp(-9e18, 9e18);
         u64::try_from(ns(ClockId::Monotonic) + ahead as i128).unwrap_or(0)
     }
 }
 
-/// The machine's monotonic clock now, in ns.
+/// The current time of the machine's monotonic clock, in ns.
 pub fn machine_ns() -> u64 {
     ns(ClockId::Monotonic) as u64
 }
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -1,5 +1,5 @@
-//! Between the messages of the protocol and those that the agreement and the dealing know. A message that lacks a
-//! part, or says what can't be, is spoilt: nothing is guessed.
+//! Converts between protobuf messages and the message types of consensus and quota. A message with a missing or invalid
+//! part is rejected as malformed; no default is assumed.
 
 use std::sync::Arc;
 
@@ -10,29 +10,29 @@
 };
 use amberarch_shares as shares;
 
-use crate::notes::Noted;
+use crate::notes::HistoryTag;
 use crate::wire::{self, envelope};
 
-/// What one member says to another.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Said {
     Accord(accord::Said),
-    /// With what histories call it.
-    Shares(shares::Said, Option<Noted>),
+    /// With the identification of its grants in histories.
+    Shares(shares::Said, Option<HistoryTag>),
 }
 
-/// Why a message says nothing: the part that lacks or can't be.
+/// A malformed message; names the part that is missing or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a message without a good {0}")]
-pub struct Spoilt(pub &'static str);
+#[error("{0} is missing or invalid")]
+pub struct Malformed(pub &'static str);
 
 trait Needed<T> {
-    fn need(self, what: &'static str) -> Result<T, Spoilt>;
+    fn need(self, what: &'static str) -> Result<T, Malformed>;
 }
 
 impl<T> Needed<T> for Option<T> {
-    fn need(self, what: &'static str) -> Result<T, Spoilt> {
-        self.ok_or(Spoilt(what))
+    fn need(self, what: &'static str) -> Result<T, Malformed> {
+        self.ok_or(Malformed(what))
     }
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-pub fn unpack(said: envelope::Said) -> Result<Said, Spoilt> {
+pub fn unpack(said: envelope::Said) -> Result<Said, Malformed> {
     use envelope::Said as Wire;
     let accord = match said {
         Wire::Seen(_) | Wire::Dealt(_) | Wire::Taken(_) => return unpack_shares(said),
@@ -83,7 +83,7 @@
             at: at(base.at)?,
             base: Box::new(self::base(base.base.need("base")?)?),
         },
-        Wire::AskLease(ask) => accord::Said::AskLease(question(ask)?),
+        Wire::AskLease(ask) => accord::Said::AskLease(lease_request(ask)?),
         Wire::Lease(lease) => accord::Said::Lease {
             asked: lease.asked,
             term: Term(lease.term),
@@ -110,9 +110,10 @@
             },
         },
         Wire::Heed(heed) => accord::Said::Heed { term: Term(heed.term), stage: StageNo(heed.stage) },
-        Wire::LetGo(gone) => {
-            accord::Said::LetGo { term: Term(gone.term), last: question(gone.last.need("last question")?)? }
-        }
+        Wire::LetGo(gone) => accord::Said::LetGo {
+            term: Term(gone.term),
+            last: lease_request(gone.last.need("last question")?)?,
+        },
         Wire::LetGone(gone) => accord::Said::LetGone {
             asked: gone.asked,
             boot: Boot(gone.boot),
@@ -181,7 +182,7 @@
             at: Some(put_at(at)),
             base: Some(put_base(*base)),
         }),
-        accord::Said::AskLease(ask) => Wire::AskLease(put_question(ask)),
+        accord::Said::AskLease(ask) => Wire::AskLease(put_lease_request(ask)),
         accord::Said::Lease { asked, term, stage, length, texts, voters } => Wire::Lease(wire::Lease {
             asked,
             term: term.0,
@@ -211,7 +212,7 @@
         }),
         accord::Said::Heed { term, stage } => Wire::Heed(wire::Heed { term: term.0, stage: stage.0 }),
         accord::Said::LetGo { term, last } => {
-            Wire::LetGo(wire::LetGo { term: term.0, last: Some(put_question(last)) })
+            Wire::LetGo(wire::LetGo { term: term.0, last: Some(put_lease_request(last)) })
         }
         accord::Said::LetGone { asked, boot, term, taken } => {
             Wire::LetGone(wire::LetGone { asked, boot: boot.0, term: term.0, taken })
@@ -240,7 +241,7 @@
     }
 }
 
-fn question(ask: wire::AskLease) -> Result<AskLease, Spoilt> {
+fn lease_request(ask: wire::AskLease) -> Result<AskLease, Malformed> {
     Ok(AskLease {
         asked: ask.asked,
         boot: Boot(ask.boot),
@@ -255,7 +256,7 @@
     })
 }
 
-fn put_question(ask: AskLease) -> wire::AskLease {
+fn put_lease_request(ask: AskLease) -> wire::AskLease {
     wire::AskLease {
         asked: ask.asked,
         boot: ask.boot.0,
@@ -274,8 +275,8 @@
     }
 }
 
-/// Below zero are those that are over.
-fn ends(ends: wire::Ends) -> Result<Ends, Spoilt> {
+/// Negative times are valid: the lease expired that long ago.
+fn ends(ends: wire::Ends) -> Result<Ends, Malformed> {
     let good = ends.acts.is_finite() && ends.knows.is_finite();
     match good {
         true => Ok(Ends {
@@ -285,7 +286,7 @@
             knows: ends.knows,
             gone: ends.gone,
         }),
-        false => Err(Spoilt("end of a lease")),
+        false => Err(Malformed("end of a lease")),
     }
 }
 
@@ -294,17 +295,18 @@
     wire::Ends { name: put_name(name), boot: boot.map(|boot| boot.0), acts, knows, gone }
 }
 
-/// Names go into maps and logs; what is longer than any that an operator's file may give is none.
-const MOST_NAME: usize = 128;
+/// Longest valid name, bytes, as in the operator's file. Names are stored in maps and logs, so longer ones are
+/// rejected.
+const MAX_NAME_BYTES: usize = 128;
 
-fn name(name: String) -> Result<Name, Spoilt> {
-    match (1..=MOST_NAME).contains(&name.len()) {
+fn name(name: String) -> Result<Name, Malformed> {
+    match (1..=MAX_NAME_BYTES).contains(&name.len()) {
         true => Ok(Name(name.into())),
-        false => Err(Spoilt("name")),
+        false => Err(Malformed("name")),
     }
 }
 
-fn names(all: Vec<String>) -> Result<Vec<Name>, Spoilt> {
+fn names(all: Vec<String>) -> Result<Vec<Name>, Malformed> {
     all.into_iter().map(name).collect()
 }
 
@@ -312,7 +314,7 @@
     all.into_iter().map(put_name).collect()
 }
 
-fn wanted(wanted: wire::Wanted) -> Result<Wanted, Spoilt> {
+fn wanted(wanted: wire::Wanted) -> Result<Wanted, Malformed> {
     Ok(Wanted { voters: names(wanted.voters)?, followers: names(wanted.followers)? })
 }
 
@@ -320,7 +322,7 @@
     wire::Wanted { voters: put_names(voters), followers: put_names(followers) }
 }
 
-fn text(text: wire::Text) -> Result<(RevisionNo, Digest), Spoilt> {
+fn text(text: wire::Text) -> Result<(RevisionNo, Digest), Malformed> {
     Ok((RevisionNo(text.revision), digest(text.digest)?))
 }
 
@@ -332,19 +334,19 @@
     name.0.to_string()
 }
 
-/// A time from zero; no number of another kind goes into a comparison.
-fn time(ms: f64) -> Result<f64, Spoilt> {
+/// Checks a duration: finite and not negative. NaN or infinity must not reach a comparison.
+fn time(ms: f64) -> Result<f64, Malformed> {
     match ms.is_finite() && ms >= 0.0 {
         true => Ok(ms),
-        false => Err(Spoilt("time")),
+        false => Err(Malformed("time")),
     }
 }
 
-fn rate(per_s: f64) -> Result<f64, Spoilt> {
-    time(per_s).map_err(|_| Spoilt("rate"))
+fn rate(per_s: f64) -> Result<f64, Malformed> {
+    time(per_s).map_err(|_| Malformed("rate"))
 }
 
-fn at(at: Option<wire::At>) -> Result<(Term, Place), Spoilt> {
+fn at(at: Option<wire::At>) -> Result<(Term, Place), Malformed> {
     let at = at.need("place")?;
     Ok((Term(at.term), Place(at.place)))
 }
@@ -353,16 +355,16 @@
     wire::At { term: term.0, place: place.0 }
 }
 
-fn digest(bytes: Vec<u8>) -> Result<Digest, Spoilt> {
-    bytes.try_into().map(Digest).map_err(|_| Spoilt("digest"))
+fn digest(bytes: Vec<u8>) -> Result<Digest, Malformed> {
+    bytes.try_into().map(Digest).map_err(|_| Malformed("digest"))
 }
 
-fn revision(wire: wire::Revision) -> Result<Revision, Spoilt> {
+fn revision(wire: wire::Revision) -> Result<Revision, Malformed> {
     let (no, digest) = (RevisionNo(wire.no), digest(wire.digest)?);
-    // Bytes that changed on their way would be another policy under the same number.
+    // Text altered in transit would be another policy under the same number.
     match Digest::of(&wire.text) == digest {
         true => Ok(Revision { no, digest, text: wire.text.into() }),
-        false => Err(Spoilt("digest of a revision's text")),
+        false => Err(Malformed("digest of a revision's text")),
     }
 }
 
@@ -371,15 +373,15 @@
     wire::Revision { no: no.0, digest: digest.0.to_vec(), text: text.to_string() }
 }
 
-/// Of which revision, and whether it can be used.
+/// A revision's number and digest, and whether the member can use it.
 type Verdict = (RevisionNo, Digest, Result<(), Arc<str>>);
 
-fn verdict(verdict: wire::Verdict) -> Result<Verdict, Spoilt> {
+fn verdict(verdict: wire::Verdict) -> Result<Verdict, Malformed> {
     let fit = verdict.unfit.map_or(Ok(()), |why| Err(why.into()));
     Ok((RevisionNo(verdict.revision), digest(verdict.digest)?, fit))
 }
 
-fn stage(stage: wire::Stage) -> Result<Stage, Spoilt> {
+fn stage(stage: wire::Stage) -> Result<Stage, Malformed> {
     let holds = match stage.holds.need("holds")? {
         wire::stage::Holds::Nothing(_) => Holds::Nothing,
         wire::stage::Holds::Alone(no) => Holds::Alone(RevisionNo(no)),
@@ -401,7 +403,7 @@
     wire::Stage { no: stage.no.0, holds: Some(holds), staged: stage.staged.map(|no| no.0) }
 }
 
-fn refusal(refusal: wire::Refusal) -> Result<Refusal, Spoilt> {
+fn refusal(refusal: wire::Refusal) -> Result<Refusal, Malformed> {
     use wire::refusal::Why;
     Ok(match refusal.why.need("refusal")? {
         Why::NotAbove(wire::NotAbove { asked, known }) => {
@@ -448,7 +450,7 @@
     wire::Refusal { why: Some(why) }
 }
 
-fn logged(logged: wire::Logged) -> Result<Logged, Spoilt> {
+fn logged(logged: wire::Logged) -> Result<Logged, Malformed> {
     use wire::logged::Entry as Wire;
     let entry = match logged.entry.need("entry")? {
         Wire::Begun(_) => Entry::Begun,
@@ -498,7 +500,7 @@
     wire::Logged { term: logged.term.0, entry: Some(entry) }
 }
 
-fn base(base: wire::Base) -> Result<Base, Spoilt> {
+fn base(base: wire::Base) -> Result<Base, Malformed> {
     Ok(Base {
         stage: stage(base.stage.need("stage")?)?,
         known: RevisionNo(base.known),
@@ -511,15 +513,15 @@
         followers: names(base.followers)?,
         wanted: base.wanted.map(wanted).transpose()?,
         proposed: StageNo(base.proposed),
-        ended: base.ended.into_iter().map(was).collect::<Result<_, _>>()?,
+        ended: base.ended.into_iter().map(ended_revision).collect::<Result<_, _>>()?,
     })
 }
 
-fn was(was: wire::Was) -> Result<Ended, Spoilt> {
+fn ended_revision(ended_revision: wire::Was) -> Result<Ended, Malformed> {
     Ok(Ended {
-        no: RevisionNo(was.revision),
-        digest: digest(was.digest)?,
-        outcome: match was.outcome.need("outcome")? {
+        no: RevisionNo(ended_revision.revision),
+        digest: digest(ended_revision.digest)?,
+        outcome: match ended_revision.outcome.need("outcome")? {
             wire::was::Outcome::Stage(stage) => Ok(StageNo(stage)),
             wire::was::Outcome::Refusal(why) => Err(refusal(why)?),
         },
@@ -554,7 +556,7 @@
     }
 }
 
-fn unpack_shares(said: envelope::Said) -> Result<Said, Spoilt> {
+fn unpack_shares(said: envelope::Said) -> Result<Said, Malformed> {
     use envelope::Said as Wire;
     let mut noted = None;
     let said = match said {
@@ -586,22 +588,22 @@
             }
         }
         Wire::Taken(taken) => shares::Said::Taken { round: taken.round, term: taken.term },
-        _ => return Err(Spoilt("kind")),
+        _ => return Err(Malformed("kind")),
     };
     Ok(Said::Shares(said, noted))
 }
 
-fn noted(noted: wire::Noted) -> Result<Noted, Spoilt> {
+fn noted(noted: wire::Noted) -> Result<HistoryTag, Malformed> {
     let back = noted.back.into_iter().map(|back| Ok((shares::Tenant(back.tenant), zone(back.zone)?)));
-    Ok(Noted { until: noted.until, back: back.collect::<Result<_, _>>()? })
+    Ok(HistoryTag { until: noted.until, back: back.collect::<Result<_, _>>()? })
 }
 
-fn put_noted(Noted { until, back }: Noted) -> wire::Noted {
+fn put_noted(HistoryTag { until, back }: HistoryTag) -> wire::Noted {
     let back = back.into_iter().map(|(tenant, zone)| wire::Back { tenant: tenant.0, zone: zone.0.into() });
     wire::Noted { until, back: back.collect() }
 }
 
-fn pack_shares(said: shares::Said, noted: Option<Noted>) -> envelope::Said {
+fn pack_shares(said: shares::Said, noted: Option<HistoryTag>) -> envelope::Said {
     use envelope::Said as Wire;
     match said {
         shares::Said::Seen(seen) => Wire::Seen(wire::Seen {
@@ -633,11 +635,11 @@
     }
 }
 
-fn zone(zone: u32) -> Result<shares::Zone, Spoilt> {
-    u16::try_from(zone).map(shares::Zone).map_err(|_| Spoilt("zone"))
+fn zone(zone: u32) -> Result<shares::Zone, Malformed> {
+    u16::try_from(zone).map(shares::Zone).map_err(|_| Malformed("zone"))
 }
 
-fn grant(grant: wire::Grant) -> Result<shares::Grant, Spoilt> {
+fn grant(grant: wire::Grant) -> Result<shares::Grant, Malformed> {
     let (tenant, zone) = (shares::Tenant(grant.tenant), zone(grant.zone)?);
     Ok(shares::Grant { tenant, zone, per_s: rate(grant.per_s)? })
 }
@@ -666,9 +668,9 @@
         }
     }
 
-    /// Guards against a word of one that ends which says something else where it is read.
+    /// Guards against messages of a member that is shutting down which are decoded to other values than were encoded.
     #[test]
-    fn what_one_that_ends_says_is_read_as_it_was_said() {
+    fn messages_of_a_member_shutting_down_survive_encoding_and_decoding() {
         let ends = |boot| Ends { name: Name::from("a"), boot, acts: 12.5, knows: -3.0, gone: true };
         let all = [
             accord::Said::LetGo { term: Term(4), last: last() },
@@ -688,15 +690,15 @@
         }
     }
 
-    /// Guards against a lease that counts as over by a time that is none.
+    /// Guards against a lease that counts as expired because of a time that is not a number.
     #[test]
-    fn an_end_that_is_no_time_is_spoilt() {
+    fn a_lease_end_that_is_not_finite_is_rejected() {
         for (acts, knows) in [(f64::NAN, 0.0), (0.0, f64::NEG_INFINITY)] {
             let leases = vec![Ends { name: Name::from("a"), boot: None, acts, knows, gone: false }];
             let said = Said::Accord(accord::Said::Stand { term: Term(4), leases });
-            assert_eq!(unpack(pack(said)), Err(Spoilt("end of a lease")));
+            assert_eq!(unpack(pack(said)), Err(Malformed("end of a lease")));
         }
         let nothing = envelope::Said::LetGo(wire::LetGo { term: 1, last: None });
-        assert_eq!(unpack(nothing), Err(Spoilt("last question")));
+        assert_eq!(unpack(nothing), Err(Malformed("last question")));
     }
 }
--- a/crates/fleet/src/counts.rs
+++ b/crates/fleet/src/counts.rs
@@ -1,4 +1,4 @@
-//! What was said, heard and turned away, readable from any thread.
+//! Counters of messages sent, received and rejected, and of durable writes; readable from any thread.
 
 use prometheus_client::metrics::counter::Counter;
 use std::fmt;
--- a/crates/fleet/src/dealing.rs
+++ b/crates/fleet/src/dealing.rs
@@ -1,5 +1,5 @@
-//! Fair shares on the loop: this steward's own grants, and the dealing where it is the chair. What the two say to each
-//! other under one roof does not leave it.
+//! Quota on the event loop: the grants that this controller holds, and the issuing of grants while it is the leader.
+//! Messages between the two sides of the same member are delivered locally.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,364 +7,377 @@
 use amberarch_core::{ClassId, ZoneId};
 use amberarch_shares::{Bound, Chair, Heard, Holder, Input, Joint, Lengths, Out, Output, Planned, Said};
 
-use crate::drawn;
+use crate::random_id;
 
-/// To be carried out by the loop.
+/// Output to be carried out by the event loop.
 #[derive(Debug)]
-pub enum Do {
-    Say(Name, Said),
-    /// This went from one side to the other under this roof: for histories alone.
-    Own(Said),
+pub enum Action {
+    Send(Name, Said),
+    /// A message that was delivered within this member; only recorded in the history.
+    Local(Said),
     Bound(Bound),
-    /// Nothing is bounded any more: no plan holds.
+    /// Removes all limits: no plan is in force.
     Lift,
     Log(String),
 }
 
-/// What one steward sees of late.
+/// Recent measurements of one controller.
 #[derive(Clone, Debug, Default)]
 pub struct Sight {
-    /// Txns a second, let in or not, by the zone whose proxies they came to.
+    /// Demand, txns a second, admitted or not, by the zone whose proxies received them.
     pub came: Vec<(ZoneId, ClassId, f64)>,
-    /// What the open hosts of each zone can do, txns a second.
+    /// Capacity of the open hosts of each zone, txns a second.
     pub capacity: Vec<(ZoneId, f64)>,
 }
 
-pub struct Dealing {
+pub struct Quota {
     me: Name,
     lengths: Lengths,
-    /// All that may hold, the one that held before first.
+    /// All plans that may be in force, the previous one first.
     plans: Vec<Planned>,
     joint: Joint,
-    /// The term that this member chairs or chaired last, and the dealing of each plan in it. One whose plan is not
-    /// known to hold for a while stays: in the same term what it dealt counts on.
-    chairs: (u64, BTreeMap<u64, Chair>),
-    /// The term, and who chairs it.
-    led: (u64, Option<Name>),
-    /// The level of service in force, by its place.
+    /// The term in which this member leads or led last, and the quota leader of each plan in it. A quota leader is kept
+    /// while its plan is not known to be in force: grants that it issued in the same term still count.
+    leaders: (u64, BTreeMap<u64, Chair>),
+    /// The current term and its leader.
+    leader: (u64, Option<Name>),
+    /// The service level in force, by its index.
     level: Option<usize>,
-    /// A member's number as long as this run lives.
+    /// Holder number of each member that this incarnation knows.
     holders: BTreeMap<Name, Holder>,
-    /// To whom is dealt: whom the log names, and before anything stands the operator's file.
+    /// Members that grants are issued to: those of the consensus log, or of the operator's file while nothing is
+    /// committed.
     members: BTreeSet<Name>,
-    /// How far the log was followed.
-    followed: Place,
-    /// As the chair of a new term: until when those that were taken out count as members, ms. What an earlier chair gave
-    /// them is not known here, and they won't say; so nothing more is dealt until it must be over.
-    gone_until: f64,
-    /// Until when somebody may hold a grant whom this run never knew as a member, ms.
-    strangers_until: f64,
+    /// The commit index up to which the log was read.
+    followed_to: Place,
+    /// On the leader of a new term: until when removed members still count as members, ms. Their grants from an earlier
+    /// leader are unknown here and they no longer report, so their quota is not granted again until it must have
+    /// expired.
+    removed_until: f64,
+    /// Until when a member unknown to this incarnation may hold a grant, ms.
+    unknown_until: f64,
 }
 
-/// In place of members that this run never knew: it never says what it holds.
-const STRANGER: Holder = Holder(u16::MAX);
+/// Stands for members that this incarnation never knew; it never reports its held grants.
+const UNKNOWN_HOLDER: Holder = Holder(u16::MAX);
 
-impl Dealing {
-    pub fn new(now: f64, me: Name, lengths: Lengths, members: Vec<Name>) -> Dealing {
-        let mut dealing = Dealing {
+impl Quota {
+    pub fn new(now: f64, me: Name, lengths: Lengths, members: Vec<Name>) -> Quota {
+        let mut quota = Quota {
             me,
             lengths,
             plans: vec![],
             joint: Joint::new(now, &lengths),
-            chairs: (0, BTreeMap::new()),
-            led: (0, None),
+            leaders: (0, BTreeMap::new()),
+            leader: (0, None),
             level: None,
             holders: BTreeMap::new(),
             members: BTreeSet::new(),
-            followed: Place(0),
-            gone_until: f64::NEG_INFINITY,
-            strangers_until: f64::NEG_INFINITY,
+            followed_to: Place(0),
+            removed_until: f64::NEG_INFINITY,
+            unknown_until: f64::NEG_INFINITY,
         };
-        dealing.know(&[dealing.me.clone()]);
-        dealing.members(now, members);
-        dealing
+        quota.register(&[quota.me.clone()]);
+        quota.members(now, members);
+        quota
     }
 
-    /// Whom the operator's file names. Where a log stands it says who the members are: files change at one member before
-    /// another, and a chair that went by its own would deal out what one holds whom only an earlier chair's named.
+    /// Applies the member list of the operator's file. Once the log has committed entries it defines the members
+    /// instead: files change at different times on different members, and a leader that used its own file would grant
+    /// again what is held by a member that only an earlier leader's file listed.
     pub fn members(&mut self, now: f64, members: Vec<Name>) {
-        self.know(&members);
-        if self.followed == Place(0) {
-            self.deals_to(now, members.into_iter().collect());
+        self.register(&members);
+        if self.followed_to == Place(0) {
+            self.set_members(now, members.into_iter().collect());
         }
     }
 
-    /// How far the log stands, what it amounts to, and its entries that are not folded into that. All that chairs ever
-    /// dealt to were members by what stood then, and a chair deals only once all that stood before it stands here.
+    /// Follows the log up to the commit index `place`; `base` is the state there, and `committed` returns committed
+    /// entries that are not compacted. All holders of grants were members by the entries committed at the time, and a
+    /// leader issues grants only once all earlier committed entries are committed here too.
     pub fn follow<'a>(
         &mut self,
         now: f64,
         place: Place,
         base: &Base,
-        stood: impl Fn(Place) -> Option<&'a Logged>,
+        committed: impl Fn(Place) -> Option<&'a Logged>,
     ) {
-        if place == self.followed {
+        if place == self.followed_to {
             return;
         }
-        for at in self.followed.0 + 1..=place.0 {
-            match stood(Place(at)).map(|logged| &logged.entry) {
+        for at in self.followed_to.0 + 1..=place.0 {
+            match committed(Place(at)).map(|logged| &logged.entry) {
                 Some(Entry::Founded { voters, followers }) => {
-                    self.know(voters);
-                    self.know(followers);
+                    self.register(voters);
+                    self.register(followers);
                 }
                 Some(Entry::Members(change)) => {
                     let (MemberChange::Follows { name }
                     | MemberChange::Votes { name, .. }
                     | MemberChange::Leaves { name }) = change;
-                    self.know(std::slice::from_ref(name));
+                    self.register(std::slice::from_ref(name));
                 }
                 Some(_) => {}
-                // Somebody may have come and gone in what was folded: its last grant was dealt before that stood.
+                // A member may have joined and left in the compacted entries. Its last grant was issued before they
+                // were committed.
                 None => {
-                    self.strangers_until = now + self.lengths.longest();
+                    self.unknown_until = now + self.lengths.longest();
                     break;
                 }
             }
         }
-        self.followed = place;
+        self.followed_to = place;
         let members: BTreeSet<Name> =
             base.voters.iter().map(|(name, _)| name).chain(&base.followers).cloned().collect();
         if !members.is_empty() {
-            self.know(&members.iter().cloned().collect::<Vec<_>>());
-            self.deals_to(now, members);
+            self.register(&members.iter().cloned().collect::<Vec<_>>());
+            self.set_members(now, members);
         }
     }
 
-    fn know(&mut self, names: &[Name]) {
+    fn register(&mut self, names: &[Name]) {
         for name in names {
             let next = Holder(self.holders.len() as u16);
             self.holders.entry(name.clone()).or_insert(next);
         }
     }
 
-    fn deals_to(&mut self, now: f64, members: BTreeSet<Name>) {
+    fn set_members(&mut self, now: f64, members: BTreeSet<Name>) {
         self.members = members;
-        let holders = self.all(now);
-        self.chairs.1.values_mut().for_each(|chair| drop(chair.handle(now, Input::Holders(holders.clone()))));
+        let holders = self.current_holders(now);
+        self.leaders
+            .1
+            .values_mut()
+            .for_each(|leader| drop(leader.handle(now, Input::Holders(holders.clone()))));
     }
 
-    /// Who may hold grants. This member itself always: whatever a run before it left counts until this one is old enough.
-    fn all(&self, now: f64) -> BTreeSet<Holder> {
-        let gone = now < self.gone_until;
+    /// The holders that may have grants. This member is always one: grants of its previous incarnation count until this
+    /// one has run long enough.
+    fn current_holders(&self, now: f64) -> BTreeSet<Holder> {
+        let gone = now < self.removed_until;
         let counts = |name: &Name| gone || *name == self.me || self.members.contains(name);
         let known = self.holders.iter().filter(|(name, _)| counts(name)).map(|(_, holder)| *holder);
-        known.chain((now < self.strangers_until).then_some(STRANGER)).collect()
+        known.chain((now < self.unknown_until).then_some(UNKNOWN_HOLDER)).collect()
     }
 
-    /// The plans of all revisions that may hold, the one that held before first; none of a revision that deals nothing.
-    /// Without any revision nothing is known to hold.
-    pub fn plans(&mut self, now: f64, plans: Vec<Planned>) -> Vec<Do> {
+    /// Sets the plans of all revisions that may be in force, the previous one first; `None` for a revision without
+    /// quotas. An empty list means that no revision is known to be in force.
+    pub fn plans(&mut self, now: f64, plans: Vec<Planned>) -> Vec<Action> {
         let number = |planned: &Planned| planned.as_ref().map(|(no, _)| *no);
         if plans.iter().map(number).eq(self.plans.iter().map(number)) {
             return vec![];
         }
         self.plans = plans;
-        // What no longer may hold never does again.
+        // A plan that can no longer be in force never is again.
         let least = self.plans.iter().filter_map(number).min();
         let gone = |no: &u64| least.is_some_and(|least| *no < least);
-        self.chairs.1.retain(|no, _| !gone(no));
-        let said = self.joint.plans(now, &self.plans, || drawn() as u32);
-        let mut out = self.lead(now);
+        self.leaders.1.retain(|no, _| !gone(no));
+        let said = self.joint.plans(now, &self.plans, || random_id() as u32);
+        let mut out = self.start_leading(now);
         if least.is_none() {
-            out.push(Do::Lift);
+            out.push(Action::Lift);
             return out;
         }
-        out.extend(self.carry(now, said));
+        out.extend(self.deliver_to_leader(now, said));
         out
     }
 
-    /// Whether what is let in here satisfies each of the plans; until then it is not settled.
+    /// Whether admission here satisfies every plan; the stage counts as settled only then.
     pub fn ready(&self) -> bool {
         self.joint.ready()
     }
 
-    /// The level of service in force here, by its place in the operator's file; none: full service.
-    pub fn level(&mut self, now: f64, level: Option<usize>) -> Vec<Do> {
+    /// Sets the service level in force here, by its index in the operator's file; `None`: full service.
+    pub fn level(&mut self, now: f64, level: Option<usize>) -> Vec<Action> {
         self.level = level;
-        self.chaired(now, &Input::Level(level))
+        self.notify_leaders(now, &Input::Level(level))
     }
 
-    /// Who the chair is, as this member knows it.
-    pub fn led(&mut self, now: f64, term: u64, chair: Option<&Name>) -> Vec<Do> {
-        if (term, chair) == (self.led.0, self.led.1.as_ref()) {
+    /// Sets the term and the leader, as known to this member.
+    pub fn leader_changed(&mut self, now: f64, term: u64, leader: Option<&Name>) -> Vec<Action> {
+        if (term, leader) == (self.leader.0, self.leader.1.as_ref()) {
             return vec![];
         }
-        self.led = (term, chair.cloned());
-        let mut out = self.lead(now);
-        if self.led.1.is_some() {
-            out.extend(self.holds(now, &Heard::Chair { term }));
+        self.leader = (term, leader.cloned());
+        let mut out = self.start_leading(now);
+        if self.leader.1.is_some() {
+            out.extend(self.notify_holder(now, &Heard::Chair { term }));
         }
         out
     }
 
-    /// Deals where this member is the chair, and nowhere else.
-    fn lead(&mut self, now: f64) -> Vec<Do> {
-        let term = self.led.0;
-        if self.chairs.0 != term {
-            self.chairs = (term, BTreeMap::new());
+    /// Starts a quota leader for each plan if this member is the leader.
+    fn start_leading(&mut self, now: f64) -> Vec<Action> {
+        let term = self.leader.0;
+        if self.leaders.0 != term {
+            self.leaders = (term, BTreeMap::new());
         }
-        if self.led.1.as_ref() != Some(&self.me) {
+        if self.leader.1.as_ref() != Some(&self.me) {
             return vec![];
         }
         let mut out = Vec::new();
         for (no, plan) in self.plans.iter().flatten() {
-            if self.chairs.1.contains_key(no) {
+            if self.leaders.1.contains_key(no) {
                 continue;
             }
-            if self.chairs.1.is_empty() {
-                self.gone_until = now + self.lengths.longest();
+            if self.leaders.1.is_empty() {
+                self.removed_until = now + self.lengths.longest();
             }
-            let holders = self.all(now);
-            let mut chair = Chair::new(now, term, *no, plan.clone(), holders.clone(), self.lengths);
-            chair.handle(now, Input::Level(self.level));
-            self.chairs.1.insert(*no, chair);
-            out.push(Do::Log(format!("deals fair shares in term {term} by revision {no}")));
+            let holders = self.current_holders(now);
+            let mut leader = Chair::new(now, term, *no, plan.clone(), holders.clone(), self.lengths);
+            leader.handle(now, Input::Level(self.level));
+            self.leaders.1.insert(*no, leader);
+            out.push(Action::Log(format!("issuing quota grants in term {term} for revision {no}")));
         }
         out
     }
 
-    /// Whether this member deals by that plan: it chairs, and the plan may hold.
-    fn deals(&self, no: u64) -> bool {
-        let mine = self.led.1.as_ref() == Some(&self.me) && self.chairs.0 == self.led.0;
+    /// Whether this member issues grants of that plan: it is the leader, and the plan may be in force.
+    fn issues_grants_of(&self, no: u64) -> bool {
+        let mine = self.leader.1.as_ref() == Some(&self.me) && self.leaders.0 == self.leader.0;
         mine && self.plans.iter().flatten().any(|planned| planned.0 == no)
     }
 
-    fn chair(&mut self, no: u64) -> Option<&mut Chair> {
-        let deals = self.deals(no);
-        self.chairs.1.get_mut(&no).filter(|_| deals)
+    fn quota_leader(&mut self, no: u64) -> Option<&mut Chair> {
+        let deals = self.issues_grants_of(no);
+        self.leaders.1.get_mut(&no).filter(|_| deals)
     }
 
-    /// A majority has said, in a round that began then, that this is the chair.
-    pub fn stood(&mut self, now: f64, since: f64) -> Vec<Do> {
-        self.chaired(now, &Input::Stood { since })
+    /// A majority has confirmed, in a round begun at `since`, that this member is the leader.
+    pub fn leadership_confirmed(&mut self, now: f64, since: f64) -> Vec<Action> {
+        self.notify_leaders(now, &Input::Stood { since })
     }
 
-    pub fn heard(&mut self, now: f64, from: &Name, said: Said) -> Vec<Do> {
+    pub fn received(&mut self, now: f64, from: &Name, said: Said) -> Vec<Action> {
         match said {
-            Said::Dealt { .. } => self.holds(now, &Heard::From(said)),
+            Said::Dealt { .. } => self.notify_holder(now, &Heard::From(said)),
             said => {
                 let member = self.members.contains(from);
                 let Some(from) = self.holders.get(from).copied().filter(|_| member) else { return vec![] };
-                let outputs = self.hears(now, from, said);
-                self.deal(now, outputs)
+                let outputs = self.notify_named_leader(now, from, said);
+                self.deliver_to_holders(now, outputs)
             }
         }
     }
 
-    pub fn sees(&mut self, now: f64, sight: Sight) -> Vec<Do> {
-        // What others said before is older than this: no dealing goes on by it.
-        let fell = self.joint.fallen(&sight.capacity);
+    pub fn measured(&mut self, now: f64, sight: Sight) -> Vec<Action> {
+        // Reports of other members are older than this loss of capacity, so grants must not be based on them.
+        let reduced = self.joint.fallen(&sight.capacity);
         let mut out = Vec::new();
-        for (zone, per_s) in fell {
-            out.extend(self.chaired(now, &Input::Fell { zone: zone.into(), per_s }));
+        for (zone, per_s) in reduced {
+            out.extend(self.notify_leaders(now, &Input::Fell { zone: zone.into(), per_s }));
         }
-        out.extend(self.holds(now, &Heard::Came(sight.came)));
-        out.extend(self.holds(now, &Heard::Capacity(sight.capacity)));
+        out.extend(self.notify_holder(now, &Heard::Came(sight.came)));
+        out.extend(self.notify_holder(now, &Heard::Capacity(sight.capacity)));
         out
     }
 
-    pub fn tick(&mut self, now: f64) -> Vec<Do> {
+    pub fn tick(&mut self, now: f64) -> Vec<Action> {
         let mut over = false;
-        for until in [&mut self.gone_until, &mut self.strangers_until] {
+        for until in [&mut self.removed_until, &mut self.unknown_until] {
             if until.is_finite() && now >= *until {
                 (*until, over) = (f64::NEG_INFINITY, true);
             }
         }
         if over {
-            self.deals_to(now, self.members.clone());
+            self.set_members(now, self.members.clone());
         }
-        let mut out = self.holds(now, &Heard::Tick);
-        out.extend(self.chaired(now, &Input::Tick));
+        let mut out = self.notify_holder(now, &Heard::Tick);
+        out.extend(self.notify_leaders(now, &Input::Tick));
         out
     }
 
     pub fn due(&self) -> f64 {
-        let chairs = self.chairs.1.iter().filter(|(no, _)| self.deals(**no));
-        let counted = [self.gone_until, self.strangers_until].into_iter().filter(|until| until.is_finite());
-        chairs.map(|(_, chair)| chair.due()).chain(counted).fold(self.joint.due(), f64::min)
+        let leaders = self.leaders.1.iter().filter(|(no, _)| self.issues_grants_of(**no));
+        let counted = [self.removed_until, self.unknown_until].into_iter().filter(|until| until.is_finite());
+        leaders.map(|(_, leader)| leader.due()).chain(counted).fold(self.joint.due(), f64::min)
     }
 
-    fn holds(&mut self, now: f64, heard: &Heard) -> Vec<Do> {
+    fn notify_holder(&mut self, now: f64, heard: &Heard) -> Vec<Action> {
         let out = self.joint.handle(now, heard);
-        self.carry(now, out)
+        self.deliver_to_leader(now, out)
     }
 
-    /// To the dealing of each plan that may hold.
-    fn chaired(&mut self, now: f64, input: &Input) -> Vec<Do> {
-        let numbers: Vec<u64> = self.chairs.1.keys().copied().collect();
+    /// Passes an input to the quota leader of each plan that may be in force.
+    fn notify_leaders(&mut self, now: f64, input: &Input) -> Vec<Action> {
+        let numbers: Vec<u64> = self.leaders.1.keys().copied().collect();
         let mut outputs = Vec::new();
         for no in numbers {
-            outputs.extend(self.chair(no).map_or(vec![], |chair| chair.handle(now, input.clone())));
+            outputs.extend(self.quota_leader(no).map_or(vec![], |leader| leader.handle(now, input.clone())));
         }
-        self.deal(now, outputs)
+        self.deliver_to_holders(now, outputs)
     }
 
-    /// A holder's word goes to the dealing that it names, or whose round it names: no two plans have the same runs.
-    fn hears(&mut self, now: f64, from: Holder, said: Said) -> Vec<Output> {
+    /// Passes a holder's message to the quota leader of the plan that it names. Other messages go to all of them, and
+    /// the round number tells which one they are for: it is unique to the plan.
+    fn notify_named_leader(&mut self, now: f64, from: Holder, said: Said) -> Vec<Output> {
         let numbers: Vec<u64> = match &said {
             Said::Seen(seen) => vec![seen.plan],
-            _ => self.chairs.1.keys().copied().collect(),
+            _ => self.leaders.1.keys().copied().collect(),
         };
         let mut outputs = Vec::new();
         for no in numbers {
             let said = said.clone();
-            let chair = self.chair(no);
-            outputs.extend(chair.map_or(vec![], |chair| chair.handle(now, Input::Heard { from, said })));
+            let leader = self.quota_leader(no);
+            outputs.extend(leader.map_or(vec![], |leader| leader.handle(now, Input::Heard { from, said })));
         }
         outputs
     }
 
-    /// What this steward's own side says goes to the chair, which may be here.
-    fn carry(&mut self, now: f64, outs: Vec<Out>) -> Vec<Do> {
+    /// Delivers messages of this member's holder side to the leader, which may be this member.
+    fn deliver_to_leader(&mut self, now: f64, outs: Vec<Out>) -> Vec<Action> {
         let mut out = Vec::new();
         let mut left: VecDeque<Out> = outs.into();
         while let Some(one) = left.pop_front() {
-            match (one, &self.led.1) {
-                (Out::Bound(bound), _) => out.push(Do::Bound(bound)),
-                (Out::Say(said), Some(chair)) if *chair == self.me => {
+            match (one, &self.leader.1) {
+                (Out::Bound(bound), _) => out.push(Action::Bound(bound)),
+                (Out::Say(said), Some(leader)) if *leader == self.me => {
                     let Some(from) = self.holders.get(&self.me).copied() else { continue };
-                    out.push(Do::Own(said.clone()));
-                    for output in self.hears(now, from, said) {
+                    out.push(Action::Local(said.clone()));
+                    for output in self.notify_named_leader(now, from, said) {
                         match output {
                             Output::Send { to, said } if to == from => {
-                                out.push(Do::Own(said.clone()));
+                                out.push(Action::Local(said.clone()));
                                 left.extend(self.joint.handle(now, &Heard::From(said)));
                             }
-                            other => out.extend(self.told(other)),
+                            other => out.extend(self.remote_action(other)),
                         }
                     }
                 }
-                (Out::Say(said), Some(chair)) => out.push(Do::Say(chair.clone(), said)),
+                (Out::Say(said), Some(leader)) => out.push(Action::Send(leader.clone(), said)),
                 (Out::Say(_), None) => {}
             }
         }
         out
     }
 
-    /// What the chair deals goes to the holders, of whom one is here.
-    fn deal(&mut self, now: f64, outputs: Vec<Output>) -> Vec<Do> {
+    /// Delivers messages of the quota leader to the holders, one of which is this member.
+    fn deliver_to_holders(&mut self, now: f64, outputs: Vec<Output>) -> Vec<Action> {
         let mut out = Vec::new();
         for output in outputs {
             match output {
                 Output::Send { to, said } if self.holders.get(&self.me) == Some(&to) => {
-                    out.push(Do::Own(said.clone()));
-                    out.extend(self.holds(now, &Heard::From(said)));
+                    out.push(Action::Local(said.clone()));
+                    out.extend(self.notify_holder(now, &Heard::From(said)));
                 }
-                other => out.extend(self.told(other)),
+                other => out.extend(self.remote_action(other)),
             }
         }
         out
     }
 
-    fn told(&self, output: Output) -> Option<Do> {
+    fn remote_action(&self, output: Output) -> Option<Action> {
         match output {
             Output::Send { to, said } => {
                 let name = self.holders.iter().find(|(_, holder)| **holder == to)?.0;
-                Some(Do::Say(name.clone(), said))
+                Some(Action::Send(name.clone(), said))
             }
-            Output::Gave(tenants) => Some(Do::Log(format!("{} tenants give way", tenants.len()))),
-            Output::Short(true) => Some(Do::Log("less room than is guaranteed".into())),
-            Output::Short(false) => Some(Do::Log("all that is guaranteed has room again".into())),
+            Output::Gave(tenants) => Some(Action::Log(format!(
+                "{} tenants reduced to their guarantee or fair rate",
+                tenants.len()
+            ))),
+            Output::Short(true) => Some(Action::Log("capacity is below the sum of the guarantees".into())),
+            Output::Short(false) => Some(Action::Log("capacity covers all guarantees again".into())),
         }
     }
 }
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -1,14 +1,15 @@
-//! What stands between what was decided and what is written: orders go out only under what holds right now.
+//! Fence between decisions and the connections to proxies: an order is sent only if the act that it was decided under
+//! is still in force.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use crate::clock::Clock;
 
-/// Counts what a steward has acted on: each change of it is one more. Zero: nothing is known yet.
+/// Fence number: incremented with each change of the act that the controller follows. Zero: none is known yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Under(pub u64);
 
-/// Read by whoever writes, set by the agreement's thread before anyone else hears of it.
+/// Set by the fleet thread before anyone else learns of a new act, and checked by the thread that writes orders.
 pub struct Fence {
     clock: Clock,
     holds: Mutex<Held>,
@@ -17,12 +18,12 @@
 struct Held {
     under: Under,
     until: f64,
-    /// For good: this run lets go.
+    /// Never cleared: this incarnation has released its leases.
     shut: bool,
 }
 
 impl Fence {
-    /// Nothing is known: what is written declines what is governed, and may be at any time.
+    /// Starts without a known act. Orders written then reject governed request classes, which is always allowed.
     pub fn new(clock: Clock) -> Fence {
         Fence {
             clock,
@@ -39,15 +40,15 @@
         (held.under, held.until) = (under, until);
     }
 
-    /// Nothing goes out any more in this run, whatever is set later.
+    /// Blocks all orders of this incarnation, whatever is set later.
     pub fn shut(&self) {
         self.held().shut = true;
     }
 
-    /// Whether what was decided under that may be written now. Looks at the clock.
+    /// Whether an order decided under that number may be written now. Reads the clock.
     pub fn open(&self, under: Under) -> bool {
         let Held { under: holds, until, shut } = *self.held();
-        // The clock last: what stands still between the two looks finds the later time.
+        // The clock is read last: if the process is paused between the two reads, the later time counts.
         !shut && holds == under && self.clock.now() < until
     }
 
@@ -71,7 +72,7 @@
         assert!(!fence.open(Under(1)));
     }
 
-    /// Guards against an order that leaves after it was said that none will.
+    /// Guards against an order that is sent after the other members were told that none will be.
     #[test]
     fn what_is_told_after_it_was_shut_opens_it_no_more() {
         let clock = Clock::new();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,8 @@
-//! The talk between stewards. A thin loop: what peers say goes to the agreement and the dealing, what these answer
-//! is made to last, said and told in that order. No choice here.
+//! Network and disk front of the consensus and quota state machines of a fleet of controllers. An event loop passes
+//! messages of peers to the state machines and carries out their outputs in order: durable writes, then messages,
+//! then calls into the controller. It takes no decision of its own.
 //!
-//! It runs on a thread of its own, so that no disk that is slow to make something safe holds decisions up.
+//! The loop runs on its own thread, so that a slow fsync does not delay routing decisions.
 
 mod clock;
 mod codec;
@@ -32,20 +33,20 @@
 use tonic::transport::Server;
 
 pub use clock::{machine_ns, Clock};
-pub use codec::{Said, Spoilt};
+pub use codec::{Malformed, Said};
 pub use counts::Counts;
 pub use dealing::Sight;
 pub use fence::{Fence, Under};
 pub use history::History;
-pub use notes::Noted;
-pub use service::{Door, Refused};
+pub use notes::HistoryTag;
+pub use service::{Admission, Refused};
 pub use store::{Fault as StoreFault, Found, Store};
 pub use turn::within;
 pub use wire::{fleet_client, Envelope};
 
 use wire::fleet_server::FleetServer;
 
-/// One member, as the operator's file names it.
+/// One member, as configured in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     pub name: Name,
@@ -53,7 +54,7 @@
     pub votes: bool,
 }
 
-/// Who this member is, and with whom it speaks.
+/// Settings of this member: its identity, its peers, its storage folder and its timings.
 #[derive(Clone, Debug)]
 pub struct Post {
     pub fleet: FleetId,
@@ -67,7 +68,7 @@
     pub seed: u64,
 }
 
-/// The lengths of the operator's file, in ms; drift is a part.
+/// Durations of the operator's file, in ms; `drift` is a fraction (the largest clock drift).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lengths {
     pub acts: f64,
@@ -82,34 +83,35 @@
 }
 
 impl Lengths {
-    /// Those of grants. What a proxy may still let in after its steward's grant is over counts with the linger.
+    /// The durations of quota grants. The slack includes the linger, because a proxy may still admit txns for that long
+    /// after its controller's grant has expired.
     ///
     /// # Errors
-    /// Grants so short that they can't be dealt.
+    /// The grant duration is too short to issue grants.
     pub fn of_grants(&self) -> Result<amberarch_shares::Lengths, amberarch_shares::Wrong> {
         amberarch_shares::Lengths::new(self.grant, self.drift, self.slack + self.linger)
     }
 }
 
-/// What the daemon does for the agreement, on the agreement's thread. None of it may wait.
+/// Callbacks of the daemon, called on the fleet thread. None of them may block.
 pub trait Steward: Send + 'static {
-    /// Whether this steward can use the revision; why not, for operators. One that is not staged any more holds
-    /// already: only what keeps this steward from using it at all counts against it.
+    /// Checks whether this controller can use the revision; the error is the reason shown to operators. A revision that
+    /// is no longer staged is already in force: reject it only if this controller can't use it at all.
     fn check(&mut self, revision: &Revision, staged: bool) -> Result<(), Arc<str>>;
-    /// This holds from here on; what is decided by it goes out under that number alone.
+    /// Applies `act` from now on. Orders decided under it are sent only under this fence number.
     fn act(&mut self, act: &Act, texts: &[Revision], under: Under);
-    /// The plans of fair shares of all revisions that may hold after the last [`Steward::act`], the one that held before
-    /// first; none for a revision that deals nothing.
+    /// The quota plans of all revisions that may be in force after the last [`Steward::act`], the previous one first;
+    /// `None` for a revision without quotas.
     fn plans(&mut self) -> Vec<Planned>;
-    /// What histories call the tenants of each of those plans, and the zones, by their places.
+    /// Names used in histories: the tenants of each of those plans, and the zones, both by index.
     fn names(&self) -> (Vec<Vec<String>>, Vec<String>);
-    /// What is let in of a product in a zone; none: all of everything.
+    /// Sets the admitted share of a request class in a zone; `None` removes all limits.
     fn bound(&mut self, bound: Option<Bound>);
-    /// What became of a proposal made here.
+    /// Reports the outcome of a proposal made through this member.
     fn answer(&mut self, id: u64, revision: &Revision, outcome: &Result<StageNo, Refusal>);
 }
 
-/// Why the talk could not start, or can't go on.
+/// Why the fleet connection could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("[fleet] listen: {0}: {1}")]
@@ -129,7 +131,7 @@
 }
 
 impl Fault {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
             Fault::Listen(..) => "free the address, or give `listen` another one and tell the other members",
@@ -143,98 +145,102 @@
     }
 }
 
-/// What the daemon asks of the agreement.
-enum Asked {
+/// Requests of the daemon to the fleet thread.
+enum Request {
     Propose(u64, Revision),
     Settled(StageNo, bool),
     Members(Vec<Member>),
-    Sees(Sight),
+    Measured(Sight),
     Level(Option<usize>),
     Show,
-    LetGo(oneshot::Sender<()>),
+    Release(oneshot::Sender<()>),
     End,
 }
 
-/// The daemon's end.
+/// The daemon's handle to the fleet thread. Clones refer to the same thread.
 #[derive(Clone)]
 pub struct Talk {
     pub at: SocketAddr,
     pub fence: Arc<Fence>,
     pub counts: Arc<Counts>,
     pub history: Option<Arc<History>>,
-    asked: mpsc::UnboundedSender<Asked>,
+    requests: mpsc::UnboundedSender<Request>,
     proposals: Arc<AtomicU64>,
 }
 
 impl Talk {
-    /// Proposes it; the answer comes to [`Steward::answer`] under this id.
+    /// Proposes the revision; the outcome is passed to [`Steward::answer`] under the returned id.
     pub fn propose(&self, revision: Revision) -> u64 {
-        let id = self.next();
+        let id = self.next_id();
         self.counts.proposals.inc();
         if let Some(history) = &self.history {
             history.proposed(id, revision.no, revision.digest);
         }
-        let _ = self.asked.send(Asked::Propose(id, revision));
+        let _ = self.requests.send(Request::Propose(id, revision));
         id
     }
 
-    fn next(&self) -> u64 {
+    fn next_id(&self) -> u64 {
         self.proposals.fetch_add(1, Relaxed) + 1
     }
 
-    /// Whether no proxy can hold anything outside that stage any more.
+    /// Reports whether all proxies are within that stage: none can still use a policy outside it.
     pub fn settled(&self, stage: StageNo, settled: bool) {
-        let _ = self.asked.send(Asked::Settled(stage, settled));
+        let _ = self.requests.send(Request::Settled(stage, settled));
     }
 
-    /// What came of late, and what hosts can do.
+    /// Reports the recent demand and the capacity of the hosts.
     pub fn sees(&self, sight: Sight) {
-        let _ = self.asked.send(Asked::Sees(sight));
+        let _ = self.requests.send(Request::Measured(sight));
     }
 
-    /// The level of service in force, by its place in the operator's file; none: full service.
+    /// Sets the service level in force, by its index in the operator's file; `None`: full service.
     pub fn level(&self, level: Option<usize>) {
-        let _ = self.asked.send(Asked::Level(level));
+        let _ = self.requests.send(Request::Level(level));
     }
 
-    /// The operator's file names other members now.
+    /// Applies a changed member list of the operator's file.
     pub fn members(&self, members: Vec<Member>) {
-        let _ = self.asked.send(Asked::Members(members));
+        let _ = self.requests.send(Request::Members(members));
     }
 
-    /// The process is being ended in good order. The fence is shut here, at once and for good, by the thread that
-    /// writes orders; only then the other members are told. Answered once nothing waits for this run any more; never
-    /// where no chair hears it, so whoever waits has to bound that.
+    /// Releases the leases of this process before an orderly shutdown. Closes the fence for good on the calling thread
+    /// (the one that writes orders) before the other members are notified. The receiver completes once no change waits
+    /// for this incarnation any more. It never completes if no leader receives the release, so the caller needs a
+    /// timeout.
     pub fn let_go(&self) -> oneshot::Receiver<()> {
         self.fence.shut();
-        let (gone, told) = oneshot::channel();
-        let _ = self.asked.send(Asked::LetGo(gone));
-        told
+        let (done, released) = oneshot::channel();
+        let _ = self.requests.send(Request::Release(done));
+        released
     }
 
-    /// Ends the talk; what this member was told runs out as its lease does.
+    /// Stops the fleet thread. What this member acts on expires with its lease.
     pub fn end(&self) {
-        let _ = self.asked.send(Asked::End);
+        let _ = self.requests.send(Request::End);
     }
 
-    /// Has the stage, and who is waited for, written to the log.
+    /// Writes the stage and the members that a change waits for to the log.
     pub fn show(&self) {
-        let _ = self.asked.send(Asked::Show);
+        let _ = self.requests.send(Request::Show);
     }
 }
 
-/// A number that no other run draws: the keys of the standard hasher are the system's own chance.
-fn drawn() -> u64 {
+/// Returns a random number that is unique to this incarnation. The keys of the standard hasher are seeded from the
+/// operating system's randomness.
+fn random_id() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-/// What one member says at once, at the most: a frame of each kind to each peer.
-const ROOM: usize = 1_024;
+/// Bound of the queue of received messages: about one message of each kind from each peer.
+const INBOX_CAPACITY: usize = 1_024;
 
-/// Listens at once and takes the folder; the rest runs on a thread of its own for as long as the process does.
+/// Binds the listening address and locks the folder, then runs the event loop on its own thread for the lifetime of
+/// the process.
 ///
 /// # Errors
-/// The address, the folder or the thread can't be had, or the folder may have lost what was promised on it.
+/// The address, the folder or the thread is unavailable, or the settings are invalid. A corrupted folder is not an
+/// error: the member then runs without voting.
 pub fn start(post: Post, steward: impl Steward, log: Logger) -> Result<Talk, Fault> {
     let own = post.members.iter().find(|member| member.name == post.name);
     let votes = own.ok_or_else(|| Fault::NotAMember(post.name.clone()))?.votes;
@@ -242,21 +248,22 @@
         return Err(Fault::NoFolder(post.name.clone()));
     }
     let counts: Arc<Counts> = Arc::default();
-    let store = match post.folder.as_ref().map(|folder| (folder, Store::open(folder, Disk(drawn())))) {
+    let store = match post.folder.as_ref().map(|folder| (folder, Store::open(folder, Disk(random_id())))) {
         Some((folder, Ok((store, found)))) => {
-            info!(log, "what has to last"; "folder" => %folder.display(), "found" => ?found, "bytes" => store.bytes());
+            info!(log, "opened the consensus store"; "folder" => %folder.display(), "found" => ?found, "bytes" => store.bytes());
             Some(store)
         }
-        // Another process may be this very member.
+        // Another running process may be this same member.
         Some((_, Err(fault @ StoreFault::InUse(_)))) => return Err(fault.into()),
-        // Traffic is directed all the same. What may have been promised is not known, so nothing more is.
+        // Traffic is still directed. The promises (votes, log entries) of earlier incarnations are unknown, so this
+        // incarnation does not vote.
         Some((_, Err(fault))) => {
             turn::votes_no_more(&fault, fault.advice(), &counts, &log);
             None
         }
         None => None,
     };
-    let boot = Boot(drawn());
+    let boot = Boot(random_id());
     let history = match &post.history {
         Some(path) => {
             let opened = History::open(path, &post.name, boot);
@@ -269,52 +276,60 @@
     listener.set_nonblocking(true).map_err(listen)?;
     let at = listener.local_addr().map_err(listen)?;
     let clock = Clock::new();
-    let (asked, asks) = mpsc::unbounded_channel();
+    let (requests, request_queue) = mpsc::unbounded_channel();
     let talk =
-        Talk { at, fence: Arc::new(Fence::new(clock)), counts, history, asked, proposals: Arc::default() };
+        Talk { at, fence: Arc::new(Fence::new(clock)), counts, history, requests, proposals: Arc::default() };
     let names: BTreeSet<Name> = post.members.iter().map(|member| member.name.clone()).collect();
-    let door = Door::new(post.fleet.clone(), post.name.clone(), names, talk.counts.clone());
+    let admission = Admission::new(post.fleet.clone(), post.name.clone(), names, talk.counts.clone());
     let (counts, thread_log) = (talk.counts.clone(), log.clone());
-    let door = Arc::new(door);
+    let admission = Arc::new(admission);
     let message_bytes = post.message_bytes;
-    let turn = turn::Turn::new(post, boot, door.clone(), store, steward, talk.clone(), log.clone())?;
+    let event_loop =
+        turn::EventLoop::new(post, boot, admission.clone(), store, steward, talk.clone(), log.clone())?;
     let run = move || {
         let log = thread_log;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let ended = match runtime {
             Ok(runtime) => runtime.block_on(async {
-                let (to, heard) = mpsc::channel(ROOM);
-                tokio::spawn(listens(listener, door, to, message_bytes, counts, log.clone()));
-                turn.run(heard, asks).await;
+                let (inbox, received) = mpsc::channel(INBOX_CAPACITY);
+                tokio::spawn(serve(listener, admission, inbox, message_bytes, counts, log.clone()));
+                event_loop.run(received, request_queue).await;
                 Ok(())
             }),
             Err(why) => Err(why),
         };
-        // The daemon goes on: without the talk its lease runs out, and governed products are declined.
+        // The daemon goes on: without this thread its lease expires, and governed request classes are rejected.
         match ended {
-            Ok(()) => info!(log, "the talk between members ended"),
-            Err(why) => error!(log, "the talk between members ended"; "why" => %why),
+            Ok(()) => info!(log, "fleet thread ended"),
+            Err(why) => error!(log, "fleet thread failed"; "why" => %why),
         }
     };
     std::thread::Builder::new().name("fleet".into()).spawn(run).map_err(Fault::Thread)?;
     Ok(talk)
 }
 
-async fn listens(
+async fn serve(
     listener: TcpListener,
-    door: Arc<Door>,
-    heard: mpsc::Sender<(Name, Said)>,
+    admission: Arc<Admission>,
+    received: mpsc::Sender<(Name, Said)>,
     message_bytes: usize,
     counts: Arc<Counts>,
     log: Logger,
 ) {
-    /// A peer that answers no PING for so long has gone; one more stream of its next run takes its place.
+    /// A peer that does not answer a keep-alive PING within this time is considered gone. Its next incarnation opens a
+    /// new stream.
     const PING_EVERY: Duration = Duration::from_secs(10);
     const PING_ANSWER: Duration = Duration::from_secs(5);
     let served = async {
         let listener = tokio::net::TcpListener::from_std(listener)?;
         let incoming = tonic::transport::server::TcpIncoming::from(listener).with_nodelay(Some(true));
-        let service = service::Service { door, heard, counts, log: log.clone(), told: Default::default() };
+        let service = service::Service {
+            admission,
+            received,
+            counts,
+            log: log.clone(),
+            last_logged: Default::default(),
+        };
         let service = FleetServer::new(service).max_decoding_message_size(message_bytes);
         let server = Server::builder()
             .http2_keepalive_interval(Some(PING_EVERY))
@@ -324,6 +339,6 @@
         server.await.map_err(std::io::Error::other)
     };
     if let Err(why) = served.await {
-        error!(log, "members are heard no more"; "why" => %why);
+        error!(log, "the fleet listener failed; messages of other members are no longer received"; "why" => %why);
     }
 }
--- a/crates/fleet/src/notes.rs
+++ b/crates/fleet/src/notes.rs
@@ -1,5 +1,5 @@
-//! What histories are told of fair shares: what there is, what each tenant is promised, what the chair gives and what
-//! this member goes by. It stands beside the dealing and reads what that says; no decision asks it.
+//! Records quota events in the history: the capacity, each tenant's guarantee, the grants that the leader issues and
+//! those that this member uses. It only observes the messages of the quota state machines; no decision depends on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,46 +11,48 @@
 use crate::clock::machine_ns;
 use crate::history::History;
 
-/// What a grant is called in histories, sent along with it: its end by the chair on the machine's monotonic clock, in
-/// ns, and what it takes back. Times of one machine mean nothing on another, and nothing but histories reads them.
+/// Identifies a grant in histories and is sent along with it: its expiry as the leader counts it, on the machine's
+/// monotonic clock in ns, and the grants that it revokes. Only histories of one machine read it: such times mean
+/// nothing on another machine.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Noted {
+pub struct HistoryTag {
     pub until: u64,
     pub back: Vec<(Tenant, Zone)>,
 }
 
 type Key = (Tenant, Zone);
-/// When, ms, and what hosts of each zone can do, txns a second.
-type Seen = (f64, Vec<(Zone, f64)>);
+/// Time of the report, ms, and the host capacity of each zone, txns a second.
+type Report = (f64, Vec<(Zone, f64)>);
 
-pub struct Notes {
+pub struct QuotaRecorder {
     history: Arc<History>,
     me: Name,
-    /// The longest that a grant counts at the chair, ms.
+    /// The longest time that the leader counts a grant, ms.
     longest: f64,
-    /// Of each plan that may hold, the one that held before first.
-    sides: Vec<Side>,
-    /// What each member saw last.
-    sights: BTreeMap<Name, Seen>,
-    /// As the chair of a term: by which plans it wrote what there is.
-    told: Option<(u64, Vec<u64>)>,
-    promised: Option<u64>,
+    /// One per plan that may be in force, the previous one first.
+    records: Vec<PlanRecord>,
+    /// The last report of each member.
+    reports: BTreeMap<Name, Report>,
+    /// On the leader: the term, and the plans for which the capacity was recorded.
+    recorded_for: Option<(u64, Vec<u64>)>,
+    /// The plan whose guarantees were recorded last.
+    guarantees_of: Option<u64>,
     capacity: BTreeMap<String, f64>,
-    last: u64,
+    last_expiry: u64,
 }
 
-/// What is noted of one plan. Grants of two do not add up, and each is held to what there is.
-struct Side {
+/// What is recorded of one plan. Grants of two plans do not add up; each plan's are compared with the capacity.
+struct PlanRecord {
     planned: Planned,
-    /// Whose floors were written, and where.
+    /// Tenants and places whose floors were recorded.
     floors: BTreeSet<(String, String)>,
-    /// As the chair: until when it counts what it gave, ns.
+    /// On the leader: until when it counts each grant that it issued, ns.
     given: BTreeMap<(Name, Tenant, Zone), u64>,
-    /// What is offered to this member, until it is taken up or not.
+    /// The grants last sent to this member, until it accepts them or newer ones arrive.
     offered: Option<Offered>,
-    /// What this member goes by, and the term.
+    /// The term and keys of the grants that this member uses.
     taken: Option<(u64, BTreeSet<Key>)>,
-    /// The term that its last word named.
+    /// The term of this member's last report.
     said_in: Option<u64>,
 }
 
@@ -59,7 +61,7 @@
     plan: Arc<Plan>,
     tenants: Vec<String>,
     zones: Vec<String>,
-    /// By zone: those that share txns with it, directly or by others.
+    /// By zone: the zones that share txns with it, directly or through others.
     parts: Vec<Zones>,
 }
 
@@ -67,7 +69,7 @@
     round: u64,
     term: u64,
     keys: BTreeSet<Key>,
-    noted: Noted,
+    noted: HistoryTag,
 }
 
 impl Planned {
@@ -79,13 +81,15 @@
         self.zones.get(usize::from(zone.0)).cloned().unwrap_or_default()
     }
 
-    /// Where a grant counts: in all zones that share txns with its own, since nobody can say which of them serve it.
+    /// Name of the zones in which a grant counts: all that share txns with its own, since it is unknown which of them
+    /// serves a txn.
     fn part(&self, zone: Zone) -> String {
         let part = self.parts.get(usize::from(zone.0)).copied().unwrap_or(Zones::one(ZoneId(zone.0)));
         part.iter().map(|zone| self.zone(zone)).collect::<Vec<_>>().join("+")
     }
 
-    /// The same as grants name it: two plans' grants do not add up, since under both a member goes by the lesser.
+    /// The name of the same zones in grants, with the plan's number. Grants of two plans do not add up, since under
+    /// both a member uses the minimum.
     fn place(&self, zone: Zone) -> String {
         format!("{}@{}", self.part(zone), self.no)
     }
@@ -99,11 +103,12 @@
     }
 }
 
-/// Zones that are bound together by what may be served in several of them.
+/// Groups the zones that are connected by claims which may be served in several of them.
 fn parts(plan: &Plan, zones: usize) -> Vec<Zones> {
     let mut parts: Vec<Zones> = (0..zones as u16).map(|zone| Zones::one(ZoneId(zone))).collect();
     for (claim, _, zone) in plan.claims() {
-        // What comes in at one zone may be served in others alone: it counts where it comes in and needs their hosts.
+        // Txns received in one zone may be served only in others: they count where they are received and need hosts of
+        // the others.
         let reach = plan.reach(claim).union(Zones::one(ZoneId(zone.0)));
         let bound = |part: &Zones| !part.intersection(reach).is_empty();
         let all = parts.iter().filter(|part| bound(part)).fold(Zones::NONE, |all, part| all.union(*part));
@@ -112,23 +117,23 @@
     parts
 }
 
-impl Notes {
-    pub fn new(history: Arc<History>, me: Name, longest: f64) -> Notes {
-        Notes {
+impl QuotaRecorder {
+    pub fn new(history: Arc<History>, me: Name, longest: f64) -> QuotaRecorder {
+        QuotaRecorder {
             history,
             me,
             longest,
-            sides: vec![],
-            sights: BTreeMap::new(),
-            told: None,
-            promised: None,
+            records: vec![],
+            reports: BTreeMap::new(),
+            recorded_for: None,
+            guarantees_of: None,
             capacity: BTreeMap::new(),
-            last: 0,
+            last_expiry: 0,
         }
     }
 
-    /// These plans may hold here, the one that held before first; `tenants` are the names of each one's. Without any all
-    /// stays as it was: what was given runs on until it is over.
+    /// Sets the plans that may be in force here, the previous one first; `tenants` are the tenant names of each.
+    /// Without any plan nothing changes: issued grants run until they expire.
     pub fn plans(&mut self, plans: Vec<shares::Planned>, mut tenants: Vec<Vec<String>>, zones: &[String]) {
         tenants.resize(plans.len(), vec![]);
         let named = plans.into_iter().zip(tenants);
@@ -137,10 +142,10 @@
         if named.is_empty() {
             return;
         }
-        let mut before = std::mem::take(&mut self.sides);
+        let mut before = std::mem::take(&mut self.records);
         for (no, plan, tenants) in named {
-            if let Some(known) = before.iter().position(|side| side.planned.no == no) {
-                self.sides.push(before.remove(known));
+            if let Some(known) = before.iter().position(|record| record.planned.no == no) {
+                self.records.push(before.remove(known));
                 continue;
             }
             let parts = parts(&plan, zones.len());
@@ -154,23 +159,32 @@
             self.floors(no, &floors);
             let floors = floors.into_keys().collect();
             let given = BTreeMap::new();
-            self.sides.push(Side { planned, floors, given, offered: None, taken: None, said_in: None });
+            self.records.push(PlanRecord {
+                planned,
+                floors,
+                given,
+                offered: None,
+                taken: None,
+                said_in: None,
+            });
         }
-        // The dealing drops what it had under a plan that holds no more, and the chair counts it no more once it hears so.
+        // The holder drops its grants of a plan that is no longer in force, and the leader stops counting them once it
+        // is told so.
         for gone in before {
-            // Its end lies ahead: one that is over when its line is written would take nothing back.
-            let until = after(&mut self.last, machine_ns() + (1e6 * self.longest) as u64);
+            // The expiry is in the future: a grant that has expired when its line is written would revoke nothing.
+            let until = unique_expiry(&mut self.last_expiry, machine_ns() + (1e6 * self.longest) as u64);
             for key in gone.planned.keys() {
-                self.gives_back(&gone.planned, key, until);
-                self.takes(&gone.planned, key, until);
+                self.record_returned(&gone.planned, key, until);
+                self.record_taken(&gone.planned, key, until);
             }
-            // Of its floors too, in the word after which they were written.
+            // The floors are revoked too, with the number after the one they were recorded with.
             let floors = gone.floors.into_iter().map(|key| (key, 0.0)).collect();
             self.floors(gone.planned.no + 1, &floors);
         }
     }
 
-    /// Floors need no grant and no end: each steward may let its own in as long as it goes by the plan.
+    /// Records floors. They need no grant and do not expire: each controller may admit its own as long as it uses the
+    /// plan.
     fn floors(&self, no: u64, floors: &BTreeMap<(String, String), f64>) {
         const NEVER: u64 = u64::MAX / 2;
         let to = format!("floor:{}", self.me);
@@ -180,40 +194,40 @@
         }
     }
 
-    /// What is about to be said to a member, which may be this one. What comes back goes with it.
-    pub fn says(&mut self, now: f64, to: &Name, said: &Said) -> Option<Noted> {
+    /// Records a message that is about to be sent to a member, which may be this one. The result is sent along with it.
+    pub fn sending(&mut self, now: f64, to: &Name, said: &Said) -> Option<HistoryTag> {
         match said {
             Said::Seen(seen) => {
-                self.says_what_it_holds(seen);
+                self.record_held_report(seen);
                 if *to == self.me {
-                    self.hears(now, &self.me.clone(), said, None);
+                    self.received(now, &self.me.clone(), said, None);
                 }
                 None
             }
             Said::Dealt { round, term, plan, grants, .. } => {
-                let noted = self.deals(now, to, (*term, *plan), grants)?;
+                let noted = self.record_issued(now, to, (*term, *plan), grants)?;
                 if *to == self.me {
                     self.offer((*round, *term, *plan), grants, Some(noted.clone()));
                 }
                 Some(noted)
             }
             Said::Taken { round, term } => {
-                // No two plans have the same runs, so the round tells whose word it is.
+                // Round numbers are unique to a plan, so the round tells which plan is meant.
                 let fits = |of: &mut Offered| (of.round, of.term) == (*round, *term);
-                let mut found = self.sides.iter_mut().enumerate();
-                let found = found.find_map(|(place, side)| Some((place, side.offered.take_if(fits)?)));
+                let mut found = self.records.iter_mut().enumerate();
+                let found = found.find_map(|(place, record)| Some((place, record.offered.take_if(fits)?)));
                 if let Some((place, offered)) = found {
-                    self.takes_up(place, offered);
+                    self.record_accepted(place, offered);
                 }
                 None
             }
         }
     }
 
-    /// What a member has said, before the dealing hears of it.
-    pub fn hears(&mut self, now: f64, from: &Name, said: &Said, noted: Option<Noted>) {
+    /// Records a received message before it is passed to the quota state machine.
+    pub fn received(&mut self, now: f64, from: &Name, said: &Said, noted: Option<HistoryTag>) {
         match said {
-            Said::Seen(seen) => drop(self.sights.insert(from.clone(), (now, seen.capacity.clone()))),
+            Said::Seen(seen) => drop(self.reports.insert(from.clone(), (now, seen.capacity.clone()))),
             Said::Dealt { round, term, plan, grants, .. } => {
                 self.offer((*round, *term, *plan), grants, noted)
             }
@@ -221,79 +235,88 @@
         }
     }
 
-    fn offer(&mut self, (round, term, plan): (u64, u64, u64), grants: &[Grant], noted: Option<Noted>) {
+    fn offer(&mut self, (round, term, plan): (u64, u64, u64), grants: &[Grant], noted: Option<HistoryTag>) {
         let keys = grants.iter().map(|grant| (grant.tenant, grant.zone)).collect();
-        if let Some(side) = self.sides.iter_mut().find(|side| side.planned.no == plan) {
-            side.offered = noted.map(|noted| Offered { round, term, keys, noted });
+        if let Some(record) = self.records.iter_mut().find(|record| record.planned.no == plan) {
+            record.offered = noted.map(|noted| Offered { round, term, keys, noted });
         }
     }
 
-    /// As the chair: the lines stand before the grant does.
-    fn deals(&mut self, now: f64, to: &Name, (term, no): (u64, u64), grants: &[Grant]) -> Option<Noted> {
-        // The chair counts from before it spoke, so these ends are no later than its own: what it gives again then
-        // must not be counted twice. The clock of lines is read first for the same reason.
+    /// Records grants that this member issues as the leader, before they are sent.
+    fn record_issued(
+        &mut self,
+        now: f64,
+        to: &Name,
+        (term, no): (u64, u64),
+        grants: &[Grant],
+    ) -> Option<HistoryTag> {
+        // The leader counts a grant from before it sends it, so the recorded expiry must not be later than the leader's
+        // own: what it grants again afterwards would be counted twice. This clock is read first for the same reason.
         let line_now = machine_ns();
-        let until = after(&mut self.last, line_now + (1e6 * self.longest) as u64);
-        let place = self.sides.iter().position(|side| side.planned.no == no)?;
-        let told = (term, self.sides.iter().map(|side| side.planned.no).collect());
-        if self.told.as_ref() != Some(&told) {
-            self.told = Some(told);
+        let until = unique_expiry(&mut self.last_expiry, line_now + (1e6 * self.longest) as u64);
+        let place = self.records.iter().position(|record| record.planned.no == no)?;
+        let told = (term, self.records.iter().map(|record| record.planned.no).collect());
+        if self.recorded_for.as_ref() != Some(&told) {
+            self.recorded_for = Some(told);
             self.capacity.clear();
         }
-        // What is promised is what the plan that held before promises, until it holds no more.
-        if place == 0 && self.promised.replace(no) != Some(no) {
-            promises(&self.history, &self.sides[0].planned);
+        // The guarantees are those of the previous plan until it is no longer in force.
+        if place == 0 && self.guarantees_of.replace(no) != Some(no) {
+            record_guarantees(&self.history, &self.records[0].planned);
         }
-        self.sights.retain(|_, (at, _)| now - *at < self.longest);
-        there(&self.history, &self.sides, &self.sights, &mut self.capacity);
-        let (history, side) = (&self.history, &mut self.sides[place]);
-        let planned = &side.planned;
+        self.reports.retain(|_, (at, _)| now - *at < self.longest);
+        record_capacity(&self.history, &self.records, &self.reports, &mut self.capacity);
+        let (history, record) = (&self.history, &mut self.records[place]);
+        let planned = &record.planned;
         let who = format!("steward:{to}");
         for grant in grants {
             let lift = (grant.per_s - planned.floor(grant.tenant, grant.zone)).max(0.0);
             history.granted(&who, &planned.tenant(grant.tenant), &planned.place(grant.zone), lift, until);
         }
-        side.given.retain(|_, ends| *ends > line_now);
+        record.given.retain(|_, ends| *ends > line_now);
         let now_given: BTreeSet<Key> = grants.iter().map(|grant| (grant.tenant, grant.zone)).collect();
-        let mine = side.given.keys().filter(|(holder, ..)| holder == to);
+        let mine = record.given.keys().filter(|(holder, ..)| holder == to);
         let back: Vec<Key> =
             mine.map(|(_, tenant, zone)| (*tenant, *zone)).filter(|key| !now_given.contains(key)).collect();
         for (tenant, zone) in &back {
             history.granted(&who, &planned.tenant(*tenant), &planned.place(*zone), 0.0, until);
         }
-        side.given.extend(now_given.into_iter().map(|(tenant, zone)| ((to.clone(), tenant, zone), until)));
-        Some(Noted { until, back })
+        record.given.extend(now_given.into_iter().map(|(tenant, zone)| ((to.clone(), tenant, zone), until)));
+        Some(HistoryTag { until, back })
     }
 
-    /// From here on this member goes by what was offered, and by nothing before.
-    fn takes_up(&mut self, place: usize, offered: Offered) {
+    /// Records that this member now uses the offered grants and none of the earlier ones.
+    fn record_accepted(&mut self, place: usize, offered: Offered) {
         let Offered { term, keys, noted, .. } = offered;
-        let side = &self.sides[place];
+        let record = &self.records[place];
         let mut all = keys.clone();
         all.extend(&noted.back);
         let known = all.clone();
-        match &side.taken {
+        match &record.taken {
             Some((of, before)) if *of == term => all.extend(before),
-            // What an earlier chair gave may never have come here, and this one can't know of it.
-            _ => all.extend(side.planned.keys()),
+            // Grants of an earlier leader may never have arrived here, and the new leader can't know of them.
+            _ => all.extend(record.planned.keys()),
         }
         for key in all {
             if !known.contains(&key) {
-                self.gives_back(&side.planned, key, noted.until);
+                self.record_returned(&record.planned, key, noted.until);
             }
-            self.takes(&side.planned, key, noted.until);
+            self.record_taken(&record.planned, key, noted.until);
         }
-        self.sides[place].taken = Some((term, keys));
+        self.records[place].taken = Some((term, keys));
     }
 
-    /// This member is about to say what it holds, and a new chair counts that and no more of what was given before: grants
-    /// that are over by this clock, and those of earlier chairs that never came here and won't be taken up any more.
-    fn says_what_it_holds(&mut self, seen: &shares::Seen) {
-        let Some(place) = self.sides.iter().position(|side| side.planned.no == seen.plan) else { return };
-        let side = &mut self.sides[place];
-        let first = side.said_in.replace(seen.term) != Some(seen.term);
-        let mut gone = match &mut side.taken {
-            _ if first => side.planned.keys(),
+    /// This member is about to report its held grants, and a new leader counts only those of the earlier ones. Records
+    /// the others as returned: grants that have expired by this clock, and grants of earlier leaders that never arrived
+    /// here and won't be accepted any more.
+    fn record_held_report(&mut self, seen: &shares::Seen) {
+        let Some(place) = self.records.iter().position(|record| record.planned.no == seen.plan) else {
+            return;
+        };
+        let record = &mut self.records[place];
+        let first = record.said_in.replace(seen.term) != Some(seen.term);
+        let mut gone = match &mut record.taken {
+            _ if first => record.planned.keys(),
             Some((_, keys)) if seen.held.is_empty() => std::mem::take(keys),
             _ => return,
         };
@@ -303,32 +326,32 @@
         if gone.is_empty() {
             return;
         }
-        let until = after(&mut self.last, machine_ns() + (1e6 * self.longest) as u64);
+        let until = unique_expiry(&mut self.last_expiry, machine_ns() + (1e6 * self.longest) as u64);
         for key in gone {
-            self.gives_back(&self.sides[place].planned, key, until);
-            self.takes(&self.sides[place].planned, key, until);
+            self.record_returned(&self.records[place].planned, key, until);
+            self.record_taken(&self.records[place].planned, key, until);
         }
     }
 
-    fn gives_back(&self, planned: &Planned, (tenant, zone): Key, until: u64) {
+    fn record_returned(&self, planned: &Planned, (tenant, zone): Key, until: u64) {
         let to = format!("steward:{}", self.me);
         self.history.granted(&to, &planned.tenant(tenant), &planned.place(zone), 0.0, until);
     }
 
-    fn takes(&self, planned: &Planned, (tenant, zone): Key, until: u64) {
+    fn record_taken(&self, planned: &Planned, (tenant, zone): Key, until: u64) {
         let who = format!("steward:{}", self.me);
         self.history.took(&who, &planned.tenant(tenant), &planned.place(zone), until);
     }
 }
 
-/// No two grants have one end.
-fn after(last: &mut u64, wanted: u64) -> u64 {
+/// Returns `wanted` or later, so that no two grants have the same expiry.
+fn unique_expiry(last: &mut u64, wanted: u64) -> u64 {
     *last = wanted.max(*last + 1);
     *last
 }
 
-/// What the plan promises to those who ask at a zone.
-fn promises(history: &History, planned: &Planned) {
+/// Records the plan's guarantees by tenant and zone of arrival.
+fn record_guarantees(history: &History, planned: &Planned) {
     for (claim, tenant, zone) in planned.plan.claims() {
         let (per_s, within) = (planned.plan.guarantee(claim), planned.plan.back_within(tenant));
         if per_s > 0.0 && within.is_finite() {
@@ -338,12 +361,17 @@
     }
 }
 
-/// What there is, where it has changed: the most that any member sees of late, so that what is more than this is too
-/// much whoever is right. For zones that share txns it is told for all of them together, and for each what the others'
-/// guarantees leave; where two plans say something of a zone, the more.
-fn there(history: &History, sides: &[Side], sights: &BTreeMap<Name, Seen>, told: &mut BTreeMap<String, f64>) {
+/// Records the capacity where it has changed: the maximum of all recent reports, so that grants above it are too much
+/// whichever report is right. For zones that share txns it is recorded for all of them together, and for each zone as
+/// what the others' guarantees leave. Where two plans give a value for a zone, the larger one is recorded.
+fn record_capacity(
+    history: &History,
+    records: &[PlanRecord],
+    reports: &BTreeMap<Name, Report>,
+    recorded: &mut BTreeMap<String, f64>,
+) {
     let mut rooms: BTreeMap<ZoneId, f64> = BTreeMap::new();
-    for (zone, per_s) in sights.values().flat_map(|(_, capacity)| capacity) {
+    for (zone, per_s) in reports.values().flat_map(|(_, capacity)| capacity) {
         let room = rooms.entry(ZoneId(zone.0)).or_default();
         *room = room.max(*per_s);
     }
@@ -353,23 +381,25 @@
         let known = found.entry(name).or_insert(per_s);
         *known = known.max(per_s);
     };
-    for (planned, zone) in sides.iter().flat_map(|side| rooms.keys().map(move |zone| (&side.planned, zone))) {
+    for (planned, zone) in
+        records.iter().flat_map(|record| rooms.keys().map(move |zone| (&record.planned, zone)))
+    {
         let part = planned.parts.get(usize::from(zone.0)).copied().unwrap_or(Zones::one(*zone));
         finds(planned.part(Zone(zone.0)), room(part));
         if part != Zones::one(*zone) {
-            finds(planned.zone(*zone), left(planned, *zone, part, room));
+            finds(planned.zone(*zone), capacity_left(planned, *zone, part, room));
         }
     }
     for (name, per_s) in found {
-        if told.insert(name.clone(), per_s) != Some(per_s) {
+        if recorded.insert(name.clone(), per_s) != Some(per_s) {
             history.capacity(&name, per_s);
         }
     }
 }
 
-/// What is left for those who ask at the zone once all others have what they are promised: of each set of zones that
-/// some of them are confined to, and of all together.
-fn left(planned: &Planned, home: ZoneId, part: Zones, room: impl Fn(Zones) -> f64) -> f64 {
+/// Capacity left for txns received in the zone once all others have their guarantees: the minimum over each set of
+/// zones that some claims are confined to, and over all zones together.
+fn capacity_left(planned: &Planned, home: ZoneId, part: Zones, room: impl Fn(Zones) -> f64) -> f64 {
     let plan = &planned.plan;
     let claims: Vec<(Claim, Zone)> = plan.claims().map(|(claim, _, zone)| (claim, zone)).collect();
     let reaches: BTreeSet<u128> = claims.iter().map(|(claim, _)| plan.reach(*claim).0).collect();
@@ -412,39 +442,40 @@
         Arc::new(compile(&section, &facts).expect("a plan"))
     }
 
-    struct Noting {
-        notes: Notes,
+    struct Recording {
+        recorder: QuotaRecorder,
         dir: tempfile::TempDir,
     }
 
-    impl Noting {
-        fn new() -> Noting {
+    impl Recording {
+        fn new() -> Recording {
             let dir = tempfile::tempdir().expect("a folder");
             let name = Name::from("a");
             let history = History::open(&dir.path().join("history"), &name, Boot(1)).expect("a history");
-            let mut notes = Notes::new(Arc::new(history), name, 1_000.0);
-            notes.plans(vec![Some((1, plan(20)))], vec![names()], &["east".into()]);
-            Noting { notes, dir }
+            let mut recorder = QuotaRecorder::new(Arc::new(history), name, 1_000.0);
+            recorder.plans(vec![Some((1, plan(20)))], vec![names()], &["east".into()]);
+            Recording { recorder, dir }
         }
 
         fn joint(&mut self) {
             let plans = vec![Some((1, plan(20))), Some((2, plan(30)))];
-            self.notes.plans(plans, vec![names(), names()], &["east".into()]);
+            self.recorder.plans(plans, vec![names(), names()], &["east".into()]);
         }
 
-        /// The chair, which is here, sees so much, gives this member so much by the plan, and it goes by that.
+        /// This member, as the leader, reports this capacity, grants itself this rate by the plan, and accepts the
+        /// grant.
         fn deals(&mut self, (term, plan, round): (u64, u64, u64), room: f64, per_s: f64) {
             self.loses((term, plan, round), room, per_s);
-            self.notes.says(0.0, &Name::from("a"), &Said::Taken { round, term });
+            self.recorder.sending(0.0, &Name::from("a"), &Said::Taken { round, term });
         }
 
-        /// The same, and the word is lost.
+        /// The same, but the acceptance is lost.
         fn loses(&mut self, (term, plan, round): (u64, u64, u64), room: f64, per_s: f64) {
             let me = Name::from("a");
             let seen = Seen { capacity: vec![(Zone(0), room)], ..holds_nothing(plan) };
-            self.notes.hears(0.0, &me, &Said::Seen(seen), None);
+            self.recorder.received(0.0, &me, &Said::Seen(seen), None);
             let grants = vec![Grant { tenant: Tenant(0), zone: Zone(0), per_s }];
-            self.notes.says(0.0, &me, &Said::Dealt { round, term, plan, grants, lasts: 900.0 });
+            self.recorder.sending(0.0, &me, &Said::Dealt { round, term, plan, grants, lasts: 900.0 });
         }
 
         fn lines(&self) -> Vec<Line> {
@@ -461,15 +492,15 @@
         Seen { round: 9, term: 1, plan, lived: 1e6, demand: vec![], capacity: vec![], held: vec![] }
     }
 
-    /// Guards against a new plan whose grants are held to nothing while the old one stands beside it.
+    /// Guards against grants of a new plan that are not compared with the capacity while the old plan is in force too.
     #[test]
-    fn the_new_plan_gives_too_much_while_two_are_joint() {
+    fn grants_of_a_new_plan_above_the_capacity_are_found_while_two_plans_are_joint() {
         let found = |old: f64, new: f64| {
-            let mut noting = Noting::new();
-            noting.joint();
-            noting.deals((1, 1, 5), 100.0, old);
-            noting.deals((1, 2, 7), 100.0, new);
-            let lines = noting.lines();
+            let mut recording = Recording::new();
+            recording.joint();
+            recording.deals((1, 1, 5), 100.0, old);
+            recording.deals((1, 2, 7), 100.0, new);
+            let lines = recording.lines();
             let took = |line: &&Line| {
                 let new = matches!(&line.what, What::Took { zone, .. } if zone == "east@2");
                 new && line.who == "steward:a"
@@ -481,30 +512,31 @@
         assert!(found(90.0, 101.0) > 0 && found(101.0, 90.0) > 0, "each plan's are held to what there is");
     }
 
-    /// Guards against counting to their end by the chair's clock grants that a steward has told a new chair to be over:
-    /// found by a process run on two cores (seed 29), where one chair died and the next dealt them again.
+    /// Guards against counting a grant until its expiry on the old leader's clock although the holder has reported to a
+    /// new leader that it is over. Found in a run of real processes on two cores (seed 29): a leader was killed, and
+    /// the next one granted the same quota again.
     #[test]
-    fn grants_that_are_over_are_dealt_again_by_the_next_chair() {
+    fn grants_reported_as_over_may_be_issued_again_by_the_next_leader() {
         let found = |comes: bool, says: bool| {
-            let mut noting = Noting::new();
-            noting.notes.says(0.0, &Name::from("b"), &Said::Seen(holds_nothing(1)));
+            let mut recording = Recording::new();
+            recording.recorder.sending(0.0, &Name::from("b"), &Said::Seen(holds_nothing(1)));
             if comes {
-                noting.deals((1, 1, 5), 100.0, 90.0);
+                recording.deals((1, 1, 5), 100.0, 90.0);
             } else {
-                noting.loses((1, 1, 5), 100.0, 90.0);
+                recording.loses((1, 1, 5), 100.0, 90.0);
             }
             if says {
                 let seen = Seen { term: 2, ..holds_nothing(1) };
-                noting.notes.says(0.0, &Name::from("b"), &Said::Seen(seen));
+                recording.recorder.sending(0.0, &Name::from("b"), &Said::Seen(seen));
             }
-            // To another, by the next chair.
+            // The next leader grants the same quota to another member.
             let grants = vec![Grant { tenant: Tenant(0), zone: Zone(0), per_s: 90.0 }];
             let said = Said::Dealt { round: 6, term: 2, plan: 1, grants, lasts: 900.0 };
-            noting.notes.says(0.0, &Name::from("b"), &said);
-            judge(noting.lines(), &Bounds::default()).found(Rule::Grants)
+            recording.recorder.sending(0.0, &Name::from("b"), &said);
+            judge(recording.lines(), &Bounds::default()).found(Rule::Grants)
         };
         assert_eq!((found(true, true), found(true, false)), (0, 1));
-        // One that never came is not taken up in a later term either.
+        // A grant that never arrived is not accepted in a later term either.
         assert_eq!((found(false, true), found(false, false)), (0, 1));
     }
 }
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -1,6 +1,6 @@
-//! What waits for one peer: so much and no more. What tells a state gives way to a newer word of its kind, so a peer
-//! that was out of reach hears of what is, not of all that was. A message that is lost is said again by those who
-//! need it: the agreement counts on no message.
+//! Bounded queue of messages to one peer. A newer message that carries a state replaces queued ones of its kind, so a
+//! peer that was unreachable receives the current state and not the whole history. Messages may be dropped: consensus
+//! relies on no single message and sends again what is still needed.
 
 use std::collections::VecDeque;
 use std::mem::discriminant;
@@ -12,51 +12,51 @@
 
 use crate::codec::Said;
 
-/// A few rounds of everything that members say to each other.
-const ROOM: usize = 64;
+/// Room for a few rounds of all kinds of messages.
+const CAPACITY: usize = 64;
 
 #[derive(Default)]
 pub struct Outbox {
-    waiting: Mutex<VecDeque<Said>>,
-    news: Notify,
+    queue: Mutex<VecDeque<Said>>,
+    pushed: Notify,
 }
 
 impl Outbox {
-    /// False where the oldest had to go for it.
+    /// Queues a message. Returns false if the queue was full and the oldest message was dropped.
     pub fn push(&self, said: Said) -> bool {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         if is_state(&said) {
-            waiting.retain(|other| !replaces(&said, other));
+            queue.retain(|other| !replaces(&said, other));
         }
-        let room = waiting.len() < ROOM;
+        let room = queue.len() < CAPACITY;
         if !room {
-            waiting.pop_front();
+            queue.pop_front();
         }
-        waiting.push_back(said);
-        drop(waiting);
-        self.news.notify_one();
+        queue.push_back(said);
+        drop(queue);
+        self.pushed.notify_one();
         room
     }
 
     pub async fn next(&self) -> Said {
         loop {
-            let next = self.waiting.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
+            let next = self.queue.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
             match next {
                 Some(said) => return said,
-                None => self.news.notified().await,
+                None => self.pushed.notified().await,
             }
         }
     }
 
-    /// Waits until there is something to say.
-    pub async fn any(&self) {
-        while self.waiting.lock().unwrap_or_else(PoisonError::into_inner).is_empty() {
-            self.news.notified().await;
+    /// Waits until the queue is not empty.
+    pub async fn wait_nonempty(&self) {
+        while self.queue.lock().unwrap_or_else(PoisonError::into_inner).is_empty() {
+            self.pushed.notified().await;
         }
     }
 }
 
-/// Whether the newest word of this kind makes those before it idle.
+/// Whether the newest message of this kind makes older ones obsolete.
 fn is_state(said: &Said) -> bool {
     match said {
         Said::Accord(said) => match said {
@@ -78,14 +78,14 @@
     match (new, old) {
         (Said::Accord(new), Said::Accord(old)) => {
             let carries = matches!(old, accord::Said::Append { entries, .. } if !entries.is_empty());
-            // A lease brings the texts of its stage; one without them does not stand for one with them.
+            // A lease carries the texts of its stage; one with fewer texts must not replace one with more.
             let texts = matches!((new, old), (accord::Said::Lease { texts: new, .. }, accord::Said::Lease { texts: old, .. })
                 if new.len() < old.len());
             discriminant(new) == discriminant(old) && !carries && !texts
         }
         (Said::Shares(new, _), Said::Shares(old, _)) => match (new, old) {
-            // What a chair of another term said is its own word, and so is what is said of another plan. Rounds of two
-            // plans are of two runs, in their upper half.
+            // Messages of different terms or plans do not replace each other. The upper half of a round number is
+            // unique to the plan, so it tells the rounds of two plans apart.
             (shares::Said::Seen(new), shares::Said::Seen(old)) => new.plan == old.plan,
             (
                 shares::Said::Dealt { term: new, plan, .. },
@@ -111,26 +111,26 @@
         Said::Accord(accord::Said::Append { term, round, after, entries: vec![entry; entries], stands })
     }
 
-    fn waiting(outbox: &Outbox) -> usize {
-        outbox.waiting.lock().unwrap().len()
+    fn queue_length(outbox: &Outbox) -> usize {
+        outbox.queue.lock().unwrap().len()
     }
 
     #[test]
-    fn a_peer_out_of_reach_finds_the_newest_sign_of_life_and_all_entries() {
+    fn an_unreachable_peer_later_gets_the_newest_heartbeat_and_all_entries() {
         let outbox = Outbox::default();
         for round in 0..10 {
             assert!(outbox.push(append(round, 0)));
         }
-        assert_eq!(waiting(&outbox), 1);
+        assert_eq!(queue_length(&outbox), 1);
         outbox.push(append(10, 2));
         outbox.push(append(11, 0));
         outbox.push(append(12, 0));
-        let left: Vec<Said> = outbox.waiting.lock().unwrap().drain(..).collect();
+        let left: Vec<Said> = outbox.queue.lock().unwrap().drain(..).collect();
         assert_eq!(left, [append(10, 2), append(12, 0)]);
     }
 
     #[test]
-    fn two_plans_are_dealt_and_words_of_one_stand_for_none_of_the_other() {
+    fn messages_of_one_plan_do_not_replace_those_of_another() {
         let dealt = |round: u64, plan| {
             Said::Shares(shares::Said::Dealt { round, term: 1, plan, grants: vec![], lasts: 1.0 }, None)
         };
@@ -142,14 +142,14 @@
         {
             outbox.push(said);
         }
-        let left: Vec<Said> = outbox.waiting.lock().unwrap().drain(..).collect();
+        let left: Vec<Said> = outbox.queue.lock().unwrap().drain(..).collect();
         assert_eq!(left, [dealt(other, 2), taken(other), dealt(one + 1, 1), taken(one + 1)]);
     }
 
     #[test]
-    fn a_queue_that_nobody_takes_from_stays_within_its_room() {
+    fn a_queue_that_is_not_drained_stays_within_its_capacity() {
         let outbox = Outbox::default();
         let lost = (0..1_000).filter(|round| !outbox.push(append(*round, 1))).count();
-        assert_eq!((waiting(&outbox), lost), (ROOM, 1_000 - ROOM));
+        assert_eq!((queue_length(&outbox), lost), (CAPACITY, 1_000 - CAPACITY));
     }
 }
--- a/crates/fleet/src/peer.rs
+++ b/crates/fleet/src/peer.rs
@@ -1,4 +1,4 @@
-//! The way to one peer: connects, says what waits, and connects anew where it breaks.
+//! Outgoing connection to one peer: connects, sends the queued messages, and reconnects when the connection breaks.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -17,77 +17,87 @@
 use crate::wire::fleet_client::FleetClient;
 use crate::wire::Envelope;
 
-/// Who speaks to whom.
+/// Sender and receiver of a connection, as written into each message.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct PeerConnection {
     pub fleet: String,
     pub from: String,
-    /// The run, which is another one after a disk has failed.
+    /// The sender's incarnation. It changes while the process runs if its disk fails.
     pub boot: Arc<AtomicU64>,
     pub to: String,
     pub at: SocketAddr,
 }
 
-/// How long the parts of a line wait, from the operator's lengths.
+/// Timeouts of a connection, derived from the operator's durations.
 #[derive(Clone, Copy, Debug)]
-pub struct Waits {
-    /// Between two attempts at first, and the longest.
-    pub least: Duration,
-    pub most: Duration,
-    /// A peer that answers no sign of life for so long is gone.
-    pub silent: Duration,
+pub struct Timeouts {
+    /// First and longest pause between two connection attempts.
+    pub min_backoff: Duration,
+    pub max_backoff: Duration,
+    /// A peer that does not answer a keep-alive for this long is considered gone.
+    pub dead_after: Duration,
 }
 
-impl Line {
+impl PeerConnection {
     fn envelope(&self, said: Said) -> Envelope {
-        let Line { fleet, from, to, .. } = self.clone();
+        let PeerConnection { fleet, from, to, .. } = self.clone();
         let boot = self.boot.load(Relaxed);
         Envelope { fleet, from, boot, to, said: Some(pack(said)) }
     }
 
-    /// Says what waits, for good. Attempts are spread by the seed, so that members which lost one peer together do
-    /// not come back to it together.
-    pub async fn run(self, outbox: Arc<Outbox>, waits: Waits, seed: u64, counts: Arc<Counts>, log: Logger) {
-        let spread = || {
-            let builder =
-                ExponentialBuilder::default().with_min_delay(waits.least).with_max_delay(waits.most);
+    /// Sends queued messages and reconnects, forever. The backoff is jittered by the seed, so that members that lost
+    /// the same peer do not reconnect at the same moment.
+    pub async fn run(
+        self,
+        outbox: Arc<Outbox>,
+        timeouts: Timeouts,
+        seed: u64,
+        counts: Arc<Counts>,
+        log: Logger,
+    ) {
+        let new_backoff = || {
+            let builder = ExponentialBuilder::default()
+                .with_min_delay(timeouts.min_backoff)
+                .with_max_delay(timeouts.max_backoff);
             builder.with_jitter().with_jitter_seed(seed).without_max_times().build()
         };
-        let mut pauses = spread();
+        let mut pauses = new_backoff();
         loop {
-            outbox.any().await;
+            outbox.wait_nonempty().await;
             let begun = Instant::now();
             counts.dials.inc();
-            let why = match self.talk(&outbox, waits).await {
-                Ok(()) => "it ended".to_string(),
+            let why = match self.talk(&outbox, timeouts).await {
+                Ok(()) => "the peer closed the stream".to_string(),
                 Err(why) => why,
             };
             counts.broken.inc();
-            info!(log, "a line between members broke"; "to" => &self.to, "at" => %self.at, "why" => why);
-            if begun.elapsed() > waits.most {
-                pauses = spread();
+            info!(log, "connection to a member broke"; "to" => &self.to, "at" => %self.at, "why" => why);
+            if begun.elapsed() > timeouts.max_backoff {
+                pauses = new_backoff();
             }
-            tokio::time::sleep(pauses.next().unwrap_or(waits.most).min(2 * waits.most)).await;
+            tokio::time::sleep(pauses.next().unwrap_or(timeouts.max_backoff).min(2 * timeouts.max_backoff))
+                .await;
         }
     }
 
-    async fn talk(&self, outbox: &Outbox, waits: Waits) -> Result<(), String> {
+    async fn talk(&self, outbox: &Outbox, timeouts: Timeouts) -> Result<(), String> {
         let endpoint = Endpoint::from_shared(format!("http://{}", self.at)).map_err(|why| why.to_string())?;
         let endpoint = endpoint
-            .connect_timeout(waits.silent)
+            .connect_timeout(timeouts.dead_after)
             .tcp_nodelay(true)
-            .http2_keep_alive_interval(waits.silent / 2)
-            .keep_alive_timeout(waits.silent)
+            .http2_keep_alive_interval(timeouts.dead_after / 2)
+            .keep_alive_timeout(timeouts.dead_after)
             .keep_alive_while_idle(true);
-        let channel = endpoint.connect().await.map_err(told)?;
-        // One message is on its way into the connection; the rest waits where newer words replace older ones.
+        let channel = endpoint.connect().await.map_err(with_causes)?;
+        // At most one message is in the connection's channel; the others stay in the outbox, where newer ones replace
+        // older ones.
         let (to, stream) = mpsc::channel(1);
         let mut client = FleetClient::new(channel);
         let mut talk = std::pin::pin!(client.talk(ReceiverStream::new(stream)));
         loop {
             let permit = tokio::select! {
                 ended = &mut talk => return ended.map(|_| ()).map_err(|status| status.to_string()),
-                permit = to.reserve() => permit.map_err(|_| "it is gone".to_string())?,
+                permit = to.reserve() => permit.map_err(|_| "the stream is closed".to_string())?,
             };
             tokio::select! {
                 ended = &mut talk => return ended.map(|_| ()).map_err(|status| status.to_string()),
@@ -97,13 +107,13 @@
     }
 }
 
-/// An error of the transport says little without what caused it.
-fn told(why: tonic::transport::Error) -> String {
-    let mut said = why.to_string();
+/// Returns the message of a transport error with its chain of causes, without which it says little.
+fn with_causes(why: tonic::transport::Error) -> String {
+    let mut text = why.to_string();
     let mut source = std::error::Error::source(&why);
     while let Some(cause) = source {
-        said += &format!(": {cause}");
+        text += &format!(": {cause}");
         source = cause.source();
     }
-    said
+    text
 }
--- a/crates/fleet/src/service.rs
+++ b/crates/fleet/src/service.rs
@@ -1,5 +1,5 @@
-//! What other members say, from the first message of a stream to its end. What is not for this member, or can't be,
-//! is turned away with a word for the one who sent it.
+//! Server side of the fleet protocol: receives the message streams of other members. A message that is not for this
+//! member or is malformed is rejected with a status that tells the sender why.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use tokio::sync::mpsc;
 use tonic::{Code, Request, Response, Status, Streaming};
 
-use crate::codec::{unpack, Said, Spoilt};
+use crate::codec::{unpack, Malformed, Said};
 use crate::counts::Counts;
 use crate::wire::fleet_server::Fleet;
 use crate::wire::{Ended, Envelope};
 
-/// Why a message was turned away.
+/// Why a message was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refused {
     #[error("a message of fleet {fleet:?}; this is fleet {ours:?}")]
@@ -28,22 +28,22 @@
     NotAMember { from: String },
     #[error("another process speaks as {from:?}, which is this member's own name")]
     OwnName { from: String },
-    #[error("two processes speak as {from:?}: run {old:016x} spoke again after {new:016x}")]
+    #[error("two processes speak as {from:?}: incarnation {old:016x} sent a message after {new:016x} had replaced it")]
     NamedTwice { from: String, old: u64, new: u64 },
-    #[error("{from:?} sent what can't be read: {what}")]
-    Spoilt { from: String, what: Spoilt },
-    #[error("a message that is too large or no message: {0}")]
+    #[error("a message from {from:?} can't be read: {what}")]
+    Spoilt { from: String, what: Malformed },
+    #[error("a message that is too large or is not of the protocol: {0}")]
     Huge(String),
 }
 
 impl Refused {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
             Refused::OtherFleet { .. } => {
                 "give both members the same `id`, or take the one out of the other's file"
             }
-            Refused::NotForMe { .. } => "mend the address of that member in the sender's file",
+            Refused::NotForMe { .. } => "correct the address of that member in the sender's file",
             Refused::NotAMember { .. } => "add it to [[fleet.member]] here, or end it",
             Refused::OwnName { .. } | Refused::NamedTwice { .. } => {
                 "two processes have one name: end one of them or give it a name of its own"
@@ -54,8 +54,8 @@
     }
 }
 
-/// Who may speak here, and the runs that have.
-pub struct Door {
+/// Checks received messages against the membership and the known incarnations of each sender.
+pub struct Admission {
     pub fleet: FleetId,
     pub own: Name,
     runs: Mutex<Runs>,
@@ -65,30 +65,30 @@
 #[derive(Default)]
 struct Runs {
     members: BTreeSet<Name>,
-    /// The newest run of each member, and those that it took the place of.
+    /// The newest incarnation of each member, and those that it replaced.
     newest: BTreeMap<Name, (Boot, Vec<Boot>)>,
 }
 
-/// Runs of one member that are remembered as replaced; a member that starts more often while its earlier runs
-/// still speak has other troubles.
-const RUNS: usize = 64;
+/// Number of replaced incarnations remembered per member. A member is not expected to restart more often while its
+/// earlier incarnations still send.
+const MAX_REPLACED: usize = 64;
 
-impl Door {
-    pub fn new(fleet: FleetId, own: Name, members: BTreeSet<Name>, counts: Arc<Counts>) -> Door {
+impl Admission {
+    pub fn new(fleet: FleetId, own: Name, members: BTreeSet<Name>, counts: Arc<Counts>) -> Admission {
         let runs = Mutex::new(Runs { members, newest: BTreeMap::new() });
-        Door { fleet, own, runs, counts }
+        Admission { fleet, own, runs, counts }
     }
 
     pub fn members(&self, members: BTreeSet<Name>) {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).members = members;
     }
 
-    /// What the message says and who says it.
+    /// Checks a received message and returns its sender and contents.
     ///
     /// # Errors
-    /// Why it is turned away; that is counted.
-    pub fn pass(&self, envelope: Envelope) -> Result<(Name, Said), Refused> {
-        let passed = self.look(envelope);
+    /// Why the message is rejected. Rejections are counted by reason.
+    pub fn admit(&self, envelope: Envelope) -> Result<(Name, Said), Refused> {
+        let passed = self.check(envelope);
         let counted = |count: &Counter| {
             count.inc();
         };
@@ -105,9 +105,9 @@
         passed
     }
 
-    fn look(&self, envelope: Envelope) -> Result<(Name, Said), Refused> {
+    fn check(&self, envelope: Envelope) -> Result<(Name, Said), Refused> {
         let Envelope { fleet, from, boot, to, said } = envelope;
-        // What a stranger says of itself goes into a log: shortened.
+        // Text sent by an unidentified peer is written to a log, so it is truncated.
         let short = |text: String| text.chars().take(64).collect::<String>();
         if fleet != *self.fleet.0 {
             let fleet = short(fleet);
@@ -124,40 +124,41 @@
         if !runs.members.contains(&name) {
             return Err(Refused::NotAMember { from: short(from) });
         }
-        let (newest, before) = runs.newest.entry(name.clone()).or_insert((Boot(boot), vec![]));
+        let (newest, replaced) = runs.newest.entry(name.clone()).or_insert((Boot(boot), vec![]));
         if newest.0 != boot {
-            if before.contains(&Boot(boot)) {
+            if replaced.contains(&Boot(boot)) {
                 return Err(Refused::NamedTwice { from, old: boot, new: newest.0 });
             }
-            before.push(*newest);
-            if before.len() > RUNS {
-                before.remove(0);
+            replaced.push(*newest);
+            if replaced.len() > MAX_REPLACED {
+                replaced.remove(0);
             }
             *newest = Boot(boot);
         }
         drop(runs);
-        let spoilt = |what| Refused::Spoilt { from: from.clone(), what };
-        let said = said.ok_or(Spoilt("kind")).and_then(unpack).map_err(spoilt)?;
+        let malformed = |what| Refused::Spoilt { from: from.clone(), what };
+        let said = said.ok_or(Malformed("kind")).and_then(unpack).map_err(malformed)?;
         Ok((name, said))
     }
 }
 
 pub struct Service {
-    pub door: Arc<Door>,
-    pub heard: mpsc::Sender<(Name, Said)>,
+    pub admission: Arc<Admission>,
+    pub received: mpsc::Sender<(Name, Said)>,
     pub counts: Arc<Counts>,
     pub log: Logger,
-    /// When a line about a message that was turned away was last written.
-    pub told: Mutex<Option<Instant>>,
+    /// When a rejected message was last logged.
+    pub last_logged: Mutex<Option<Instant>>,
 }
 
 impl Service {
-    /// Counted each, logged once a second: a peer gone wrong does not fill the disk.
+    /// Builds the status of a rejected message. Logs at most once a second, so that a misbehaving peer does not fill
+    /// the disk; every rejection is counted elsewhere.
     fn refuse(&self, refused: &Refused, peer: Option<SocketAddr>) -> Status {
         let now = Instant::now();
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        if told.is_none_or(|told| now.duration_since(told) > Duration::from_secs(1)) {
-            *told = Some(now);
+        let mut last_logged = self.last_logged.lock().unwrap_or_else(PoisonError::into_inner);
+        if last_logged.is_none_or(|last| now.duration_since(last) > Duration::from_secs(1)) {
+            *last_logged = Some(now);
             warn!(self.log, "turned away"; "what" => %refused, "at" => ?peer, "advice" => refused.advice());
         }
         Status::invalid_argument(refused.to_string())
@@ -173,7 +174,7 @@
             let envelope = match stream.message().await {
                 Ok(Some(envelope)) => envelope,
                 Ok(None) => return Ok(Response::new(Ended {})),
-                // Over the bound, or bytes that are no message of the protocol; all else is a line that broke.
+                // The message exceeds the size limit or is not of the protocol; other codes mean a broken connection.
                 Err(status)
                     if matches!(
                         status.code(),
@@ -185,9 +186,9 @@
                 }
                 Err(status) => return Err(status),
             };
-            let passed = self.door.pass(envelope).map_err(|refused| self.refuse(&refused, peer))?;
-            if self.heard.send(passed).await.is_err() {
-                return Err(Status::unavailable("this member ends"));
+            let passed = self.admission.admit(envelope).map_err(|refused| self.refuse(&refused, peer))?;
+            if self.received.send(passed).await.is_err() {
+                return Err(Status::unavailable("this member is shutting down"));
             }
         }
     }
--- a/crates/fleet/src/store.rs
+++ b/crates/fleet/src/store.rs
@@ -1,9 +1,10 @@
-//! What a voter has promised, on disk: a log of records, and beside it how far that log was safe when something
-//! was last promised on its ground. One process at a time, by a lock on the file `lock`.
+//! Durable store of a voter: a log of records, and a seal file with the log length that was synced when the voter last
+//! made a promise (a vote or an acknowledged entry) based on it. A lock on the file `lock` admits one process at a
+//! time.
 //!
-//! `log-N` is appended to and made safe, then `sealed` is written over with N and the log's length, and made safe.
-//! Only then is anything said. So what is spoilt beyond the sealed length was never promised and is cut off, and
-//! what is spoilt before it may have been: a folder like that is refused.
+//! `log-N` is appended and synced, then `sealed` is overwritten with N and the log's length, and synced. Messages are
+//! sent only afterwards. Corrupted data beyond the sealed length was therefore never promised and is truncated;
+//! corrupted data before it may have been, so such a folder is refused.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -14,19 +15,19 @@
 use serde::{Deserialize, Serialize};
 
 const MAGIC: [u8; 8] = *b"amberfl\x01";
-/// A record holds an entry or a base; the largest message between members has 64 MiB at the most.
-const MOST: usize = 128 << 20;
+/// Largest record, bytes. A record holds an entry or a snapshot, and messages between members are limited to 64 MiB.
+const MAX_RECORD_BYTES: usize = 128 << 20;
 const SEAL: &[u8; 8] = b"amberse\x01";
 
 #[derive(Serialize, Deserialize)]
 enum Record {
-    /// First of a file: the voter's disk, and the number of the log.
+    /// First record of a file: the voter's disk id, and the number of the log.
     Head {
         disk: Disk,
         number: u64,
     },
     Lasting(Lasting),
-    /// What a log begins with that takes the place of another.
+    /// Initial contents of a log that replaces another after compaction.
     Begin(Box<Begin>),
 }
 
@@ -38,35 +39,37 @@
     entries: Vec<Logged>,
 }
 
-/// Why what must last can't.
+/// Why the store can't be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("another process uses the folder {0}")]
     InUse(PathBuf),
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
-    #[error("{0} is spoilt at byte {1}, and the voter may have promised what stood up to byte {2}")]
+    #[error("{0} is corrupted at byte {1}, and the voter may have promised its contents up to byte {2}")]
     Lost(PathBuf, u64, u64),
-    #[error("{0} lacks its seal, or the seal is spoilt: how far the voter has promised can't be known")]
+    #[error("{0} has no seal file or a corrupted one: how much the voter has promised is unknown")]
     Unsealed(PathBuf),
     #[error("a record that can't be written: {0}")]
     Record(postcard::Error),
-    #[error("an earlier write failed; nothing is promised on this folder until the next start")]
+    #[error(
+        "an earlier write failed; the voter makes no more promises on this folder until it is restarted"
+    )]
     Stopped,
 }
 
 impl Fault {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
             Fault::InUse(_) => "end the other process, or give this member a folder of its own",
-            Fault::Io(..) => "mend the disk (room, rights, mount) and start the member again; the others go on",
+            Fault::Io(..) => "repair the disk (space, permissions, mount) and start the member again; the others go on",
             Fault::Lost(..) | Fault::Unsealed(_) => {
                 "don't vote on it: take the member out of the file at the others, empty the folder, start it, and \
                  put it back as a voter once it has caught up"
             }
             Fault::Record(_) => "this is a defect: keep the log and the folder, and report it",
-            Fault::Stopped => "mend what the log named first, then start the member again",
+            Fault::Stopped => "repair what the log reported first, then start the member again",
         }
     }
 }
@@ -83,21 +86,21 @@
     stopped: bool,
 }
 
-/// What a start found.
+/// State of the folder at start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// The folder was empty: this is a new disk.
+    /// The folder was empty: a new disk id was written.
     New,
     Whole,
-    /// So many bytes behind the sealed ones were half written and never promised.
+    /// This many bytes beyond the sealed length were partly written and never promised; they were truncated.
     Cut(u64),
 }
 
 impl Store {
-    /// Takes the folder. One that is empty becomes the disk `fresh`.
+    /// Locks and reads the folder. An empty folder gets the disk id `fresh`.
     ///
     /// # Errors
-    /// Another process has it, it can't be read or written, or something in it that may have been promised is spoilt.
+    /// Another process uses it, it can't be read or written, or data that may have been promised is corrupted.
     pub fn open(folder: &Path, fresh: Disk) -> Result<(Store, Found), Fault> {
         let io = |why| Fault::Io(folder.to_path_buf(), why);
         fs::create_dir_all(folder).map_err(io)?;
@@ -115,7 +118,8 @@
             Err(why) => return Err(Fault::Io(path, why)),
         };
         let Some((number, length)) = sealed else {
-            // A first start that ended before the seal had its name has promised nothing, and left one log at most.
+            // A first start that ended before the seal file was renamed into place has promised nothing and left at
+            // most one log.
             let logs = logs(folder)?;
             let begun = logs.iter().all(|number| *number == 1)
                 && fs::metadata(name(folder, 1)).map_or(true, |log| log.len() <= 64);
@@ -129,7 +133,7 @@
             io::ErrorKind::NotFound => Fault::Lost(path.clone(), 0, length),
             _ => Fault::Io(path.clone(), why),
         })?;
-        let (records, good, _) = frames::<Record>(&bytes, MAGIC, MOST);
+        let (records, good, _) = frames::<Record>(&bytes, MAGIC, MAX_RECORD_BYTES);
         let lost = || Fault::Lost(path.clone(), good, length);
         if good < length {
             return Err(lost());
@@ -141,7 +145,7 @@
         };
         let mut kept = Kept { disk: Some(disk), ..Kept::default() };
         records.for_each(|record| match record {
-            Record::Lasting(lasting) => fold(&mut kept, lasting),
+            Record::Lasting(lasting) => apply(&mut kept, lasting),
             Record::Begin(begin) => {
                 let Begin { term, voted, base, entries } = *begin;
                 kept = Kept { disk: Some(disk), term, voted, base, entries };
@@ -157,7 +161,7 @@
         let seal = OpenOptions::new().write(true).open(folder.join("sealed")).map_err(io)?;
         let (folder, stopped) = (folder.to_path_buf(), false);
         let mut store = Store { folder, _lock: lock, seal, log, number, bytes: good, kept, disk, stopped };
-        // What is good beyond the seal is read from here on, so it is as good as promised.
+        // Intact records beyond the seal are used from now on, so they are sealed like promised ones.
         store.seal()?;
         store.clear();
         Ok((store, if cut > 0 { Found::Cut(cut) } else { Found::Whole }))
@@ -166,7 +170,7 @@
     fn begin(folder: &Path, lock: File, disk: Disk) -> Result<Store, Fault> {
         let io = |why| Fault::Io(folder.to_path_buf(), why);
         let (log, bytes) = create(folder, 1, &[Record::Head { disk, number: 1 }])?;
-        // The seal has its name once it is whole; from then on the folder counts as begun.
+        // The seal file is renamed into place once it is complete; from then on the folder is initialized.
         let new = folder.join("sealed.new");
         let mut seal = File::create(&new).map_err(io)?;
         seal.write_all(&sealed(1, bytes)).and_then(|()| seal.sync_all()).map_err(io)?;
@@ -177,7 +181,7 @@
         Ok(Store { folder, _lock: lock, seal, log, number: 1, bytes, kept, disk, stopped: false })
     }
 
-    /// All that lasts so far, with the disk.
+    /// The durable state so far, with the disk id.
     pub fn kept(&self) -> &Kept {
         &self.kept
     }
@@ -190,11 +194,11 @@
         self.bytes
     }
 
-    /// Makes it last; when this returns it is safe. After a failure nothing more is written: what the disk holds is
-    /// no longer known, so only the next start may promise on it.
+    /// Writes the records durably: they are synced when this returns. After a failure nothing more is written: the
+    /// contents of the disk are unknown, so only the next start may make promises based on them.
     ///
     /// # Errors
-    /// The folder can't be written: full, gone, read-only.
+    /// The folder can't be written: it is full, missing or read-only.
     pub fn last(&mut self, lasting: &[Lasting]) -> Result<(), Fault> {
         if self.stopped {
             return Err(Fault::Stopped);
@@ -205,10 +209,10 @@
     }
 
     fn write(&mut self, lasting: &[Lasting]) -> Result<(), Fault> {
-        lasting.iter().for_each(|lasting| fold(&mut self.kept, lasting.clone()));
-        // A base makes what was logged before it idle: the next log begins with it.
+        lasting.iter().for_each(|lasting| apply(&mut self.kept, lasting.clone()));
+        // A snapshot makes the entries before it obsolete, so a new log is begun with it.
         if lasting.iter().any(|lasting| matches!(lasting, Lasting::Base { .. })) {
-            return self.anew();
+            return self.rotate();
         }
         let mut bytes = Vec::new();
         for lasting in lasting {
@@ -220,8 +224,8 @@
         self.seal()
     }
 
-    /// The next log, whole and safe under its name before the seal names it.
-    fn anew(&mut self) -> Result<(), Fault> {
+    /// Starts the next log. It is complete and synced before the seal refers to it.
+    fn rotate(&mut self) -> Result<(), Fault> {
         let Kept { term, voted, base, entries, .. } = self.kept.clone();
         let (disk, number) = (self.disk, self.number + 1);
         let records =
@@ -233,7 +237,7 @@
         Ok(())
     }
 
-    /// Written over in place: a disk writes a sector whole or not at all, and one that is spoilt is refused.
+    /// Overwrites the seal in place: a disk writes a sector completely or not at all, and a corrupted seal is refused.
     fn seal(&mut self) -> Result<(), Fault> {
         let io = |why| Fault::Io(self.folder.join("sealed"), why);
         self.seal.seek(SeekFrom::Start(0)).map_err(io)?;
@@ -241,7 +245,7 @@
         self.seal.sync_data().map_err(io)
     }
 
-    /// Puts other logs away; one that can't be removed is looked at again next time.
+    /// Removes other logs; a failed removal is tried again next time.
     fn clear(&self) {
         for other in logs(&self.folder).unwrap_or_default() {
             if other != self.number {
@@ -251,8 +255,8 @@
     }
 }
 
-/// What lasts after this, as the agreement itself reads its log.
-fn fold(kept: &mut Kept, lasting: Lasting) {
+/// Applies a record to the durable state, with the same rules as consensus applies its log.
+fn apply(kept: &mut Kept, lasting: Lasting) {
     let before = kept.base.as_ref().map_or(0, |((_, place), _)| place.0);
     match lasting {
         Lasting::Vote { term, voted } => (kept.term, kept.voted) = (term, voted),
@@ -261,7 +265,7 @@
             kept.entries.extend(entries);
         }
         Lasting::Base { at, base } => {
-            // Raft, figure 13: entries behind the base stand where the log agrees with it at its place.
+            // Raft, figure 13: entries after the snapshot are kept if the log agrees with it at its index.
             let upto = at.1 .0.saturating_sub(before) as usize;
             let agrees = match upto.checked_sub(1) {
                 Some(index) => kept.entries.get(index).is_some_and(|logged| logged.term == at.0),
@@ -304,7 +308,7 @@
     Ok((log, bytes.len() as u64))
 }
 
-/// Names are safe only with their folder.
+/// Syncs the folder: the names of new files are durable only after that.
 fn sync(folder: &Path) -> Result<(), Fault> {
     let synced = File::open(folder).and_then(|folder| folder.sync_all());
     synced.map_err(|why| Fault::Io(folder.to_path_buf(), why))
--- a/crates/fleet/src/turn.rs
+++ b/crates/fleet/src/turn.rs
@@ -1,4 +1,4 @@
-//! The loop round the agreement: one input, and its outputs in order.
+//! Event loop around the consensus state machine: handles one input at a time and carries out its outputs in order.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -15,95 +15,98 @@
 
 use crate::codec::Said;
 use crate::counts::Counts;
-use crate::dealing::{Dealing, Do};
+use crate::dealing::{Action, Quota};
 use crate::fence::Under;
-use crate::notes::Notes;
+use crate::notes::QuotaRecorder;
 use crate::outbox::Outbox;
-use crate::peer::{Line, Waits};
-use crate::service::Door;
+use crate::peer::{PeerConnection, Timeouts};
+use crate::service::Admission;
 use crate::store::Store;
-use crate::{drawn, Asked, Member, Post, Steward, Talk};
+use crate::{random_id, Member, Post, Request, Steward, Talk};
 
-pub struct Turn<S: Steward> {
-    post: Post,
+pub struct EventLoop<S: Steward> {
+    settings: Post,
     boot: Arc<AtomicU64>,
-    door: Arc<Door>,
-    accord: Accord,
-    /// None: grants are too short to be dealt here.
-    dealing: Option<Dealing>,
-    /// None: no history is kept.
-    notes: Option<Notes>,
+    admission: Arc<Admission>,
+    consensus: Accord,
+    /// `None` if the grant duration is too short to issue grants.
+    quota: Option<Quota>,
+    /// `None` if no history is recorded.
+    recorder: Option<QuotaRecorder>,
     store: Option<Store>,
     steward: S,
     talk: Talk,
     peers: BTreeMap<Name, (Member, Arc<Outbox>, AbortHandle)>,
-    /// Whether grants of each plan that may hold bound here, and what the daemon said last of its proxies.
+    /// Whether this member's grants limit admission under every plan that may be in force.
     ready: bool,
+    /// The daemon's last report on its proxies: the stage, and whether all of them are within it.
     settled: Option<(StageNo, bool)>,
-    /// Who may hold grants, and how far the log stood when that was looked at.
+    /// The members that may hold grants.
     holders: Vec<Name>,
+    /// The commit index at which `holders` was last evaluated.
     place: Place,
-    /// What was told last, and its number.
-    told: Option<Told>,
+    /// The act that the daemon was last notified of, and its fence number.
+    last_act: Option<ActKind>,
     under: Under,
-    /// Whom to tell once nothing waits for this run.
-    leaves: Option<oneshot::Sender<()>>,
-    /// What was proposed here and has no answer yet.
+    /// Completed once no change waits for this incarnation any more.
+    release_done: Option<oneshot::Sender<()>>,
+    /// Proposals made through this member without an outcome yet, by id.
     proposed: BTreeMap<u64, Revision>,
     log: Logger,
 }
 
-/// Stands for the voter of a fleet whose only one has lost its disk.
+/// Placeholder voter of a fleet whose only voter has lost its disk, so that no leader can be elected.
 const NO_VOTER: &str = "no voter";
 
-/// What makes one thing to act on another than the one before.
+/// An act without its expiry: two acts that differ in the expiry alone are the same to the daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum ActKind {
     On(Stage),
     Within(Stage),
     Unknown,
 }
 
-impl<S: Steward> Turn<S> {
+impl<S: Steward> EventLoop<S> {
     pub fn new(
-        post: Post,
+        settings: Post,
         boot: Boot,
-        door: Arc<Door>,
+        admission: Arc<Admission>,
         store: Option<Store>,
         steward: S,
         talk: Talk,
         log: Logger,
-    ) -> Result<Turn<S>, Unfit> {
+    ) -> Result<EventLoop<S>, Unfit> {
         let (mut store, now) = (store, talk.fence.clock().now());
         let begin = |store: &Option<Store>| {
             let kept = store.as_ref().map(|store| store.kept().clone()).unwrap_or_default();
-            Accord::new(now, facts(&post, boot, kept.disk), kept)
+            Accord::new(now, bootstrap(&settings, boot, kept.disk), kept)
         };
-        let accord = match begin(&store) {
-            // The folder can be read and holds what no voter can have written.
+        let consensus = match begin(&store) {
+            // The folder is readable, but its contents can't have been written by this voter.
             Err(why @ (Unfit::Torn(_) | Unfit::OtherDisk { .. })) => {
                 votes_no_more(&why, why.advice(), &talk.counts, &log);
                 store = None;
                 begin(&store)?
             }
-            accord => accord?,
+            consensus => consensus?,
         };
         let boot = Arc::new(AtomicU64::new(boot.0));
-        let names = counted(&post, &accord);
-        let place = accord.standing().0;
-        let lengths = post.lengths.of_grants().ok();
-        let notes = talk.history.clone().zip(lengths);
-        let notes = notes.map(|(history, of)| Notes::new(history, post.name.clone(), of.longest()));
-        let dealing = lengths.map(|lengths| Dealing::new(now, post.name.clone(), lengths, names.clone()));
+        let names = possible_holders(&settings, &consensus);
+        let place = consensus.standing().0;
+        let lengths = settings.lengths.of_grants().ok();
+        let recorder = talk.history.clone().zip(lengths);
+        let recorder =
+            recorder.map(|(history, of)| QuotaRecorder::new(history, settings.name.clone(), of.longest()));
+        let quota = lengths.map(|lengths| Quota::new(now, settings.name.clone(), lengths, names.clone()));
         let (peers, proposed) = (BTreeMap::new(), BTreeMap::new());
         let under = Under::default();
-        Ok(Turn {
-            post,
+        Ok(EventLoop {
+            settings,
             boot,
-            door,
-            accord,
-            dealing,
-            notes,
+            admission,
+            consensus,
+            quota,
+            recorder,
             store,
             steward,
             talk,
@@ -112,9 +115,9 @@
             settled: None,
             holders: names,
             place,
-            told: None,
+            last_act: None,
             under,
-            leaves: None,
+            release_done: None,
             proposed,
             log,
         })
@@ -126,47 +129,48 @@
 
     pub async fn run(
         mut self,
-        mut heard: mpsc::Receiver<(Name, Said)>,
-        mut asked: mpsc::UnboundedReceiver<Asked>,
+        mut received: mpsc::Receiver<(Name, Said)>,
+        mut requests: mpsc::UnboundedReceiver<Request>,
     ) {
-        /// A timer that is always due must not keep others from the thread.
-        const LEAST: f64 = 1.0;
-        const MOST: f64 = 60_000.0;
-        self.dial();
+        /// Bounds of the wait, ms. The lower bound keeps a timer that is always due from starving other tasks of the
+        /// thread.
+        const MIN_WAIT: f64 = 1.0;
+        const MAX_WAIT: f64 = 60_000.0;
+        self.connect_peers();
         loop {
-            let due = self.dealing.as_ref().map_or(f64::INFINITY, Dealing::due).min(self.accord.due());
-            let wait = (due - self.now()).clamp(LEAST, MOST);
+            let due = self.quota.as_ref().map_or(f64::INFINITY, Quota::due).min(self.consensus.due());
+            let wait = (due - self.now()).clamp(MIN_WAIT, MAX_WAIT);
             tokio::select! {
-                asked = asked.recv() => match asked {
-                    Some(Asked::End) | None => return,
-                    Some(asked) => self.asked(asked),
+                request = requests.recv() => match request {
+                    Some(Request::End) | None => return,
+                    Some(request) => self.request(request),
                 },
-                heard = heard.recv() => match heard {
+                message = received.recv() => match message {
                     Some((from, Said::Accord(said))) => self.take(Input::Heard { from, said }),
                     Some((from, Said::Shares(said, noted))) => {
                         let now = self.now();
-                        self.notes.iter_mut().for_each(|notes| notes.hears(now, &from, &said, noted.clone()));
-                        self.deal(|dealing, now| dealing.heard(now, &from, said));
+                        self.recorder.iter_mut().for_each(|recorder| recorder.received(now, &from, &said, noted.clone()));
+                        self.with_quota(|quota, now| quota.received(now, &from, said));
                     }
                     None => return,
                 },
                 () = tokio::time::sleep(Duration::from_secs_f64(wait / 1e3)) => {}
             }
-            // What is due comes before the next input too: a flood of messages takes no one's turn.
-            if self.accord.due() <= self.now() {
+            // Due timers are handled after each input too, so that a flood of messages can't delay them.
+            if self.consensus.due() <= self.now() {
                 self.take(Input::Tick);
             }
-            if self.dealing.as_ref().is_some_and(|dealing| dealing.due() <= self.now()) {
-                self.deal(Dealing::tick);
+            if self.quota.as_ref().is_some_and(|quota| quota.due() <= self.now()) {
+                self.with_quota(Quota::tick);
             }
-            self.settle();
+            self.update_ready();
         }
     }
 
-    /// A joint stage is settled here only once grants of the new plan bound too: from then on nothing that is let in
-    /// is outside it.
-    fn settle(&mut self) {
-        let ready = self.dealing.as_ref().is_none_or(Dealing::ready);
+    /// A joint stage counts as settled here only once grants of the new plan limit admission too: from then on no txn
+    /// is admitted outside it.
+    fn update_ready(&mut self) {
+        let ready = self.quota.as_ref().is_none_or(Quota::ready);
         if std::mem::replace(&mut self.ready, ready) == ready {
             return;
         }
@@ -175,59 +179,60 @@
         }
     }
 
-    fn deal(&mut self, with: impl FnOnce(&mut Dealing, f64) -> Vec<Do>) {
+    fn with_quota(&mut self, with: impl FnOnce(&mut Quota, f64) -> Vec<Action>) {
         let now = self.now();
-        let Some(dealing) = &mut self.dealing else { return };
-        for done in with(dealing, now) {
-            match done {
-                Do::Say(to, said) => {
-                    let noted = self.notes.as_mut().and_then(|notes| notes.says(now, &to, &said));
+        let Some(quota) = &mut self.quota else { return };
+        for action in with(quota, now) {
+            match action {
+                Action::Send(to, said) => {
+                    let noted = self.recorder.as_mut().and_then(|recorder| recorder.sending(now, &to, &said));
                     self.send(&to, Said::Shares(said, noted));
                 }
-                Do::Own(said) => {
-                    let own = &self.post.name;
-                    self.notes.iter_mut().for_each(|notes| drop(notes.says(now, own, &said)));
+                Action::Local(said) => {
+                    let own = &self.settings.name;
+                    self.recorder.iter_mut().for_each(|recorder| drop(recorder.sending(now, own, &said)));
                 }
-                Do::Bound(bound) => self.steward.bound(Some(bound)),
-                Do::Lift => self.steward.bound(None),
-                Do::Log(text) => info!(self.log, "{}", text),
+                Action::Bound(bound) => self.steward.bound(Some(bound)),
+                Action::Lift => self.steward.bound(None),
+                Action::Log(text) => info!(self.log, "{}", text),
             }
         }
     }
 
-    fn asked(&mut self, asked: Asked) {
-        match asked {
-            Asked::Propose(id, revision) => {
+    fn request(&mut self, request: Request) {
+        match request {
+            Request::Propose(id, revision) => {
                 self.proposed.insert(id, revision.clone());
                 self.take(Input::Wish { id, wish: Wish::Revision(revision) });
             }
-            Asked::End => {}
-            Asked::LetGo(gone) => self.let_go(gone),
-            Asked::Sees(sight) => self.deal(|dealing, now| dealing.sees(now, sight)),
-            Asked::Level(level) => self.deal(|dealing, now| dealing.level(now, level)),
-            Asked::Settled(stage, settled) => {
+            Request::End => {}
+            Request::Release(gone) => self.release(gone),
+            Request::Measured(sight) => self.with_quota(|quota, now| quota.measured(now, sight)),
+            Request::Level(level) => self.with_quota(|quota, now| quota.level(now, level)),
+            Request::Settled(stage, settled) => {
                 self.settled = Some((stage, settled));
-                self.ready = self.dealing.as_ref().is_none_or(Dealing::ready);
+                self.ready = self.quota.as_ref().is_none_or(Quota::ready);
                 self.take(Input::Settled { stage, settled: settled && self.ready });
             }
-            Asked::Members(members) => {
-                self.post.members = members;
-                self.door.members(self.post.members.iter().map(|member| member.name.clone()).collect());
-                self.count_holders();
-                self.dial();
-                self.members();
+            Request::Members(members) => {
+                self.settings.members = members;
+                self.admission
+                    .members(self.settings.members.iter().map(|member| member.name.clone()).collect());
+                self.update_holders();
+                self.connect_peers();
+                self.propose_members();
             }
-            Asked::Show => {
-                info!(self.log, "fleet: {}", self.shown(); "under" => self.under.0);
+            Request::Show => {
+                info!(self.log, "fleet: {}", self.status_line(); "under" => self.under.0);
                 info!(self.log, "fleet talk: {}", self.talk.counts);
             }
         }
     }
 
-    /// The stage, and who is waited for and how long still, for operators.
-    fn shown(&self) -> String {
+    /// Status line for operators: the stage, and the members that a change waits for with the longest remaining wait.
+    fn status_line(&self) -> String {
         let now = self.now();
-        let status = self.accord.status(now);
+        let status = self.consensus.status(now);
         let name = |name: &Option<Name>| name.as_ref().map_or("none".into(), Name::to_string);
         let waits: Vec<String> = status
             .waits
@@ -244,14 +249,14 @@
         let waits = if waits.is_empty() { "nobody".into() } else { waits.join(", ") };
         let votes = match self.talk.counts.without_disk.get() {
             0 => "",
-            _ => "; votes no more: its folder is lost or spoilt, see the log",
+            _ => "; does not vote: its folder is lost or corrupted, see the log",
         };
         let act = match &status.act {
             Act::On { stage, until } => format!("acts on {:?} for {:.1} s", stage.holds, (until - now) / 1e3),
             Act::Within { stage, until } => {
                 format!("acts within {:?} for {:.1} s", within(stage), (until - now) / 1e3)
             }
-            Act::Unknown => "declines what is governed: nothing is known to hold".into(),
+            Act::Unknown => "rejects governed classes: no policy is known to be in force".into(),
         };
         format!(
             "stage={} holds={:?} staged={:?} known={} part={:?} term={} chair={} log={}/{} waits_for={waits}; {act}; refused={:?}{votes}",
@@ -260,92 +265,96 @@
         )
     }
 
-    /// Tells the dealing who may hold grants, where that is another than before.
-    fn count_holders(&mut self) {
-        let names = counted(&self.post, &self.accord);
+    /// Updates the quota state machine if the set of members that may hold grants has changed.
+    fn update_holders(&mut self) {
+        let names = possible_holders(&self.settings, &self.consensus);
         if names == self.holders {
             return;
         }
-        if let Some(dealing) = &mut self.dealing {
-            dealing.members(self.talk.fence.clock().now(), names.clone());
+        if let Some(quota) = &mut self.quota {
+            quota.members(self.talk.fence.clock().now(), names.clone());
         }
         self.holders = names;
     }
 
-    /// Tells the agreement whom the operator's file names now.
-    fn members(&mut self) {
+    /// Proposes the member list of the operator's file to consensus.
+    fn propose_members(&mut self) {
         let named = |votes: bool| -> Vec<Name> {
-            let of = self.post.members.iter().filter(|member| member.votes == votes);
+            let of = self.settings.members.iter().filter(|member| member.votes == votes);
             of.map(|member| member.name.clone()).collect()
         };
         let wanted = Wanted { voters: named(true), followers: named(false) };
         self.talk.counts.proposals.inc();
-        let id = self.talk.next();
+        let id = self.talk.next_id();
         self.take(Input::Wish { id, wish: Wish::Members(wanted) });
     }
 
-    /// A line to each other member, and none to one that left or moved.
-    fn dial(&mut self) {
+    /// Opens a connection to each other member and closes those to members that left or changed their address.
+    fn connect_peers(&mut self) {
         let wanted: BTreeMap<Name, Member> =
-            self.post.members.iter().map(|member| (member.name.clone(), member.clone())).collect();
-        self.peers.retain(|name, (member, _, line)| {
+            self.settings.members.iter().map(|member| (member.name.clone(), member.clone())).collect();
+        self.peers.retain(|name, (member, _, connection)| {
             let stays = wanted.get(name).is_some_and(|wanted| wanted.at == member.at);
             if !stays {
-                line.abort();
+                connection.abort();
             }
             stays
         });
-        let lengths = self.post.lengths;
+        let lengths = self.settings.lengths;
         let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
-        // A peer that comes back is heard within about an election; one that answers nothing for as long as a
-        // lease is renewed in is dialled anew.
-        let waits =
-            Waits { least: ms(lengths.beat), most: ms(lengths.election), silent: ms(lengths.acts / 2.0) };
+        // The maximum backoff is the election timeout, so that a peer that comes back is reconnected within about one
+        // election. A peer that is silent for half a lease (the renewal interval) is reconnected.
+        let timeouts = Timeouts {
+            min_backoff: ms(lengths.beat),
+            max_backoff: ms(lengths.election),
+            dead_after: ms(lengths.acts / 2.0),
+        };
         for (name, member) in wanted {
-            if name == self.post.name || self.peers.contains_key(&name) {
+            if name == self.settings.name || self.peers.contains_key(&name) {
                 continue;
             }
             let outbox = Arc::new(Outbox::default());
-            let line = Line {
-                fleet: self.post.fleet.0.to_string(),
-                from: self.post.name.to_string(),
+            let connection = PeerConnection {
+                fleet: self.settings.fleet.0.to_string(),
+                from: self.settings.name.to_string(),
                 boot: self.boot.clone(),
                 to: name.to_string(),
                 at: member.at,
             };
-            let seed = drawn() ^ self.post.seed;
+            let seed = random_id() ^ self.settings.seed;
             let counts = self.talk.counts.clone();
-            let run = line.run(outbox.clone(), waits, seed, counts, self.log.clone());
+            let run = connection.run(outbox.clone(), timeouts, seed, counts, self.log.clone());
             self.peers.insert(name, (member, outbox, tokio::spawn(run).abort_handle()));
         }
     }
 
-    /// One input; then what it leads to, in order. What has to last is safe before anything after it is carried out.
+    /// Handles one input and the inputs that follow from it. Durable writes are on disk before any later output is
+    /// carried out.
     fn take(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             let now = self.now();
-            let mut lasting: Vec<Lasting> = Vec::new();
-            let outputs = self.accord.handle(now, input);
-            let (place, base) = self.accord.standing();
-            let followed = self.dealing.iter_mut();
-            followed.for_each(|dealing| dealing.follow(now, place, base, |at| self.accord.stood(at)));
+            let mut writes: Vec<Lasting> = Vec::new();
+            let outputs = self.consensus.handle(now, input);
+            let (place, base) = self.consensus.standing();
+            let followed = self.quota.iter_mut();
+            followed.for_each(|quota| quota.follow(now, place, base, |at| self.consensus.stood(at)));
             for output in outputs {
                 if let Output::Last(last) = output {
-                    lasting.push(last);
+                    writes.push(last);
                     continue;
                 }
-                if !self.lasts(std::mem::take(&mut lasting)) {
+                if !self.write_durably(std::mem::take(&mut writes)) {
                     return;
                 }
                 match output {
                     Output::Last(_) => {}
                     Output::Send { to, said } => self.send(&to, Said::Accord(said)),
                     Output::Check(revision) => {
-                        let staged = self.accord.status(now).stage.staged == Some(revision.no);
+                        let staged = self.consensus.status(now).stage.staged == Some(revision.no);
                         let verdict = self.steward.check(&revision, staged);
                         if let Err(why) = &verdict {
-                            error!(self.log, "a revision can't be used here"; "revision" => revision.no.0,
+                            error!(self.log, "this member can't use a revision"; "revision" => revision.no.0,
                                 "digest" => %revision.digest, "why" => %why);
                         }
                         let (no, digest) = (revision.no, revision.digest);
@@ -355,24 +364,24 @@
                     Output::Answer { id, outcome } => {
                         if let Err(why) = &outcome {
                             self.talk.counts.refused_proposals.inc();
-                            warn!(self.log, "refused"; "why" => %why, "advice" => why.advice());
+                            warn!(self.log, "proposal refused"; "why" => %why, "advice" => why.advice());
                         }
                         self.answer(id, &outcome);
                     }
-                    Output::Gone => self.gone(),
+                    Output::Gone => self.released(),
                     Output::Log(text) => info!(self.log, "{}", text),
                 }
             }
-            if !self.lasts(lasting) {
+            if !self.write_durably(writes) {
                 return;
             }
         }
-        if std::mem::replace(&mut self.place, self.accord.standing().0) != self.accord.standing().0 {
-            self.count_holders();
+        if std::mem::replace(&mut self.place, self.consensus.standing().0) != self.consensus.standing().0 {
+            self.update_holders();
         }
-        let (term, chair) = self.accord.chair();
-        let (term, chair) = (term.0, chair.cloned());
-        self.deal(|dealing, now| dealing.led(now, term, chair.as_ref()));
+        let (term, leader) = self.consensus.chair();
+        let (term, leader) = (term.0, leader.cloned());
+        self.with_quota(|quota, now| quota.leader_changed(now, term, leader.as_ref()));
     }
 
     fn answer(&mut self, id: u64, outcome: &Result<StageNo, Refusal>) {
@@ -392,30 +401,31 @@
         }
     }
 
-    /// The process is being ended, and its fence is shut: whatever was decided before this goes out no more, so from
-    /// here on it may be said that this run orders nothing.
-    fn let_go(&mut self, gone: oneshot::Sender<()>) {
+    /// Announces an orderly shutdown. The fence is closed already, so no order decided earlier can still be sent, and
+    /// the other members may be told that this incarnation sends no more orders.
+    fn release(&mut self, gone: oneshot::Sender<()>) {
         if self.talk.fence.open(self.under) {
-            return error!(self.log, "not said that this steward lets go: its fence is open";
-                "advice" => "a defect: keep the log and report it; changes wait for its lease");
+            return error!(self.log, "leases not released on shutdown: the fence is still open";
+                "advice" => "this is a defect: keep the log and report it; changes wait until this member's lease expires");
         }
         info!(self.log, "this steward lets go");
         self.talk.counts.let_go.inc();
-        self.leaves = Some(gone);
+        self.release_done = Some(gone);
         self.take(Input::LetGo);
     }
 
-    fn gone(&mut self) {
+    fn released(&mut self) {
         self.talk.counts.let_gone.inc();
-        info!(self.log, "nothing waits for this steward any more");
-        if let Some(gone) = self.leaves.take() {
+        info!(self.log, "leases released: no change waits for this member any more");
+        if let Some(gone) = self.release_done.take() {
             let _ = gone.send(());
         }
     }
 
-    /// False where it does not last: then nothing after it may be carried out, and this member stops voting. It goes
-    /// on as a follower of another run, which holds no promise of the one before.
-    fn lasts(&mut self, lasting: Vec<Lasting>) -> bool {
+    /// Writes the records durably. Returns false if that fails: then no later output may be carried out, and this
+    /// member stops voting. It goes on as a follower with a new incarnation, which is not bound by promises of the old
+    /// one.
+    fn write_durably(&mut self, lasting: Vec<Lasting>) -> bool {
         let Some(store) = self.store.as_mut().filter(|_| !lasting.is_empty()) else { return true };
         match store.last(&lasting) {
             Ok(()) => {
@@ -424,23 +434,26 @@
             }
             Err(fault) => {
                 self.talk.counts.last_failed.inc();
-                error!(self.log, "what has to last does not; this member votes no more until it is started anew";
+                error!(self.log, "durable write failed; this member does not vote until it is restarted";
                     "why" => %fault, "advice" => fault.advice());
                 self.store = None;
                 self.talk.counts.without_disk.inc();
-                let boot = Boot(drawn());
+                let boot = Boot(random_id());
                 self.boot.store(boot.0, Relaxed);
                 let now = self.now();
-                match Accord::new(now, facts(&self.post, boot, None), Kept::default()) {
-                    Ok(accord) => self.accord = accord,
-                    Err(why) => error!(self.log, "nothing can be agreed on here"; "why" => %why),
+                match Accord::new(now, bootstrap(&self.settings, boot, None), Kept::default()) {
+                    Ok(consensus) => self.consensus = consensus,
+                    Err(why) => {
+                        error!(self.log, "consensus can't be restarted without the disk"; "why" => %why)
+                    }
                 }
-                if self.leaves.is_some() {
-                    // Else this run would ask for leases that it can't use, and changes wait for them.
-                    drop(self.accord.handle(now, Input::LetGo));
+                if self.release_done.is_some() {
+                    // Otherwise this incarnation would request leases that it can't use, and changes would wait for
+                    // them.
+                    drop(self.consensus.handle(now, Input::LetGo));
                 }
                 self.act(&Act::Unknown, &[]);
-                // The run that was asked is gone, and nobody would answer for it.
+                // The incarnation that held the proposals is gone, and no outcome would ever be reported.
                 let asked: Vec<u64> = self.proposed.keys().copied().collect();
                 asked.into_iter().for_each(|id| self.answer(id, &Err(Refusal::Unsure)));
                 false
@@ -448,15 +461,16 @@
         }
     }
 
-    /// The fence first: what was decided before goes out no more by the time anyone hears of it.
+    /// Applies an act. Moves the fence first, so that no order decided under the previous act is sent once the daemon
+    /// or a peer knows of the new one.
     fn act(&mut self, act: &Act, texts: &[Revision]) {
-        let (told, until) = match act {
-            Act::On { stage, until } => (Told::On(*stage), *until),
-            Act::Within { stage, until } => (Told::Within(*stage), *until),
-            Act::Unknown => (Told::Unknown, f64::INFINITY),
+        let (kind, until) = match act {
+            Act::On { stage, until } => (ActKind::On(*stage), *until),
+            Act::Within { stage, until } => (ActKind::Within(*stage), *until),
+            Act::Unknown => (ActKind::Unknown, f64::INFINITY),
         };
-        let news = self.told.replace(told) != Some(told);
-        if news {
+        let changed = self.last_act.replace(kind) != Some(kind);
+        if changed {
             self.under = Under(self.under.0 + 1);
         }
         self.talk.fence.set(self.under, until);
@@ -466,37 +480,39 @@
                 Act::On { stage, .. } => history.holds(stage.no, stage.holds, until),
                 Act::Within { stage, .. } => history.holds(stage.no, within(stage), until),
                 Act::Unknown => {
-                    if news {
+                    if changed {
                         history.let_go();
                     }
                 }
             }
         }
-        if news {
-            info!(self.log, "what holds here"; "act" => ?told, "under" => self.under.0);
+        if changed {
+            info!(self.log, "what holds here"; "act" => ?kind, "under" => self.under.0);
             self.steward.act(act, texts, self.under);
             let plans = self.steward.plans();
-            if let Some(notes) = &mut self.notes {
+            if let Some(recorder) = &mut self.recorder {
                 let (tenants, zones) = self.steward.names();
-                notes.plans(plans.clone(), tenants, &zones);
+                recorder.plans(plans.clone(), tenants, &zones);
             }
-            self.deal(|dealing, now| dealing.plans(now, plans));
+            self.with_quota(|quota, now| quota.plans(now, plans));
         }
-        // A chair gives its own steward leases as it gives all others, once a majority has said, in a round begun
-        // after the question, that it is the chair; and a lease counts from the question.
+        // A leader grants leases to itself as to any other member: only after a majority has confirmed its leadership
+        // in a round begun after the lease request. A lease counts from its request, so leadership was confirmed since
+        // then.
         if let Act::On { until, .. } = act {
-            let since = until - self.post.lengths.acts;
-            self.deal(|dealing, now| dealing.stood(now, since));
+            let since = until - self.settings.lengths.acts;
+            self.with_quota(|quota, now| quota.leadership_confirmed(now, since));
         }
     }
 }
 
-/// Those that the file names, and those that are members still. A chair that was started after the files had changed would
-/// else never know who is being taken out, and deal what that one may still let in. The agreement lets a member go only
-/// once it can't act on anything any more, nor its proxies, so nothing of its grants is in use then.
-fn counted(post: &Post, accord: &Accord) -> Vec<Name> {
-    let named = post.members.iter().map(|member| &member.name);
-    let base = accord.standing().1;
+/// The members in the operator's file and those still in the consensus membership. Without the latter, a leader started
+/// after the files had changed would not know of a member that is being removed, and would grant to others the quota
+/// that this member may still admit. Consensus removes a member only once neither it nor its proxies can act on
+/// anything, so none of its grants is in use afterwards.
+fn possible_holders(settings: &Post, consensus: &Accord) -> Vec<Name> {
+    let named = settings.members.iter().map(|member| &member.name);
+    let base = consensus.standing().1;
     let members = base.voters.iter().map(|(name, _)| name).chain(&base.followers);
     let mut all: Vec<Name> = named.cloned().collect();
     for name in members {
@@ -507,21 +523,21 @@
     all
 }
 
-/// However the talk ends, what was told last holds no more: without the agreement nobody would say when it is over.
-impl<S: Steward> Drop for Turn<S> {
+/// However the loop ends, the last act is revoked: without consensus nothing would report its expiry.
+impl<S: Steward> Drop for EventLoop<S> {
     fn drop(&mut self) {
         self.act(&Act::Unknown, &[]);
     }
 }
 
-/// Said once at a start, and counted: it votes no more in this run.
+/// Logs and counts that this incarnation does not vote.
 pub fn votes_no_more(why: &dyn std::fmt::Display, advice: &str, counts: &Counts, log: &Logger) {
     counts.without_disk.inc();
     error!(log, "the folder can't be voted on: this member directs traffic and follows, and does not vote until it is \
-        started anew on a good one"; "why" => %why, "advice" => advice);
+        restarted with an intact one"; "why" => %why, "advice" => advice);
 }
 
-/// What satisfies the stage and what may have become of it.
+/// The policy that satisfies both the stage and the stage that may follow it (the staged revision joint with it).
 pub fn within(stage: &Stage) -> Holds {
     match (stage.holds, stage.staged) {
         (Holds::Nothing, Some(new)) => Holds::Joint { old: None, new },
@@ -530,22 +546,23 @@
     }
 }
 
-/// What the agreement is told at its start. A voter without a disk is a follower: it asks for leases and is asked for
-/// nothing.
-pub fn facts(post: &Post, boot: Boot, disk: Option<Disk>) -> Facts {
-    let without = |member: &Member| member.name == post.name && disk.is_none();
+/// Bootstrap settings of consensus. A voter without a disk starts as a follower: it requests leases but takes part in
+/// no vote.
+pub fn bootstrap(settings: &Post, boot: Boot, disk: Option<Disk>) -> Facts {
+    let without = |member: &Member| member.name == settings.name && disk.is_none();
     let (voters, followers): (Vec<&Member>, Vec<&Member>) =
-        post.members.iter().partition(|member| member.votes && !without(member));
+        settings.members.iter().partition(|member| member.votes && !without(member));
     let names = |of: Vec<&Member>| of.into_iter().map(|member| member.name.clone()).collect::<Vec<_>>();
     let mut voters = names(voters);
-    if voters.is_empty() && post.members.iter().any(|member| member.votes) {
-        // The only voter without its disk: nobody is left to agree with, and what is governed is declined.
+    if voters.is_empty() && settings.members.iter().any(|member| member.votes) {
+        // The only voter has lost its disk: no quorum is left, and governed request classes are rejected.
         voters.push(Name::from(NO_VOTER));
     }
-    let crate::Lengths { acts, knows, drift, slack, linger, election, beat, check_within, .. } = post.lengths;
+    let crate::Lengths { acts, knows, drift, slack, linger, election, beat, check_within, .. } =
+        settings.lengths;
     Facts {
-        fleet: post.fleet.clone(),
-        me: post.name.clone(),
+        fleet: settings.fleet.clone(),
+        me: settings.name.clone(),
         boot,
         disk,
         voters,
@@ -557,7 +574,7 @@
         election,
         beat,
         check_within,
-        seed: post.seed ^ boot.0,
+        seed: settings.seed ^ boot.0,
     }
 }
 
@@ -568,14 +585,14 @@
     use super::*;
     use crate::Lengths;
 
-    /// Guards against a chair that was started after the files had changed, and deals what one that is being taken out may
-    /// still let in.
+    /// Guards against a leader, started after the files had changed, that grants the quota which a member being removed
+    /// may still admit.
     #[test]
-    fn one_that_is_being_taken_out_counts_at_a_chair_that_never_heard_its_name_by_its_file() {
+    fn a_member_being_removed_counts_as_a_holder_for_a_leader_whose_file_lacks_it() {
         let [a, b, c] = ["a", "b", "c"].map(Name::from);
         let at = "127.0.0.1:1".parse().unwrap();
         let member = |name: &Name| Member { name: name.clone(), at, votes: true };
-        let post = Post {
+        let settings = Post {
             fleet: FleetId("test".into()),
             name: a.clone(),
             listen: at,
@@ -600,11 +617,11 @@
             let base = Base { voters, ..Base::default() };
             let base = Some(((Term(1), Place(4)), base));
             let kept = Kept { disk: Some(Disk(1)), term: Term(1), base, ..Kept::default() };
-            Accord::new(0.0, facts(&post, Boot(1), kept.disk), kept).unwrap()
+            Accord::new(0.0, bootstrap(&settings, Boot(1), kept.disk), kept).unwrap()
         };
         let still = begun([&a, &b, &c].map(|name| (name.clone(), Some(Disk(1)))).to_vec());
-        assert_eq!(counted(&post, &still), [a.clone(), b.clone(), c]);
+        assert_eq!(possible_holders(&settings, &still), [a.clone(), b.clone(), c]);
         let out = begun([&a, &b].map(|name| (name.clone(), Some(Disk(1)))).to_vec());
-        assert_eq!(counted(&post, &out), [a, b]);
+        assert_eq!(possible_holders(&settings, &out), [a, b]);
     }
 }
--- a/crates/fleet/tests/fleet/loopback.rs
+++ b/crates/fleet/tests/fleet/loopback.rs
@@ -1,4 +1,4 @@
-//! Three members, as real as one process allows.
+//! Three members in one process, with real connections, clocks and stores.
 
 use amberarch_accord::{Act, Disk, Entry, Holds, Kept, Logged, MemberChange, Refusal, RevisionNo};
 use amberarch_core::{ClassId, ZoneId};
@@ -22,7 +22,7 @@
     all.iter().for_each(|one| one.holds(ALONE(1)));
     assert!(all[0].proposes(&revision(2, "revision = 2")).is_ok());
     all.iter().for_each(|one| one.holds(ALONE(2)));
-    // Between the two every member acted on both.
+    // Between the two revisions every member acted on the joint stage.
     for one in &all {
         let joint = Holds::Joint { old: Some(RevisionNo(1)), new: RevisionNo(2) };
         one.until("joint", |told| {
@@ -45,7 +45,8 @@
     assert!(lines.iter().all(|line| line["at"].as_u64().unwrap() <= machine_ns()));
 }
 
-/// Guards against a voter that comes back with its folder and knows nothing, and a fleet that needs all of its own.
+/// Guards against a voter that restarts with its folder and has lost its state, and against a fleet that needs all
+/// voters.
 #[test]
 fn one_of_three_down_costs_nothing_and_it_comes_back_to_what_holds() {
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
@@ -55,7 +56,7 @@
     let gone = all[2].take().unwrap();
     let told = gone.told.clone();
     drop(gone);
-    // What it was told holds no more once its talk has ended.
+    // Its last act is revoked once its fleet thread has ended.
     let (lock, news) = &*told;
     let by = std::time::Duration::from_secs(10);
     let (last, _) = news
@@ -68,7 +69,7 @@
     all.iter().flatten().for_each(|one| one.holds(ALONE(2)));
 }
 
-/// Guards against a steward that acts on while nobody can tell it that it may.
+/// Guards against a controller that goes on acting without a lease.
 #[test]
 fn without_a_majority_the_lease_ends_and_the_fence_shuts() {
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
@@ -82,7 +83,7 @@
     assert!(matches!(left.proposes(&revision(2, "revision = 2")), Err(Refusal::Unsure)));
 }
 
-/// Guards against a change that takes the steward without any proxies for all of them, or waits for it.
+/// Guards against a change that counts a controller without proxies as if it had all of them, or waits for it.
 #[test]
 fn a_change_waits_for_the_steward_that_has_all_proxies_and_not_for_the_one_that_has_none() {
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
@@ -102,7 +103,8 @@
     };
     let id = all[1].talk.propose(revision(1, "revision = 1"));
     let stage = has_all.until("the joint stage", joint);
-    // Each has said so in its question for the next lease, and some leases later nothing else holds anywhere.
+    // Each member has reported its stage in its next lease request; some leases later every member is still on the
+    // joint stage.
     let stages = |member: &Member| -> Vec<u64> {
         let lines = std::fs::read_to_string(dir.path().join(format!("{}.jsonl", member.name))).unwrap();
         let lines = lines.lines().filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok());
@@ -123,7 +125,7 @@
     assert!(answer.1.is_ok());
 }
 
-/// Guards against a voter that what it can't read keeps from its traffic, and against one that votes on it all the same.
+/// Guards against a voter with a corrupted folder that does not direct traffic, and against one that still votes.
 #[test]
 fn a_voter_whose_folder_is_spoilt_starts_follows_and_does_not_vote_and_stands_again_on_an_empty_one() {
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
@@ -144,7 +146,7 @@
     };
     ends(&mut all[2]);
     let folder = dir.path().join("m2");
-    // The lock on the folder goes with the last of its run.
+    // The lock on the folder is released when the last thread of the member ends.
     let by = Instant::now() + Duration::from_secs(5);
     while matches!(Store::open(&folder, Disk(1)), Err(StoreFault::InUse(_))) && Instant::now() < by {
         std::thread::yield_now();
@@ -155,15 +157,15 @@
     std::fs::write(&sealed, bytes).unwrap();
     all[2] = Some(one(&members, 2, dir.path()));
     assert_eq!(all[2].as_ref().unwrap().talk.counts.without_disk.get(), 1);
-    // It follows, and a change asked for there is made with it.
+    // It follows, and a change proposed there succeeds.
     holds(&all, 1);
     assert!(proposes(&all[2], 2).is_ok());
     holds(&all, 2);
-    // Two of three are up and one of them has no vote: nobody can agree to anything.
+    // Two of three are up and one of them does not vote: there is no quorum.
     ends(&mut all[0]);
     assert!(matches!(proposes(&all[2], 3), Err(Refusal::Unsure)));
     all[0] = Some(one(&members, 0, dir.path()));
-    // What nobody could agree to may have been heard all the same, and come in force now that two vote.
+    // The proposal may have been logged all the same, and may come into force now that two members vote.
     let either = |all: &[Option<One>]| {
         let found = |told: &Told| match told.acts.last() {
             Some(Act::On { stage, .. } | Act::Within { stage, .. }) => {
@@ -174,7 +176,7 @@
         all.iter().flatten().for_each(|one| one.until("2 or 3 alone", found));
     };
     either(&all);
-    // On an empty folder it is let in anew by itself.
+    // With an empty folder it becomes a voter again without any operation.
     ends(&mut all[2]);
     std::fs::remove_dir_all(&folder).unwrap();
     all[2] = Some(one(&members, 2, dir.path()));
@@ -187,13 +189,14 @@
     holds(&all, 4);
 }
 
-/// What a voter has made to last, read from a copy while it runs.
+/// The durable state of a running voter, read from a copy of its folder.
 fn lasts(folder: &Path) -> Kept {
-    // None in the midst of a write.
+    // `None` if the copy was taken during a write.
     let read = || {
         let copy = tempfile::tempdir().unwrap();
         let copied = |file: &OsStr| std::fs::copy(folder.join(file), copy.path().join(file)).ok();
-        // The seal first: what it names is in the log by then. A log that is folded meanwhile is looked for in vain.
+        // The seal is copied first: the records that it covers are in the log by then. If the log is replaced by
+        // compaction meanwhile, the copy lacks it and is taken again.
         copied("sealed".as_ref())?;
         for file in std::fs::read_dir(folder).ok()? {
             let file = file.ok()?.file_name();
@@ -212,12 +215,12 @@
     }
 }
 
-/// Guards against a voter on a new disk whose vote makes a chair although it may have lost one that it gave, and against
-/// one that never counts again: then the next voter that is stopped would stop the fleet.
+/// Guards against a voter on a new disk whose vote elects a leader although it may have lost an earlier vote, and
+/// against one whose vote never counts again: then the next voter that is stopped would stop the fleet.
 #[test]
 fn a_voter_on_a_new_disk_elects_nobody_until_that_disk_stands_in_the_log_and_elects_afterwards() {
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
-    // Each new chair waits for as long as an earlier one's leases may know of anything.
+    // Each new leader waits until leases of earlier ones have expired (`knows`).
     let lengths = Lengths { acts: 600.0, knows: 700.0, ..LENGTHS };
     let starts = |place| Some(stands(Post { lengths, ..post(&members, place, dir.path()) }, None, false));
     let mut all: Vec<Option<One>> = (0..3).map(starts).collect();
@@ -233,15 +236,16 @@
             std::thread::yield_now();
         }
     };
-    // The lock on the folder goes with the last of its run.
+    // The lock on the folder is released when the last thread of the member ends.
     let ends = |all: &mut Vec<Option<One>>, place: usize| {
         drop(all[place].take());
         until("an end", &|| !matches!(Store::open(&folder(place), Disk(1)), Err(StoreFault::InUse(_))));
     };
     assert!(proposes(&all[0], 1).is_ok());
     holds(&all, 1);
-    // Two of three are up, but one of them on a disk that nobody knows. If the other one is chair it writes that disk, which
-    // can't stand; no lease is given and nobody is elected, and not either once that one has been started anew.
+    // Two of three are up, but one of them has a disk that is not in the log. If the other one is the leader it logs
+    // that disk, which can't be committed; no lease is granted and nobody is elected, not even after the other one is
+    // restarted.
     let lost = lasts(&folder(2)).disk;
     ends(&mut all, 2);
     ends(&mut all, 1);
@@ -250,12 +254,12 @@
     let unknown = |told: &Told| (told.acts.last() == Some(&Act::Unknown)).then_some(());
     all[0].as_ref().unwrap().until("unknown", unknown);
     ends(&mut all, 0);
-    // The last chair was chosen with the one that is down.
+    // The last leader was elected with the vote of the member that is down.
     let term = |kept: &Kept| kept.entries.last().map(|logged| logged.term);
     let last = term(&lasts(&folder(0)));
     all[0] = starts(0);
     let (left, new) = (all[0].as_ref().unwrap(), all[2].as_ref().unwrap());
-    // Of each other's asking and voting, over some elections' times.
+    // Vote requests and votes of each other, over several election timeouts.
     let heard = new.talk.counts.heard.get();
     until("votes heard", &|| left.talk.counts.heard.get() >= 12 && new.talk.counts.heard.get() >= heard + 12);
     for (place, one) in [(0, left), (2, new)] {
@@ -269,7 +273,8 @@
     }
     let renewed = lasts(&folder(2)).disk;
     assert_ne!(renewed, lost);
-    // With the third one a chair is chosen on known disks. It brings the new one up to date, and writes its number.
+    // With the third member a leader is elected by known disks. It brings the member with the new disk up to date and
+    // logs that disk's number.
     all[1] = starts(1);
     let known = |place| {
         let kept = lasts(&folder(place));
@@ -285,7 +290,7 @@
         base || kept.entries.iter().any(votes)
     };
     until("the new disk in all logs", &|| (0..3).all(known));
-    // What comes after it stands, so it stands, and each has heard so by the change after that.
+    // A later entry is committed, so this one is too; each member has learned so by the change after that.
     let by = Instant::now() + Duration::from_secs(20);
     let mut no = 3;
     for _ in 0..2 {
@@ -296,7 +301,7 @@
         holds(&all, no);
         no += 1;
     }
-    // Now either of the two others may go.
+    // Now either of the two others may be stopped.
     for gone in [1, 0] {
         ends(&mut all, gone);
         while proposes(&all[2], no).is_err() {
@@ -310,18 +315,18 @@
     }
 }
 
-/// Guards against the only voter that goes on to promise once its disk has failed under it: nobody is left to follow, so
-/// it can't become a follower like others.
+/// Guards against an only voter that goes on making promises after its disk has failed. Without another voter there is
+/// no leader to follow, so it can't go on as a follower.
 #[test]
 fn the_only_voter_agrees_to_nothing_more_once_its_disk_fails_while_it_runs() {
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, false]));
     let voter = one(&members, 0, dir.path());
     assert!(voter.proposes(&revision(1, "revision = 1")).is_ok());
-    // The next log can't be made: something else has its name, whichever is written now.
+    // No further log can be created: folders have the names, whichever number is next.
     let taken = (1..10).map(|no| std::fs::create_dir(dir.path().join("m0").join(format!("log-{no}"))));
     assert!(taken.filter(|made| made.is_ok()).count() >= 8);
     let failed = || voter.talk.counts.last_failed.get() > 0;
-    // Until the log is folded into the next.
+    // Until the log is compacted into the next one.
     let mut no = 2;
     while !failed() && no < 1_000 {
         let _ = voter.proposes(&revision(no, &format!("revision = {no}")));
@@ -360,7 +365,7 @@
     Arc::new(compile(&section, &facts).unwrap())
 }
 
-/// Guards against three stewards that each let in what there is but once.
+/// Guards against three controllers that each admit the whole capacity.
 #[test]
 fn what_three_members_let_in_together_is_what_there_is() {
     let plan = plan();
@@ -374,7 +379,8 @@
     sees(CAN);
     assert!(all[0].proposes(&revision(1, "revision = 1")).is_ok());
     sees(CAN);
-    // 30,000 a second are asked for where under 7,000 are left beside the payers: each lets in a fifth and more.
+    // The demand is 30,000 a second where less than 7,000 are left beside the payers: each member admits somewhat more
+    // than a fifth.
     for one in &all {
         one.until("a part of the lookers", |told| {
             told.shares.get(&(0, 0)).filter(|share| (0.15..=0.27).contains(*share)).copied()
@@ -383,20 +389,21 @@
     let shares: Vec<f64> =
         all.iter().map(|one| one.until("a share", |told| told.shares.get(&(0, 0)).copied())).collect();
     assert!(CAN * shares.iter().sum::<f64>() <= CAN - 2_700.0, "{shares:?}");
-    // Those who pay ask for their guarantee and have it.
+    // The payers demand their guarantee and get it.
     for one in &all {
         one.until("all payers", |told| {
             told.shares.get(&(0, 1)).is_none_or(|share| *share >= 1.0).then_some(())
         });
     }
-    // Without a majority grants run out, and what is left to each is its part of the floor.
+    // Without a majority the grants expire, and each member is left with its part of the floor.
     let left = &all[0];
     all[1..].iter().for_each(|one| one.talk.end());
     left.until("the floor", |told| told.shares.get(&(0, 0)).filter(|share| **share <= 0.01).map(|_| ()));
 }
 
-/// Guards against histories that name no grants, or others than those that are in force: the judge finds nothing in
-/// what members wrote while demand moved, hosts went and the chair ended, and finds it once there were fewer hosts.
+/// Guards against histories that lack grants or record others than those in force. The checker must find no violation
+/// in the histories of members while demand changed, hosts went away and the leader ended, and must find one if the
+/// recorded capacity is lowered afterwards.
 #[test]
 fn a_judge_reads_what_members_gave_and_took_while_hosts_went_and_the_chair_ended() {
     let plan = plan();
@@ -410,7 +417,7 @@
         let came = vec![(east, look, looks), (east, pay, pays)];
         all.iter().for_each(|one| one.talk.sees(Sight { came: came.clone(), capacity: vec![(east, can)] }));
     };
-    // The share of the lookers that each lets in.
+    // Waits until each member admits a share of the lookers in this range.
     let lets_in = |all: &[One], least: f64, most: f64| {
         for one in all {
             one.until(&format!("{least} to {most} of the lookers"), |told| {
@@ -422,7 +429,7 @@
     assert!(all[0].proposes(&revision(1, "revision = 1")).is_ok());
     sees(&all, CAN, 100.0, CAN);
     lets_in(&all, 0.25, 0.33);
-    // Those who pay come for their guarantee, and lookers give way.
+    // The payers demand their guarantee, and the lookers get less.
     sees(&all, CAN, 1_000.0, CAN);
     lets_in(&all, 0.15, 0.24);
     // Half of the hosts go.
@@ -433,11 +440,11 @@
     let deals = |file: &PathBuf| std::fs::read_to_string(file).unwrap().contains("\"what\":\"capacity\"");
     let chair = files.iter().position(deals).expect("one that deals");
     all.remove(chair);
-    // What the other two have is dealt again once nobody can hold what the old chair gave.
+    // The quota of the old leader is granted to the other two once its grants have expired everywhere.
     lets_in(&all, 0.25, 0.45);
     drop(all);
     let report = judge_files(&files, &Bounds::default()).unwrap();
-    // What a revision permits is not said here, and nothing is served.
+    // The test records neither the permissions of a revision nor any served txn, so only this rule is violated.
     let found: Vec<Rule> = Rule::ALL.into_iter().filter(|rule| report.found(*rule) > 0).collect();
     assert_eq!(found, [Rule::Reach], "{report}");
     assert!(report.verdicts[&Rule::Grants].looked > 20, "{report}");
@@ -454,6 +461,6 @@
         }
         line
     };
-    let spoilt = judge(lines.into_iter().map(less), &Bounds::default());
-    assert!(spoilt.verdicts[&Rule::Grants].count() > 0, "{spoilt}");
+    let altered = judge(lines.into_iter().map(less), &Bounds::default());
+    assert!(altered.verdicts[&Rule::Grants].count() > 0, "{altered}");
 }
--- a/crates/fleet/tests/fleet/main.rs
+++ b/crates/fleet/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! The talk on loopback, and the voter's folder.
+//! Tests of members on loopback connections, and of a voter's store.
 
 mod loopback;
 mod one_down;
--- a/crates/fleet/tests/fleet/one_down.rs
+++ b/crates/fleet/tests/fleet/one_down.rs
@@ -1,19 +1,19 @@
-//! What a change waits for with a steward down that never heard of it, in virtual time; and why it does.
+//! How long a change waits for a stopped controller that never received it, and why, in virtual time.
 
 use amberarch_accord::{Act, Holds, Length, RevisionNo};
 use amberarch_worlds::{Shape, World};
 
-/// Rounds of the agreement and proxies that confirm, ms.
+/// Allowance for consensus rounds and confirmations of proxies, ms.
 const ROUNDS: f64 = 300.0;
 
-/// Five members that hold revision 1, and one of them that is not the chair.
+/// Five members with revision 1 in force, the leader, and one that is not the leader.
 fn formed(seed: u64, length: Length, linger: f64) -> (World, usize, usize) {
     let shape = Shape { length, linger, ..Shape::of(3, 2) };
     let mut world = World::new(seed, shape);
     world.run_till("the fleet comes together", 20_000.0, World::all_on_one_stage).unwrap();
     world.propose(0, 1);
     let holds = |world: &World| world.act_is(0, RevisionNo(1)) && world.all_on_one_stage();
-    // A new chair waits for what earlier ones may have given.
+    // A new leader waits for leases that earlier ones may have granted.
     world.run_till("revision 1", 100_000.0, holds).unwrap();
     world.run_for(2.0 * length.knows);
     let chair = world.chair().expect("a chair");
@@ -31,7 +31,7 @@
     }
 }
 
-/// What a daemon gives itself between SIGTERM and its end.
+/// The longest time of a daemon between SIGTERM and its end, ms.
 const ENDS_WITHIN: f64 = 450.0;
 const DRAWS: u64 = 20;
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// How long some changes took, the shortest first, each proposed right after a steward went down.
+/// Durations of changes, ms, the shortest first, each proposed right after a controller was stopped.
 fn changes(acts: f64, knows: f64, linger: f64, down: Down, chairs: bool) -> Vec<f64> {
     let took = |seed| {
         let (mut world, chair, other) = formed(seed, Length { acts, knows }, linger);
@@ -73,7 +73,7 @@
     changes(acts, knows, linger, Down::Killed, false).last().copied().unwrap_or_default()
 }
 
-/// Guards against a planned stop that costs what a cut costs.
+/// Guards against a planned stop that delays a change as long as a crash does.
 #[test]
 fn with_a_steward_ended_in_good_order_a_change_waits_for_the_linger_alone() {
     let fleets = [(3_000.0, 30_000.0, 10_000.0), (3_000.0, 6_000.0, 1_000.0), (3_000.0, 3_050.0, 700.0)];
@@ -94,13 +94,13 @@
     }
 }
 
-/// How long, ms, nobody of the fleet is chair, as one that sees all members has it.
+/// How long the fleet has no leader, ms, as seen by an observer of all members.
 fn without_a_chair(seed: u64, down: Down) -> f64 {
     let (mut world, chair, _) = formed(seed, Length { acts: 3_000.0, knows: 6_000.0 }, 1_000.0);
     let from = world.now();
     match down {
         Down::Killed => world.crash(chair),
-        // It takes no wish and gives no lease from here on.
+        // It accepts no proposal and grants no lease from now on.
         Down::Planned => world.end_in_order(chair, ENDS_WITHIN, false),
     }
     let another = |world: &World| world.chair().is_some_and(|now| now != chair);
@@ -108,7 +108,7 @@
     world.now() - from
 }
 
-/// Guards against a planned stop of the chair that costs an election's wait.
+/// Guards against a planned stop of the leader that costs an election timeout.
 #[test]
 fn a_chair_ended_in_good_order_leaves_the_fleet_no_election_to_wait_for() {
     let [killed, planned] = [Down::Killed, Down::Planned].map(|down| {
@@ -117,14 +117,15 @@
         all
     });
     println!("without a chair, ms (simulated, 20 draws): killed {killed:.0?}; planned {planned:.1?}");
-    // Four ways of a message at the most 1.5 ms each.
+    // Four message delays of at most 1.5 ms each.
     assert!(planned[planned.len() - 1] < 10.0, "{planned:?}");
     assert!(killed[0] > 300.0, "{killed:?}");
 }
 
 #[test]
 fn with_a_steward_down_that_never_heard_of_it_a_change_waits_for_what_it_may_know_and_no_longer() {
-    // The last two: as short as an operator's file may say, and proxies that are bound anew within 0.7 s.
+    // The last two: the shortest durations that an operator's file allows, and the last with proxies that are bound
+    // again within 0.7 s.
     let fleets = [
         (3_000.0, 30_000.0, 10_000.0),
         (3_000.0, 6_000.0, 1_000.0),
@@ -135,16 +136,17 @@
     println!("acts, knows, linger, the longest of 20 changes, ms (simulated):");
     for ((acts, knows, linger), took) in fleets.into_iter().zip(took) {
         println!("{acts} {knows} {linger}: {took:.0}");
-        // Drift, slack and how wrong a clock may be as [`Shape::of`] has them.
+        // Drift, slack and clock error are those of [`Shape::of`].
         assert!(took <= 1.01 * (1.02 * knows + 50.0 + linger) + ROUNDS, "{acts} {knows} {linger}: {took}");
         assert!(took >= 0.99 * (knows - acts + linger), "{acts} {knows} {linger}: {took}");
     }
-    // A lease and a second, where the linger leaves room for what the lease is counted longer by.
+    // A lease and a second, if the linger is short enough to leave room for the margin by which a lease is counted
+    // longer.
     assert!(took[3] < 4_000.0, "{took:?}");
 }
 
-/// Guards against a wait that is cut to the lease: the steward may be cut off and not down, and then it goes on with the
-/// old revision alone. This is why it has to be waited for, or has to know for no longer than it acts.
+/// Guards against waiting only for the lease: the controller may be partitioned and not stopped, and then it still uses
+/// the old revision alone. A change therefore waits for `knows`, unless that is no longer than the lease.
 #[test]
 fn one_that_is_cut_off_still_goes_by_the_old_revision_after_its_lease_and_the_linger() {
     let (mut world, chair, other) = formed(7, Length { acts: 3_000.0, knows: 6_000.0 }, 1_000.0);
--- a/crates/fleet/tests/fleet/peer.rs
+++ b/crates/fleet/tests/fleet/peer.rs
@@ -1,4 +1,4 @@
-//! Members in this process, and what they were told.
+//! Members that run in the test process, and a record of the callbacks that they received.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -24,23 +24,24 @@
     grant: 1_200.0,
 };
 
-/// All that one member was told.
+/// All callbacks that one member received.
 #[derive(Default)]
 pub struct Told {
     pub acts: Vec<Act>,
     pub answers: Vec<(u64, Result<StageNo, Refusal>)>,
-    /// By zone and product.
+    /// By zone and class.
     pub shares: BTreeMap<(u16, u16), f64>,
 }
 
 pub type Shared = Arc<(Mutex<Told>, Condvar)>;
 
-/// Uses every revision but those whose text says otherwise, and settles at once or when it is told to.
+/// A controller that accepts every revision unless its text contains "unfit", and reports its proxies as settled at
+/// once, or only when the test calls it if `by_hand` is set.
 pub struct Noted {
     pub told: Shared,
     pub by_hand: bool,
     pub talk: Arc<Mutex<Option<Talk>>>,
-    /// Of fair shares, once a revision is in force.
+    /// The quota plan, once a revision is in force.
     pub plan: Option<Arc<Plan>>,
 }
 
@@ -99,7 +100,7 @@
 }
 
 impl One {
-    /// Waits until what it was told is so.
+    /// Waits until `found` returns a value for the recorded callbacks.
     pub fn until<T>(&self, what: &str, found: impl Fn(&Told) -> Option<T>) -> T {
         let (lock, news) = &*self.told;
         let (mut told, by) = (lock.lock().unwrap(), Instant::now() + Duration::from_secs(20));
@@ -138,14 +139,14 @@
     Revision { no: RevisionNo(no), digest: Digest::of(text), text: text.into() }
 }
 
-/// Another loopback address for each call and each process, from which no other test's connection leaves.
+/// Returns a loopback address that differs by call and process, so that no other test's outgoing connection uses it.
 fn own() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (run, call) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     Ipv4Addr::new(127, 64 + (run & 63) as u8, (run >> 6 & 255) as u8, 1 + (call % 250) as u8)
 }
 
-/// Addresses that were free a moment ago.
+/// Returns members with addresses that were free just before.
 pub fn members(votes: &[bool]) -> Vec<Member> {
     let held: Vec<TcpListener> = votes.iter().map(|_| TcpListener::bind((own(), 0)).unwrap()).collect();
     let member = |(place, listener): (usize, &TcpListener)| Member {
@@ -178,7 +179,7 @@
     stands(post(members, place, folder), plan, false)
 }
 
-/// Settles when [`Talk::settled`] is called for it.
+/// Starts a member that settles only when the test calls [`Talk::settled`].
 pub fn by_hand(members: &[Member], place: usize, folder: &Path) -> One {
     stands(post(members, place, folder), None, true)
 }
@@ -186,12 +187,12 @@
 pub fn stands(post: Post, plan: Option<Arc<Plan>>, by_hand: bool) -> One {
     let (told, talk) = (Shared::default(), Arc::new(Mutex::new(None)));
     let steward = Noted { told: told.clone(), by_hand, talk: talk.clone(), plan };
-    // The address of one that just ended may be held for a moment.
+    // The address of a member that has just ended may still be in use for a moment.
     let by = Instant::now() + Duration::from_secs(5);
     wait_free(post.listen, by);
     let started = start(post, steward, Logger::root(Discard, o!())).expect("a member");
     *talk.lock().unwrap() = Some(started.clone());
-    // What it was told before it could say so.
+    // Callbacks that it received before the handle was set.
     if let (Some(Act::On { stage, .. }), false) = (told.0.lock().unwrap().acts.last(), by_hand) {
         started.settled(stage.no, true);
     }
--- a/crates/fleet/tests/fleet/stores.rs
+++ b/crates/fleet/tests/fleet/stores.rs
@@ -1,4 +1,4 @@
-//! Folders that are cut, flipped, taken away, copied or used twice.
+//! Stores whose files are truncated, corrupted, missing or used by two processes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
     logs.find(|path| path.file_name().unwrap().to_str().unwrap().starts_with("log-")).unwrap()
 }
 
-/// What each prefix of these amounts to.
+/// Records of all kinds, to be written one after the other.
 fn steps() -> Vec<Lasting> {
     vec![vote(1), entries(1, 3, 1), vote(2), entries(3, 4, 2), base(2, 5), entries(8, 1, 3), vote(4)]
 }
@@ -53,12 +53,12 @@
     assert_eq!((store.disk(), found), (Disk(7), Found::Whole));
     assert_eq!(store.kept(), all.last().unwrap());
     assert_eq!(store.kept().term, Term(4));
-    // Six entries stood, five of them went into the base, one came after.
+    // Six entries were logged, five of them are covered by the snapshot, and one was appended after it.
     assert_eq!((store.kept().entries.len(), store.kept().base.as_ref().unwrap().0 .1), (2, Place(5)));
     assert!(matches!(open(dir.path()), Err(StoreFault::InUse(_))));
 }
 
-/// A process that was killed in the midst of a write has half a record behind what it promised.
+/// A process that is killed during a write leaves a partial record after the promised ones.
 #[test]
 fn half_a_record_behind_the_seal_is_cut_off() {
     let dir = tempfile::tempdir().unwrap();
@@ -78,7 +78,8 @@
     assert_eq!(open(dir.path()).unwrap().0.kept().term, Term(9));
 }
 
-/// Guards against a vote that was given, lost, and given again to another: no byte before the seal may be wrong.
+/// Guards against a vote that is granted, lost and granted again to another candidate: every corrupted byte before the
+/// seal must be detected.
 #[test]
 fn a_byte_that_changes_or_is_cut_before_the_seal_is_never_passed_over() {
     let dir = tempfile::tempdir().unwrap();
@@ -103,7 +104,7 @@
     assert!(open(dir.path()).is_ok());
 }
 
-/// Guards against a start that ended before anything was promised and then can't be repeated.
+/// Guards against a first start that is interrupted before any promise and then can't be repeated.
 #[test]
 fn a_first_start_that_was_cut_short_begins_anew() {
     let dir = tempfile::tempdir().unwrap();
@@ -113,7 +114,7 @@
     assert_eq!((store.disk(), found), (Disk(9), Found::New));
 }
 
-/// A crash between the next log and the seal that names it leaves both; the seal says which one counts.
+/// A crash between writing the next log and sealing it leaves both logs; the seal tells which one is valid.
 #[test]
 fn a_log_that_no_seal_names_yet_counts_for_nothing() {
     let dir = tempfile::tempdir().unwrap();
@@ -125,13 +126,13 @@
     assert!(!next.exists());
 }
 
-/// After a write that failed the disk holds nobody knows what: nothing more may be promised on it in this run.
+/// After a failed write the contents of the disk are unknown: this process must make no more promises based on them.
 #[test]
 fn a_write_that_failed_is_the_last_one() {
     let dir = tempfile::tempdir().unwrap();
     let (mut store, _) = open(dir.path()).unwrap();
     store.last(&[vote(1)]).unwrap();
-    // The next log can't be made: something else has its name.
+    // The next log can't be created: a folder has its name.
     fs::create_dir(dir.path().join("log-2")).unwrap();
     assert!(matches!(store.last(&[base(1, 0)]), Err(StoreFault::Io(..))));
     assert!(matches!(store.last(&[vote(2)]), Err(StoreFault::Stopped)));
