--- a/crates/fleet/tests/fleet/turned_away.rs
+++ b/crates/fleet/tests/fleet/turned_away.rs
@@ -1,4 +1,4 @@
-//! Messages that are not for this member, or can't be; and what each error says to operators.
+//! Rejected messages (for another member, or malformed), and the advice of each error for operators.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -6,21 +6,21 @@
 use std::sync::Arc;
 
 use amberarch_accord::{Digest, FleetId, Name, Refusal, RevisionNo, Unfit};
-use amberarch_fleet::{Counts, Door, Envelope, Fault, Refused, Spoilt, StoreFault};
+use amberarch_fleet::{Admission, Counts, Envelope, Fault, Malformed, Refused, StoreFault};
 
 fn envelope(fleet: &str, from: &str, boot: u64, to: &str) -> Envelope {
     Envelope { fleet: fleet.into(), from: from.into(), boot, to: to.into(), said: None }
 }
 
-fn door() -> (Door, Arc<Counts>) {
+fn admission() -> (Admission, Arc<Counts>) {
     let (names, counts): (BTreeSet<Name>, Arc<Counts>) = (["a", "b"].map(Name::from).into(), Arc::default());
-    (Door::new(FleetId("lv".into()), Name::from("a"), names, counts.clone()), counts)
+    (Admission::new(FleetId("lv".into()), Name::from("a"), names, counts.clone()), counts)
 }
 
 #[test]
-fn other_fleets_strangers_spoilt_words_and_a_name_used_twice_are_turned_away_and_counted() {
-    let (door, counts) = door();
-    let said = |envelope| door.pass(envelope).expect_err("nothing good in it").to_string();
+fn messages_of_other_fleets_of_unknown_or_duplicate_names_and_malformed_ones_are_rejected_and_counted() {
+    let (admission, counts) = admission();
+    let said = |envelope| admission.admit(envelope).expect_err("nothing good in it").to_string();
     let long = "x".repeat(1 << 20);
     let all = [
         said(envelope("ee", "b", 1, "a")),
@@ -46,7 +46,7 @@
     assert_eq!((counts.named_twice.get(), counts.heard.get()), (1, 0));
 }
 
-/// One of each kind. A new one breaks the match, so that it comes in here and onto the page.
+/// One error of each kind. A new variant breaks the `match`, so that it is added here and to the operators' page.
 fn faults() -> Vec<(&'static str, String, &'static str)> {
     let path = || PathBuf::from("/var/lib/fleet");
     let io = || io::Error::other("no room");
@@ -99,7 +99,7 @@
         Refused::NotAMember { from: text() },
         Refused::OwnName { from: text() },
         Refused::NamedTwice { from: text(), old: 1, new: 2 },
-        Refused::Spoilt { from: text(), what: Spoilt("digest") },
+        Refused::Spoilt { from: text(), what: Malformed("digest") },
         Refused::Huge(text()),
     ];
     let refused = refused.into_iter().map(|fault| {
