--- a/crates/fleet/src/dealing/tests.rs
+++ b/crates/fleet/src/dealing/tests.rs
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn two_plans_are_joint_and_what_is_in_force_is_never_more_than_there_is() {
+fn rates_in_force_never_exceed_the_capacity_while_two_plans_are_joint() {
     let mut spent = Vec::new();
     for seed in 0..40 {
         let mut world = World::new(seed, 0.1);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -61,24 +61,36 @@
     pub name: Name,
     pub listen: SocketAddr,
     pub members: Vec<Member>,
+    /// Durable store; required for a voter.
     pub folder: Option<PathBuf>,
     pub lengths: Lengths,
+    /// Largest message accepted from a peer.
     pub message_bytes: usize,
+    /// Path of the history file, for tests and audits.
     pub history: Option<PathBuf>,
     pub seed: u64,
 }
 
-/// Durations of the operator's file, in ms; `drift` is a fraction (the largest clock drift).
+/// Durations of the operator's file, in ms; `drift` is a fraction (the maximum relative drift between two members'
+/// clocks).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lengths {
+    /// How long a member may act on a stage after it requested the lease.
     pub acts: f64,
+    /// How long after that request the fleet goes no further than the stage and the revision staged in it.
     pub knows: f64,
     pub drift: f64,
+    /// Added to the drift, for rounding and the time that reading the clock takes.
     pub slack: f64,
+    /// From the end of a lease until no proxy has any order issued under it.
     pub linger: f64,
+    /// Election timeout.
     pub election: f64,
+    /// Heartbeat interval of the leader.
     pub beat: f64,
+    /// Time within which all running controllers have to have checked a revision.
     pub check_within: f64,
+    /// Duration of quota grants.
     pub grant: f64,
 }
 
--- a/crates/fleet/tests/fleet/loopback.rs
+++ b/crates/fleet/tests/fleet/loopback.rs
@@ -127,7 +127,7 @@
 
 /// Guards against a voter with a corrupted folder that does not direct traffic, and against one that still votes.
 #[test]
-fn a_voter_whose_folder_is_spoilt_starts_follows_and_does_not_vote_and_stands_again_on_an_empty_one() {
+fn a_voter_with_a_corrupted_folder_follows_without_voting_and_votes_again_with_an_empty_one() {
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
     let mut all: Vec<Option<One>> = (0..3).map(|place| Some(one(&members, place, dir.path()))).collect();
     let proposes = |one: &Option<One>, no: u64| {
@@ -218,7 +218,7 @@
 /// Guards against a voter on a new disk whose vote elects a leader although it may have lost an earlier vote, and
 /// against one whose vote never counts again: then the next voter that is stopped would stop the fleet.
 #[test]
-fn a_voter_on_a_new_disk_elects_nobody_until_that_disk_stands_in_the_log_and_elects_afterwards() {
+fn a_voter_on_a_new_disk_elects_nobody_until_that_disk_is_committed_and_elects_afterwards() {
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
     // Each new leader waits until leases of earlier ones have expired (`knows`).
     let lengths = Lengths { acts: 600.0, knows: 700.0, ..LENGTHS };
@@ -367,7 +367,7 @@
 
 /// Guards against three controllers that each admit the whole capacity.
 #[test]
-fn what_three_members_let_in_together_is_what_there_is() {
+fn three_members_together_admit_no_more_than_the_capacity() {
     let plan = plan();
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
     let all: Vec<One> = (0..3).map(|place| dealt(&members, place, dir.path(), Some(plan.clone()))).collect();
@@ -405,7 +405,7 @@
 /// in the histories of members while demand changed, hosts went away and the leader ended, and must find one if the
 /// recorded capacity is lowered afterwards.
 #[test]
-fn a_judge_reads_what_members_gave_and_took_while_hosts_went_and_the_chair_ended() {
+fn the_checker_follows_the_grants_of_members_while_hosts_go_and_the_leader_ends() {
     let plan = plan();
     let (dir, members) = (tempfile::tempdir().unwrap(), members(&[true, true, true]));
     let files: Vec<PathBuf> =
