--- a/crates/residency/src/compile.rs
+++ b/crates/residency/src/compile.rs
@@ -1,4 +1,4 @@
-//! Rules made into what holds for each product and home zone, or the first thing that is wrong with them.
+//! Compiles rules into a permit for each request class and home zone, or reports the first error in them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -9,29 +9,29 @@
 use crate::reach::{Governed, Permit, Reach};
 use crate::section::{Rule, Section};
 
-/// What the deployment has; places in the lists are the numbers that decisions use.
+/// Names of the deployment; the index in each list is the id that decisions use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Facts {
     pub zones: Vec<String>,
     pub products: Vec<String>,
-    /// Products that may be governed, by the operator's file.
+    /// Classes that may be governed, by the operator's file.
     pub govern: BTreeSet<ClassId>,
 }
 
-/// Rules as they hold from the time they were compiled for.
+/// The rules in force at the time for which they were compiled.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Compiled {
     pub reach: Reach,
-    /// What the revision says may be declined while it comes to hold.
+    /// Pairs whose txns the revision allows to be rejected while it is being put in force.
     pub meanwhile: BTreeSet<Governed>,
-    /// Unix time in ms at which an exception ends, as far ahead of its stated end as clocks may be off: from then on
-    /// it has to be compiled anew.
+    /// Unix time in ms at which an exception ends, earlier than its stated end by the bound of clock
+    /// skew. From then on the rules have to be compiled again.
     pub until: Option<f64>,
 }
 
 type Span = Range<usize>;
 
-/// Why rules can't be used. Each has its place in the file.
+/// Why rules can't be used, each with its span in the file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Unfit {
     #[error("{count} zones: residency can tell {} apart", Zones::CAPACITY)]
@@ -63,7 +63,7 @@
 }
 
 impl Unfit {
-    /// Where it stands in the file; the whole file: nowhere.
+    /// Byte span in the file; `0..0` if the error concerns the whole file.
     pub fn span(&self) -> Span {
         match self {
             Unfit::TooManyZones { .. } => 0..0,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
             Unfit::TooManyZones { .. } => "govern a deployment with fewer zones, or leave `[residency]` out",
@@ -108,8 +108,8 @@
     }
 }
 
-/// A rule without names.
-struct Plain<'a> {
+/// A rule with its names resolved to ids.
+struct ResolvedRule<'a> {
     name: &'a str,
     span: Span,
     pairs: BTreeSet<Governed>,
@@ -117,13 +117,13 @@
     forbid: Zones,
     fallback: Vec<Zones>,
     never: bool,
-    /// Unix ms at which it counts as over.
+    /// Unix time in ms at which it ends.
     ends: Option<f64>,
     declined: bool,
 }
 
-impl Plain<'_> {
-    /// Not counting what others forbid.
+impl ResolvedRule<'_> {
+    /// The permit of this rule alone, without what other rules forbid.
     fn permit(&self, all: Zones) -> Permit {
         let mut left = all.difference(self.forbid);
         let tiers = std::iter::once(self.permit.unwrap_or(all)).chain(self.fallback.iter().copied());
@@ -136,11 +136,11 @@
     }
 }
 
-/// Compiles the rules as they hold at that Unix time.
+/// Compiles the rules in force at that Unix time.
 ///
 /// # Errors
-/// The first thing that is wrong: a name that is not known, rules that contradict each other or never apply, a
-/// product left without a zone, an end in the past.
+/// The first error: an unknown name, rules that contradict each other or never apply, a class left
+/// without a zone, an end in the past.
 pub fn compile(section: &Section, facts: &Facts, unix_ms: f64) -> Result<Compiled, Unfit> {
     if facts.zones.len() > usize::from(Zones::CAPACITY) {
         return Err(Unfit::TooManyZones { count: facts.zones.len() });
@@ -148,17 +148,17 @@
     let names = Names::new(section, facts)?;
     let mut rules = Vec::new();
     for rule in &section.rule {
-        let plain = names.plain(section, rule, unix_ms)?;
-        if rules.iter().any(|other: &Plain| other.name == plain.name) {
-            return Err(Unfit::SameName { name: plain.name.into(), span: rule.get_ref().name.span() });
+        let resolved = names.resolve(section, rule, unix_ms)?;
+        if rules.iter().any(|other: &ResolvedRule| other.name == resolved.name) {
+            return Err(Unfit::SameName { name: resolved.name.into(), span: rule.get_ref().name.span() });
         }
-        rules.push(plain);
+        rules.push(resolved);
     }
-    // Rules are looked at as they hold now and after each end: one that comes to count only then is not dead.
+    // Rules are checked as of now and after each end: a rule that takes effect only then is not shadowed.
     let ends: BTreeSet<u64> = rules.iter().filter_map(|rule| rule.ends).map(|end| end as u64).collect();
     let times: Vec<f64> = std::iter::once(unix_ms).chain(ends.iter().map(|end| *end as f64)).collect();
-    let at = |time: f64, without: Option<usize>| -> Vec<&Plain> {
-        let holds = |rule: &Plain| rule.ends.is_none_or(|end| time < end);
+    let at = |time: f64, without: Option<usize>| -> Vec<&ResolvedRule> {
+        let holds = |rule: &ResolvedRule| rule.ends.is_none_or(|end| time < end);
         let all = rules.iter().enumerate().filter(|(place, _)| Some(*place) != without);
         all.map(|(_, rule)| rule).filter(|rule| holds(rule)).collect()
     };
@@ -176,11 +176,11 @@
     let declined = at(unix_ms, None).into_iter().filter(|rule| rule.declined);
     compiled.meanwhile = declined.flat_map(|rule| rule.pairs.iter().copied()).collect();
     for (place, rule) in rules.iter().enumerate() {
-        let dead = |why: String| Unfit::Shadowed { rule: rule.name.into(), why, span: rule.span.clone() };
+        let shadowed = |why: String| Unfit::Shadowed { rule: rule.name.into(), why, span: rule.span.clone() };
         if rule.pairs.is_empty() {
-            return Err(dead("no txn comes to it".into()));
+            return Err(shadowed("no txn comes to it".into()));
         }
-        let counts = |time: &f64| {
+        let has_effect = |time: &f64| {
             let (with, without) = (at(*time, None), at(*time, Some(place)));
             let differs = |pair: &Governed| {
                 let governed = without.iter().any(|rule| rule.pairs.contains(pair));
@@ -188,16 +188,17 @@
             };
             rule.ends.is_none_or(|end| *time < end) && rule.pairs.iter().any(differs)
         };
-        if !rule.declined && !times.iter().any(counts) {
-            let other = |other: &&Plain| other.name != rule.name && !other.pairs.is_disjoint(&rule.pairs);
+        if !rule.declined && !times.iter().any(has_effect) {
+            let other =
+                |other: &&ResolvedRule| other.name != rule.name && !other.pairs.is_disjoint(&rule.pairs);
             let by = rules.iter().find(other).map_or("nothing", |other| other.name);
-            return Err(dead(format!("`{by}` leaves it nothing to change")));
+            return Err(shadowed(format!("`{by}` leaves it nothing to change")));
         }
     }
     Ok(compiled)
 }
 
-/// What names stand for.
+/// Resolves names of zones, labels and classes.
 struct Names<'a> {
     facts: &'a Facts,
     labels: BTreeMap<&'a str, Zones>,
@@ -213,7 +214,7 @@
             if facts.zones.contains(name.get_ref()) {
                 return Err(Unfit::SameName { name: name.get_ref().clone(), span: name.span() });
             }
-            // A label is of zones alone: one of labels could go in circles.
+            // A label names zones only; labels of labels could form a cycle.
             labels.insert(name.get_ref().as_str(), names.zones(zones)?);
         }
         names.labels = labels;
@@ -244,14 +245,19 @@
         named.iter().map(one).collect()
     }
 
-    fn plain(&self, section: &Section, rule: &'a Spanned<Rule>, unix_ms: f64) -> Result<Plain<'a>, Unfit> {
+    fn resolve(
+        &self,
+        section: &Section,
+        rule: &'a Spanned<Rule>,
+        unix_ms: f64,
+    ) -> Result<ResolvedRule<'a>, Unfit> {
         let (whole, rule) = (rule.span(), rule.get_ref());
         let (name, span) = (rule.name.get_ref().as_str(), rule.name.span());
         let from = |from: &Option<Vec<Spanned<String>>>| match from {
             Some(zones) => self.zones(zones),
             None => Ok(self.all),
         };
-        let (products, comes) = match (&rule.customer, &rule.products) {
+        let (products, arrives_at) = match (&rule.customer, &rule.products) {
             (Some(customer), None) => {
                 let known = section.customers.iter().find(|(name, _)| name.get_ref() == customer.get_ref());
                 let (name, span) = (customer.get_ref().clone(), customer.span());
@@ -261,7 +267,7 @@
             (None, Some(products)) => (self.products(products)?, self.all),
             _ => return Err(Unfit::Subject { rule: name.into(), span: whole }),
         };
-        let from = from(&rule.from)?.intersection(comes);
+        let from = from(&rule.from)?.intersection(arrives_at);
         if rule.never && !rule.fallback.is_empty() {
             return Err(Unfit::NeverFallback { rule: name.into(), span });
         }
@@ -274,7 +280,7 @@
                 let since = time.ok().and_then(|time| time.duration_since(std::time::UNIX_EPOCH).ok());
                 let end =
                     since.ok_or_else(|| Unfit::NoTime { rule: name.into(), span: until.span() })?.as_millis();
-                // A clock that is late by the bound still ends it in time.
+                // A clock that is behind by the bound still ends it in time.
                 let end = end as f64 - section.clock_skew.as_millis() as f64;
                 if end <= unix_ms {
                     return Err(Unfit::Ended { rule: name.into(), span: until.span() });
@@ -283,7 +289,7 @@
             }
         };
         let pairs = products.iter().flat_map(|product| from.iter().map(move |zone| (*product, zone)));
-        let plain = Plain {
+        let resolved = ResolvedRule {
             name,
             span,
             pairs: pairs.collect(),
@@ -294,43 +300,45 @@
             ends,
             declined: rule.declined,
         };
-        if plain.permit(self.all).tiers.is_empty() && !plain.declined {
-            if let Some(pair) = plain.pairs.first() {
-                let (product, from) = self.named(*pair);
-                return Err(Unfit::Nowhere { rule: name.into(), product, from, span: plain.span });
+        if resolved.permit(self.all).tiers.is_empty() && !resolved.declined {
+            if let Some(pair) = resolved.pairs.first() {
+                let (product, from) = self.names_of(*pair);
+                return Err(Unfit::Nowhere { rule: name.into(), product, from, span: resolved.span });
             }
         }
-        Ok(plain)
+        Ok(resolved)
     }
 
-    fn named(&self, (product, zone): Governed) -> (String, String) {
+    fn names_of(&self, (product, zone): Governed) -> (String, String) {
         let name = |names: &[String], at: u16| names.get(usize::from(at)).cloned().unwrap_or_default();
         (name(&self.facts.products, product.0), name(&self.facts.zones, zone.0))
     }
 
-    /// What all rules of the pair leave. What any forbids is forbidden, and where any says never, what is left of
-    /// the first tier is all.
-    fn permit(&self, holding: &[&Plain], pair: Governed) -> Result<Permit, Unfit> {
-        let of: Vec<&Plain> = holding.iter().copied().filter(|rule| rule.pairs.contains(&pair)).collect();
-        // An exception stands in place of what rules without an end permit.
+    /// The permit that all rules of the pair leave. A zone that any rule forbids is forbidden, and if any
+    /// rule says `never`, only the remainder of the first tiers is left.
+    fn permit(&self, holding: &[&ResolvedRule], pair: Governed) -> Result<Permit, Unfit> {
+        let of: Vec<&ResolvedRule> =
+            holding.iter().copied().filter(|rule| rule.pairs.contains(&pair)).collect();
+        // An exception replaces what rules without an end permit.
         let excepted = of.iter().any(|rule| rule.ends.is_some());
         let mut left = Permit { tiers: vec![self.all] };
-        let mut last: Option<&Plain> = None;
+        let mut last: Option<&ResolvedRule> = None;
         let declined = of.iter().any(|rule| rule.declined);
-        // Those that only forbid, and those that say never, come last and so are named beside what they empty.
+        // Rules that only forbid, and rules that say `never`, are applied last so that the error names
+        // them beside the rule whose zones they remove.
         let permitting = of.iter().filter(|rule| !excepted || rule.ends.is_some());
         let steps = permitting.map(|rule| (*rule, rule.permit(self.all)));
         let forbidding = of.iter().filter(|rule| !rule.forbid.is_empty());
         let forbids =
             forbidding.map(|rule| (*rule, Permit { tiers: vec![self.all.difference(rule.forbid)] }));
-        let mut steps: Vec<(&Plain, Option<Permit>)> =
+        let mut steps: Vec<(&ResolvedRule, Option<Permit>)> =
             steps.chain(forbids).map(|(rule, permit)| (rule, Some(permit))).collect();
         steps.extend(of.iter().filter(|rule| rule.never).map(|rule| (*rule, None)));
         for (rule, permit) in steps {
             let before = left;
             left = match &permit {
                 Some(permit) => before.within(permit),
-                // Never: what all rules have in their first tier.
+                // `never`: the zones that all rules have in their first tier.
                 None => {
                     let firsts = of.iter().filter(|rule| !excepted || rule.ends.is_some());
                     let first = firsts.fold(self.all, |all, rule| {
@@ -341,9 +349,9 @@
                 }
             };
             if left.tiers.is_empty() && !declined {
-                let (product, from) = self.named(pair);
+                let (product, from) = self.names_of(pair);
                 let (rule, span) = (rule.name.to_string(), rule.span.clone());
-                let clash = |other: &&&Plain| {
+                let clash = |other: &&&ResolvedRule| {
                     other.name != rule
                         && permit.as_ref().is_none_or(|permit| {
                             permit.all().intersection(other.permit(self.all).all()).is_empty()
--- a/crates/residency/src/judge.rs
+++ b/crates/residency/src/judge.rs
@@ -1,36 +1,40 @@
-//! The second line of defence: no reply is written that could put a line outside the reach into a proxy's hands.
+//! Residency check, independent of the decisions: no reply is written that could give a proxy a table
+//! entry outside the reach.
 //!
-//! It knows which orders were accepted and what proxies have confirmed, and nothing of why. Three rules make it
-//! sound whatever the channel does:
-//! - a proxy has applied its orders up to the last mark that it answered, and may have applied any further ones, so
-//!   each place from there on counts;
-//! - a call may be carried out again until a later reply, of which no repeat was ever told, has been answered and
-//!   stayed so for [`TOLD_BY`]: until then what was set and unset in between may come back;
-//! - a proxy that left is as it was until the linger after it is over, and one that joins may hold anything until it
-//!   is bound and has answered.
+//! The check knows which orders were accepted and what proxies have confirmed, and nothing about why
+//! orders were issued. Three rules keep it sound whatever the channel does:
+//! - A proxy has applied its orders up to the last mark that it answered and may have applied any later
+//!   ones, so every index from there on counts.
+//! - A call may be retried until a later reply, which was never reported as retried, has been answered
+//!   and [`TOLD_BY`] has passed since. Until then, what was set and unset in between may come back.
+//! - A proxy that left keeps its state until its linger is over, and a proxy that joins may hold anything
+//!   until it is bound and has answered.
 //!
-//! Orders that narrow (a line taken out, a table cleared, a host shut out) always pass. A line that is set again at
-//! another weight is judged as a new one. `TblId::ALL` is refused in lines and binds: the platform's page knows no
-//! such thing.
+//! Orders that narrow (an entry removed, a table cleared, a host withdrawn) always pass. An entry that is
+//! set again at another weight is checked as a new one. `TableId::ALL` is refused in entries and binds,
+//! because the platform's specification has no such orders.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use amberarch_core::*;
 
-use crate::model::{meet, reopen, set, unset, At, Host, Part, Proxy, Span, Table, Use, OPEN};
+use crate::model::{
+    may_coincide, reopen, set, unset, Condition, Host, OrderIndex, Proxy, Span, Table, Use, OPEN,
+};
 use crate::reach::InUse;
 
-/// The relay tells of a repeat after the answer's time is over and the longest pause: 50 ms and 1.5 s. The rest is
-/// left to a busy process. In ms; a front that tells what was answered is not held up by it.
+/// Time in ms after which a retry would have been reported. The relay reports a retry once the answer's
+/// time limit (50 ms) and the longest pause (1.5 s) are over; the rest allows for a busy process. A
+/// caller that reports answers through [`Judge::answered`] does not wait for it.
 pub const TOLD_BY: f64 = 2_000.0;
-/// Replies whose marks are remembered: at twenty a second, those of three minutes. An answer to an older one is of
-/// no use.
-const MARKS: usize = 4_096;
+/// Number of replies whose marks are remembered: three minutes at twenty replies a second. An answer to
+/// an older mark is of no use.
+const MAX_MARKS: usize = 4_096;
 
-/// How something outside the reach comes, or may have come, into a proxy's hands.
+/// How a proxy comes, or may have come, to hold an entry outside the reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum How {
-    #[error("a line is set in a table that it uses")]
+    #[error("an entry is set in a table that it uses")]
     Line,
     #[error("it is bound to a table that names the host")]
     Bind,
@@ -48,39 +52,39 @@
     Left,
 }
 
-/// Who may hold what.
+/// A proxy that may hold an entry outside the reach, and which one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "proxy {} in zone {}, product {}, table {:?}, host {:?} in zone {:?}: {how}",
-    proxy.0, from.0, product.0, tbl.map(|tbl| tbl.0), host.map(|host| host.0), zone.map(|zone| zone.0)
+    proxy.0, from.0, product.0, table_id.map(|table_id| table_id.0), host.map(|host| host.0), zone.map(|zone| zone.0)
 )]
 pub struct Witness {
     pub proxy: ProxyId,
     /// Its home zone.
     pub from: ZoneId,
     pub product: ClassId,
-    pub tbl: Option<TableId>,
+    pub table_id: Option<TableId>,
     pub host: Option<HostId>,
-    /// Where the host is listed; none: it never was.
+    /// Zone in which the host is listed; `None` if it was never listed.
     pub zone: Option<ZoneId>,
     pub how: How,
 }
 
-/// An order that can't be written.
+/// An order that must not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("order {order} would break residency: {witness}")]
 pub struct Breach {
-    /// Its place in the reply.
+    /// Its index in the reply.
     pub order: usize,
     pub witness: Witness,
 }
 
 impl Witness {
-    /// What an operator can do.
+    /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self.how {
             How::Line | How::Bind | How::LetIn | How::AllTables | How::NotJoined => {
-                "nothing was written; report the line, as the decisions should not have ordered it"
+                "nothing was written; report the order, as the decisions should not have ordered it"
             }
             How::Unproven | How::Held => {
                 "wait; if it lasts, look whether the relay answers and the proxy reads"
@@ -97,19 +101,19 @@
     }
 }
 
-/// A reply without what would break residency.
+/// A reply without the orders that would break residency.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sifted {
     pub orders: Vec<Order>,
-    /// What was left out: the decisions have to hear of it, since they count it as ordered.
+    /// Refused orders. They have to be passed back to the decisions, which count them as ordered.
     pub refused: Vec<(Order, Breach)>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Sent {
-    at: At,
-    /// A repeat of it was told.
-    again: bool,
+    at: OrderIndex,
+    /// A retry of its call was reported.
+    retried: bool,
     answered: bool,
 }
 
@@ -117,78 +121,80 @@
 struct Answer {
     at: f64,
     mark: MarkId,
-    /// Its place.
-    to: At,
-    /// Accepted orders when it was heard.
-    line: At,
+    /// Its order index.
+    to: OrderIndex,
+    /// Number of accepted orders when the answer arrived.
+    accepted: OrderIndex,
 }
 
-/// What may come back once a repeat ends, so that it can be bounded then.
+/// State that a retry may bring back; its span is closed once retries are ruled out.
 #[derive(Clone, Copy, Debug)]
-enum Loose {
-    Line(TableId, HostId),
+enum Repeatable {
+    Entry(TableId, HostId),
     Use(ProxyId),
     Host(HostId),
 }
 
-/// How to undo an order of a reply that is refused.
+/// How to undo an order of a refused reply.
 enum Undo {
-    Line(TableId, HostId, Option<Vec<Span>>),
+    Entry(TableId, HostId, Option<Vec<Span>>),
     Host(HostId, Vec<Span>),
     Uses(ProxyId, Vec<Use>),
 }
 
 pub struct Judge {
-    /// The mask of all products.
-    products: u64,
-    /// How long a host counts for the zone that it was listed in before, ms.
+    /// Mask of all request classes.
+    all_classes: u64,
+    /// How long a host still counts for the zone in which it was listed before, in ms.
     grace: f64,
     reach: InUse,
-    /// What holds for products of a mask that come to a zone.
+    /// Cache: zones allowed to all classes of a mask at a home zone.
     allowed: BTreeMap<(ZoneId, u64), Zones>,
     tables: BTreeMap<TableId, Table>,
     hosts: BTreeMap<HostId, Host>,
     proxies: BTreeMap<ProxyId, Proxy>,
     unproven: BTreeMap<Pair, BTreeSet<ProxyId>>,
-    /// Lines that may be outside the reach in a proxy's hands; no other is.
+    /// Entries outside the reach that a proxy may hold; no other entry is.
     suspects: BTreeSet<(TableId, HostId)>,
-    /// Who left, and which hosts changed their zone, in order of time.
+    /// Proxies that left, and hosts that changed their zone, in order of time.
     departed: VecDeque<(f64, ProxyId)>,
     moved: VecDeque<(f64, HostId)>,
-    at: At,
-    /// No call up to here is carried out again.
-    quiet: At,
-    /// Nor was any call up to here carried out after somebody had joined of whom nothing is known yet.
-    heard: At,
-    /// Since when no call up to there is carried out again: once that is a linger ago, who joined before its end is
-    /// known, and what did not take hold by then never will. For proxies that have left, and a steward that has none
-    /// to answer a mark.
-    stills: VecDeque<(f64, At)>,
-    still: At,
-    /// The last mark of which a repeat was told.
-    again_at: At,
+    at: OrderIndex,
+    /// No call up to this index is retried.
+    retry_horizon: OrderIndex,
+    /// No call up to this index is retried, and none was carried out after the join of a proxy whose join
+    /// has not been reported yet.
+    join_horizon: OrderIndex,
+    /// Times at which retries up to an index were first known to be ruled out. Once that is a linger ago,
+    /// every proxy that joined before is known, and a bind that had not taken effect by then never will.
+    /// Needed for proxies that have left, and for a controller without proxies that answer marks.
+    horizon_times: VecDeque<(f64, OrderIndex)>,
+    lingered_horizon: OrderIndex,
+    /// Index of the last mark whose call was reported as retried.
+    last_retried: OrderIndex,
     marks: BTreeMap<MarkId, Vec<Sent>>,
     remembered: VecDeque<MarkId>,
-    /// Marks by the time of their first answer, and how far the line went then.
+    /// Marks by the time of their first answer, with the number of accepted orders at that time.
     answers: VecDeque<Answer>,
-    /// The furthest mark that was answered and of which no repeat was told.
-    read: At,
-    /// Uses of proxies that left that may be binds on their way still, and of those that joined again since, which a
-    /// mark shows to have been carried out before, if it is not repeated.
-    parting: BTreeSet<(At, ProxyId)>,
-    /// Proxies of whose binds up to there one was given up.
-    doubts: BTreeMap<ProxyId, At>,
-    loose: VecDeque<(At, Loose)>,
+    /// Index of the furthest mark that was answered and whose call was not reported as retried.
+    last_confirmed_mark: OrderIndex,
+    /// Uses of proxies that left which may be binds still in flight, and uses of proxies that joined
+    /// again which a mark shows to have been carried out before the join, provided its call is not
+    /// retried.
+    in_flight_binds: BTreeSet<(OrderIndex, ProxyId)>,
+    /// Proxies with a bind that was given up, and the number of accepted orders at that time.
+    uncertain_binds: BTreeMap<ProxyId, OrderIndex>,
+    repeatable: VecDeque<(OrderIndex, Repeatable)>,
     undo: Vec<Undo>,
 }
 
 type Pair = (ZoneId, ClassId);
 
 impl Judge {
-    /// For so many products. `grace` is that of the drain, in ms.
+    /// `products` is the number of request classes; `grace` is the grace period of drains, in ms.
     pub fn new(products: u16, grace: f64) -> Judge {
         Judge {
-            products: if products >= 64 { u64::MAX } else { (1 << products) - 1 },
+            all_classes: if products >= 64 { u64::MAX } else { (1 << products) - 1 },
             grace,
             reach: InUse::new(),
             allowed: BTreeMap::new(),
@@ -200,29 +206,30 @@
             departed: VecDeque::new(),
             moved: VecDeque::new(),
             at: 0,
-            quiet: 0,
-            heard: 0,
-            stills: VecDeque::new(),
-            still: 0,
-            again_at: 0,
+            retry_horizon: 0,
+            join_horizon: 0,
+            horizon_times: VecDeque::new(),
+            lingered_horizon: 0,
+            last_retried: 0,
             marks: BTreeMap::new(),
             remembered: VecDeque::new(),
             answers: VecDeque::new(),
-            read: 0,
-            parting: BTreeSet::new(),
-            doubts: BTreeMap::new(),
-            loose: VecDeque::new(),
+            last_confirmed_mark: 0,
+            in_flight_binds: BTreeSet::new(),
+            uncertain_binds: BTreeMap::new(),
+            repeatable: VecDeque::new(),
             undo: Vec::new(),
         }
     }
 
-    /// The list names a host in a zone. Standing does not count here: a host that drains is shut out by the
-    /// decisions, and one that is gone still has its place.
+    /// The host list names a host in a zone. Its availability does not count here: the decisions withdraw
+    /// a host that drains, and a removed host still has its zone.
     pub fn listed(&mut self, now: f64, host: HostId, zone: ZoneId, _standing: Availability) {
         self.advance(now);
         let known = self.hosts.entry(host).or_default();
         known.forgotten = false;
-        // One that was lost is there again only by this, though the grace of its place is not over.
+        // A host that was lost gets its zone back only here, even while the grace period of its last zone
+        // is running.
         if known.places.last().is_some_and(|place| *place == (zone, f64::MAX)) {
             return;
         }
@@ -233,19 +240,19 @@
             self.moved.push_back((until, host));
         }
         known.places.push((zone, f64::MAX));
-        for tbl in &known.tables {
-            if let Some(table) = self.tables.get_mut(tbl) {
-                table.named = None;
+        for table_id in &known.tables {
+            if let Some(table) = self.tables.get_mut(table_id) {
+                table.entry_zones = None;
             }
         }
     }
 
-    /// The list names a known host in a zone that nobody knows. Where it is counts as it would had it moved, until the
-    /// drain's grace ends; then it is in no zone, and no governed product may be served by it.
+    /// The host list names a known host in an unknown zone. As with a move, its former zone counts until
+    /// the grace period of drains ends. After that it is in no zone and may serve no governed class.
     pub fn lost(&mut self, now: f64, host: HostId) {
         self.advance(now);
         let Some(known) = self.hosts.get_mut(&host) else { return };
-        // A list that says so again does not lengthen the grace.
+        // A list that repeats this does not extend the grace period.
         if known.places.last().is_some_and(|place| place.1 == f64::MAX) {
             let until = now + self.grace;
             known.places.iter_mut().for_each(|place| place.1 = place.1.min(until));
@@ -253,7 +260,7 @@
         }
     }
 
-    /// No order will name the host again: it is let go once no line can.
+    /// No order will name the host again. It is dropped once no entry can name it.
     pub fn forgotten(&mut self, host: HostId) {
         if let Some(known) = self.hosts.get_mut(&host) {
             known.forgotten = true;
@@ -263,18 +270,19 @@
         }
     }
 
-    /// What it holds is not known, fresh or not: a fresh one holds a standing table that nobody here ordered. What
-    /// it was bound to before may still be on its way to it.
+    /// A proxy joined. Its state is unknown even when it is fresh, because a fresh proxy holds a
+    /// bootstrap table that this controller did not order. Its earlier binds may still be in flight to
+    /// it.
     pub fn joined(&mut self, now: f64, proxy: ProxyId, zone: ZoneId, _fresh: bool) {
         self.advance(now);
-        self.part(proxy);
+        self.end_uses_at_departure(proxy);
         let at = self.at;
-        // What a mark that was answered before it came has behind it was carried out before it came.
+        // Binds ahead of a mark that was answered before the join were carried out before the join.
         let uses = self.proxies.get(&proxy).into_iter().flat_map(|known| &known.uses);
         for held in uses.filter(|held| held.span.to == OPEN) {
-            match held.span.from <= self.read {
-                true => drop(self.parting.insert((held.span.from, proxy))),
-                false => drop(self.parting.remove(&(held.span.from, proxy))),
+            match held.span.from <= self.last_confirmed_mark {
+                true => drop(self.in_flight_binds.insert((held.span.from, proxy))),
+                false => drop(self.in_flight_binds.remove(&(held.span.from, proxy))),
             }
         }
         let new = Proxy { zone, uses: vec![], floor: at, joined: at, unproven: 0, left: None };
@@ -282,14 +290,14 @@
         let (from, uses) = (known.zone, known.uses.clone());
         (known.zone, known.joined, known.left) = (zone, at, None);
         if from != zone {
-            self.prove(proxy, from, self.products);
+            self.confirm_classes(proxy, from, self.all_classes);
             let widened = self.regroup(proxy, from, uses);
-            widened.into_iter().for_each(|tbl| self.suspect(tbl));
+            widened.into_iter().for_each(|table_id| self.recheck_table(table_id));
         }
         let known = self.proxies.get_mut(&proxy).map(|known| &mut known.unproven);
-        known.into_iter().for_each(|unproven| *unproven = self.products);
-        for product in each(self.products) {
-            self.unproven.entry((zone, product)).or_default().insert(proxy);
+        known.into_iter().for_each(|unproven| *unproven = self.all_classes);
+        for class in classes_in(self.all_classes) {
+            self.unproven.entry((zone, class)).or_default().insert(proxy);
         }
     }
 
@@ -298,22 +306,23 @@
         if let Some(known) = self.proxies.get_mut(&proxy).filter(|known| known.left.is_none()) {
             known.left = Some(now);
             self.departed.push_back((now, proxy));
-            self.part(proxy);
+            self.end_uses_at_departure(proxy);
         }
     }
 
-    /// One that has gone reads no later order, and a bind that it had holds for what it was, not for what it is when
-    /// it comes back. Only one that may be on its way still takes hold then.
-    fn part(&mut self, proxy: ProxyId) {
-        let heard = self.heard;
+    /// A proxy that left applies no later order, and its binds hold for its old state, not for the state
+    /// in which it comes back. Only binds that may still be in flight can take effect after it comes
+    /// back.
+    fn end_uses_at_departure(&mut self, proxy: ProxyId) {
+        let join_horizon = self.join_horizon;
         let Some(known) = self.proxies.get(&proxy) else { return };
-        let open = known.uses.iter().filter(|held| held.span.to == OPEN && held.span.from > heard);
-        self.parting.extend(open.map(|held| (held.span.from, proxy)));
-        self.close(proxy, |held| held.span.from <= heard);
+        let open = known.uses.iter().filter(|held| held.span.to == OPEN && held.span.from > join_horizon);
+        self.in_flight_binds.extend(open.map(|held| (held.span.from, proxy)));
+        self.close_uses(proxy, |held| held.span.from <= join_horizon);
     }
 
-    /// No later order is read through these uses of the proxy.
-    fn close(&mut self, proxy: ProxyId, which: impl Fn(&Use) -> bool) {
+    /// Ends these uses of the proxy: it applies no later order through them.
+    fn close_uses(&mut self, proxy: ProxyId, which: impl Fn(&Use) -> bool) {
         let end = self.at + 1;
         let Some(known) = self.proxies.get_mut(&proxy) else { return };
         let (zone, before) = (known.zone, known.uses.clone());
@@ -322,46 +331,53 @@
         self.regroup(proxy, zone, before);
     }
 
-    /// Who joined before the call of a mark was carried out is known by its answer: news comes in order. So calls up
-    /// to there that are not carried out again were carried out before whatever is not known yet.
-    fn depart(&mut self) {
-        self.heard = self.heard.max(self.quiet.min(self.read));
-        while let Some((from, proxy)) = self.parting.first().copied().filter(|bind| bind.0 <= self.heard) {
-            self.parting.pop_first();
-            self.close(proxy, |held| held.span.from == from);
+    /// Events arrive in order, so the answer to a mark shows that every proxy that joined before the
+    /// mark's call was carried out is known. Calls up to there that are not retried were therefore
+    /// carried out before the joins that are not known yet.
+    fn close_applied_uses(&mut self) {
+        self.join_horizon = self.join_horizon.max(self.retry_horizon.min(self.last_confirmed_mark));
+        while let Some((from, proxy)) =
+            self.in_flight_binds.first().copied().filter(|bind| bind.0 <= self.join_horizon)
+        {
+            self.in_flight_binds.pop_first();
+            self.close_uses(proxy, |held| held.span.from == from);
         }
     }
 
-    /// The proxy has applied all up to the mark.
+    /// The proxy has applied all orders up to the mark.
     pub fn applied(&mut self, now: f64, proxy: ProxyId, mark: MarkId) {
         self.advance(now);
         let Some(sent) = self.marks.get_mut(&mark) else { return };
         let Some(known) = self.proxies.get_mut(&proxy) else { return };
-        // Decisions that start anew count their marks anew: an answer is taken for the oldest that it may be.
+        // A restarted decision module numbers its marks from the start again, so an answer is taken for
+        // the oldest mark that it can belong to.
         let Some(place) = sent.iter().position(|sent| sent.at > known.floor) else { return };
-        if sent[..place].iter().any(|earlier| earlier.again) {
+        if sent[..place].iter().any(|earlier| earlier.retried) {
             return;
         }
         let to = sent[place].at;
-        let clean = !sent[place].again;
+        let clean = !sent[place].retried;
         if !std::mem::replace(&mut sent[place].answered, true) && clean {
-            self.answers.push_back(Answer { at: now, mark, to, line: self.at });
+            self.answers.push_back(Answer { at: now, mark, to, accepted: self.at });
         }
-        // A mark that was accepted only after the answer to another: it went with a repeat of the other's call, which
-        // would have been told before, or with a later call, so the other's was answered.
-        let mut quiet = 0;
-        while let Some(earlier) = self.answers.front().copied().filter(|earlier| earlier.line < to) {
+        // This mark was accepted after the answer to the earlier one. It went out with a retry of the
+        // earlier call, which would have been reported before, or with a later call; so the earlier call
+        // was answered.
+        let mut retry_horizon = 0;
+        while let Some(earlier) = self.answers.front().copied().filter(|earlier| earlier.accepted < to) {
             self.answers.pop_front();
-            quiet = if self.is_clean(&earlier) { quiet.max(earlier.to) } else { quiet };
+            retry_horizon =
+                if self.is_clean(&earlier) { retry_horizon.max(earlier.to) } else { retry_horizon };
         }
-        self.calm(quiet);
-        self.read = if clean { self.read.max(to) } else { self.read };
-        self.depart();
+        self.raise_retry_horizon(retry_horizon);
+        self.last_confirmed_mark =
+            if clean { self.last_confirmed_mark.max(to) } else { self.last_confirmed_mark };
+        self.close_applied_uses();
         let Some(known) = self.proxies.get_mut(&proxy) else { return };
         let (from, zone) = (std::mem::replace(&mut known.floor, to), known.zone);
         let mut proven = 0;
         for held in &known.uses {
-            let table = self.tables.entry(held.tbl).or_default();
+            let table = self.tables.entry(held.table_id).or_default();
             let key = (zone, held.mask);
             let group = table.groups.entry(key).or_default();
             if held.span.end() <= to {
@@ -370,23 +386,23 @@
                     table.groups.remove(&key);
                 }
             } else {
-                group.lift(proxy, &held.span, (from, to));
+                group.raise_floor(proxy, &held.span, (from, to));
             }
             if held.span.from > known.joined && held.span.from <= to {
                 proven |= held.mask;
             }
         }
         known.uses.retain(|held| held.span.end() > to);
-        self.prove(proxy, zone, proven);
+        self.confirm_classes(proxy, zone, proven);
     }
 
-    /// No repeat of the mark's call was told.
+    /// Whether no retry of the mark's call was reported.
     fn is_clean(&self, answer: &Answer) -> bool {
         let sent = self.marks.get(&answer.mark).into_iter().flatten().find(|sent| sent.at == answer.to);
-        sent.is_some_and(|sent| !sent.again)
+        sent.is_some_and(|sent| !sent.retried)
     }
 
-    /// What holds from now on. What proxies hold already is not refused for it: see [`Judge::settled`].
+    /// Replaces the reach. What proxies already hold is not refused for it: see [`Judge::settled`].
     pub fn reach(&mut self, now: f64, reach: InUse) {
         self.advance(now);
         let before = std::mem::replace(&mut self.reach, reach);
@@ -395,31 +411,31 @@
         let pairs = before.keys().chain(self.reach.keys());
         let changed: BTreeSet<Pair> = pairs
             .filter(|pair| of(&before, pair) != of(&self.reach, pair))
-            .map(|(product, zone)| (*zone, *product))
+            .map(|(class, zone)| (*zone, *class))
             .collect();
         let zones: BTreeSet<ZoneId> = changed.iter().map(|pair| pair.0).collect();
         let tables = self.tables.iter().filter(|(_, table)| {
             table.groups.keys().any(|(zone, mask)| {
-                zones.contains(zone) && each(*mask).any(|product| changed.contains(&(*zone, product)))
+                zones.contains(zone) && classes_in(*mask).any(|class| changed.contains(&(*zone, class)))
             })
         });
-        for tbl in tables.map(|(tbl, _)| *tbl).collect::<Vec<_>>() {
-            self.suspect(tbl);
+        for table_id in tables.map(|(table_id, _)| *table_id).collect::<Vec<_>>() {
+            self.recheck_table(table_id);
         }
     }
 
-    /// Judges a reply. Accepted, it counts as written; refused, nothing has changed.
+    /// Checks a reply. An accepted reply counts as written; a refused one changes nothing.
     ///
     /// # Errors
-    /// The first order that could put a line outside the reach into a proxy's hands.
+    /// The first order that could give a proxy an entry outside the reach.
     pub fn judge(&mut self, now: f64, orders: &[Order]) -> Result<(), Breach> {
         self.advance(now);
-        let (at, loose) = (self.at, self.loose.len());
+        let (at, repeatable) = (self.at, self.repeatable.len());
         self.undo.clear();
         for (place, order) in orders.iter().enumerate() {
-            if let Err(witness) = self.take(order) {
+            if let Err(witness) = self.apply(order) {
                 self.roll_back(0);
-                self.loose.truncate(loose);
+                self.repeatable.truncate(repeatable);
                 self.at = at;
                 return Err(Breach { order: place, witness });
             }
@@ -428,19 +444,20 @@
         Ok(())
     }
 
-    /// Judges a reply order by order: what breaks the reach is left out, the rest counts as written. That is safe
-    /// for the reach alone; what it costs in service is for the decisions to mend, once they have heard of it.
+    /// Checks a reply order by order: orders that break the reach are left out and the rest counts as
+    /// written. This is safe for the reach alone; the decisions have to repair the loss of service once
+    /// they receive the refused orders.
     pub fn sift(&mut self, now: f64, orders: Vec<Order>) -> Sifted {
         self.advance(now);
         self.undo.clear();
         let mut sifted = Sifted::default();
         for (place, order) in orders.into_iter().enumerate() {
-            let (at, loose, undo) = (self.at, self.loose.len(), self.undo.len());
-            match self.take(&order) {
+            let (at, repeatable, undo) = (self.at, self.repeatable.len(), self.undo.len());
+            match self.apply(&order) {
                 Ok(()) => sifted.orders.push(order),
                 Err(witness) => {
                     self.roll_back(undo);
-                    self.loose.truncate(loose);
+                    self.repeatable.truncate(repeatable);
                     self.at = at;
                     sifted.refused.push((order, Breach { order: place, witness }));
                 }
@@ -450,69 +467,70 @@
         sifted
     }
 
-    /// What went with this mark may have been carried out and may be again.
+    /// The call that carried this mark may have been carried out and may be retried.
     pub fn unsure(&mut self, mark: MarkId) {
         let mut answered = false;
         for sent in self.marks.get_mut(&mark).into_iter().flatten() {
-            sent.again = true;
+            sent.retried = true;
             answered |= sent.answered;
-            self.again_at = self.again_at.max(sent.at);
+            self.last_retried = self.last_retried.max(sent.at);
         }
-        // Its answer may be to the first of two calls: it proves nothing of those that came since.
+        // The answer may belong to the first of two calls, so it proves nothing about proxies that joined
+        // since.
         if answered {
-            self.read = self.heard;
+            self.last_confirmed_mark = self.join_horizon;
             let gone = |proxy: &ProxyId| self.proxies.get(proxy).is_some_and(|known| known.left.is_some());
-            self.parting.retain(|(_, proxy)| gone(proxy));
+            self.in_flight_binds.retain(|(_, proxy)| gone(proxy));
         }
     }
 
-    /// How far the line of accepted orders goes. The front can hold on to it with a reply, for [`Judge::answered`].
+    /// Number of accepted orders. A caller can keep it with a reply, for [`Judge::answered`].
     pub fn place(&self) -> u64 {
         self.at
     }
 
-    /// The relay has answered for all orders up to that place, and nothing of them will be written again. It is
-    /// found out by marks too, but later, and not where no proxy is there to answer one: a front should tell it
-    /// whenever nothing waits at its relay.
+    /// The relay has answered for all orders up to that index, and none of them will be written again.
+    /// Marks show this too, but later, and not where no proxy is there to answer one; a caller should
+    /// call this whenever nothing is pending at its relay.
     pub fn answered(&mut self, place: u64) {
-        // Where a repeat was told, an answer to a mark may be to the first of two calls. So what was loose counts
-        // until an answer to a later mark: it ends at a place of its own.
-        if self.again_at > self.quiet && !self.loose.is_empty() {
+        // Where a retry was reported, an answer to a mark may belong to the first of two calls. So what a
+        // retry may bring back counts until a later mark is answered: it ends at a new index of its own.
+        if self.last_retried > self.retry_horizon && !self.repeatable.is_empty() {
             self.at += 1;
         }
-        self.calm(place);
-        self.depart();
+        self.raise_retry_horizon(place);
+        self.close_applied_uses();
     }
 
-    /// The relay did not take these: what they would have ended may go on, and what they would have begun may have
-    /// begun all the same.
+    /// The relay did not accept these orders. What they would have ended may continue, and what they
+    /// would have begun may have begun nevertheless.
     pub fn gave_up(&mut self, orders: &[Order]) {
         for order in orders {
             match order {
-                Order::SetEntry { table, host, weight } if *weight <= 0.0 => self.reopen_line(*table, *host),
+                Order::SetEntry { table, host, weight } if *weight <= 0.0 => self.reopen_entry(*table, *host),
                 Order::ClearTable { table } => {
-                    let hosts = self.tables.get(table).map(|table| table.lines.keys().copied().collect());
+                    let hosts = self.tables.get(table).map(|table| table.entries.keys().copied().collect());
                     let hosts: Vec<HostId> = hosts.unwrap_or_default();
-                    hosts.into_iter().for_each(|host| self.reopen_line(*table, host));
+                    hosts.into_iter().for_each(|host| self.reopen_entry(*table, host));
                 }
                 Order::Withdraw { host, withdrawn: true } => {
                     let Some(known) = self.hosts.get_mut(host) else { continue };
-                    reopen(&mut known.inside);
-                    self.suspects.extend(known.tables.iter().map(|tbl| (*tbl, *host)));
+                    reopen(&mut known.admitted);
+                    self.suspects.extend(known.tables.iter().map(|table_id| (*table_id, *host)));
                 }
                 Order::Bind { proxy, .. } => {
                     let Some(known) = self.proxies.get_mut(proxy) else { continue };
                     let (zone, before) = (known.zone, known.uses.clone());
                     known.uses.iter_mut().for_each(|held| held.span = Span::open(held.span.from));
-                    self.doubts.insert(*proxy, self.at);
+                    self.uncertain_binds.insert(*proxy, self.at);
                     let widened = self.regroup(*proxy, zone, before);
-                    widened.into_iter().for_each(|tbl| self.suspect(tbl));
-                    // It may not be bound at all.
+                    widened.into_iter().for_each(|table_id| self.recheck_table(table_id));
+                    // The proxy may not be bound at all.
                     if let Some(known) = self.proxies.get_mut(proxy) {
-                        (known.unproven, known.joined) = (self.products, self.at);
+                        (known.unproven, known.joined) = (self.all_classes, self.at);
                     }
-                    for product in each(self.products) {
-                        self.unproven.entry((zone, product)).or_default().insert(*proxy);
+                    for class in classes_in(self.all_classes) {
+                        self.unproven.entry((zone, class)).or_default().insert(*proxy);
                     }
                 }
                 _ => {}
@@ -520,43 +538,46 @@
         }
     }
 
-    /// Whether no proxy that is joined, and none that left less than the linger ago, can hold a line outside the
-    /// reach that holds now.
+    /// Checks that no proxy that is joined, or that left less than the linger ago, can hold an entry
+    /// outside the reach in force.
     ///
     /// # Errors
-    /// One that can, or may for all that is known.
+    /// A proxy that can, or that may as far as is known.
     pub fn settled(&mut self, now: f64, linger: f64) -> Result<(), Witness> {
         self.advance(now);
-        if self.stills.back().map_or(self.still, |last| last.1) < self.quiet {
-            self.stills.push_back((now, self.quiet));
+        if self.horizon_times.back().map_or(self.lingered_horizon, |last| last.1) < self.retry_horizon {
+            self.horizon_times.push_back((now, self.retry_horizon));
         }
-        // Nothing up to there has been on its way for as long as a linger: no bind of it can take hold any more.
-        while let Some((_, quiet)) = self.stills.front().copied().filter(|still| still.0 + linger <= now) {
-            self.stills.pop_front();
-            self.still = quiet;
+        // No call up to that index has been in flight for a linger, so none of its binds can take effect
+        // any more.
+        while let Some((_, retry_horizon)) =
+            self.horizon_times.front().copied().filter(|lingered_horizon| lingered_horizon.0 + linger <= now)
+        {
+            self.horizon_times.pop_front();
+            self.lingered_horizon = retry_horizon;
         }
-        let still = self.still;
+        let lingered_horizon = self.lingered_horizon;
         let mut kept = Vec::new();
         while let Some((left, proxy)) = self.departed.front().copied().filter(|left| left.0 + linger <= now) {
             self.departed.pop_front();
             if self.proxies.get(&proxy).is_some_and(|known| known.left == Some(left))
-                && !self.let_go(proxy, still)
+                && !self.release(proxy, lingered_horizon)
             {
                 kept.push((left, proxy));
             }
         }
         kept.into_iter().rev().for_each(|departed| self.departed.push_front(departed));
-        for ((product, zone), zones) in self.reach.iter().filter(|(_, zones)| **zones != Zones::ALL) {
-            let unproven = self.unproven.get(&(*zone, *product)).and_then(BTreeSet::first);
+        for ((class, zone), zones) in self.reach.iter().filter(|(_, zones)| **zones != Zones::ALL) {
+            let unproven = self.unproven.get(&(*zone, *class)).and_then(BTreeSet::first);
             if let Some(proxy) = unproven.copied() {
                 let how = if self.is_gone(proxy) { How::Left } else { How::Unproven };
-                let (tbl, host, from, product) = (None, None, *zone, *product);
+                let (table_id, host, from, class) = (None, None, *zone, *class);
                 let _ = zones;
-                return Err(Witness { proxy, from, product, tbl, host, zone: None, how });
+                return Err(Witness { proxy, from, product: class, table_id, host, zone: None, how });
             }
         }
-        while let Some((tbl, host)) = self.suspects.first().copied() {
-            if let Some(witness) = self.held(tbl, host) {
+        while let Some((table_id, host)) = self.suspects.first().copied() {
+            if let Some(witness) = self.find_holder(table_id, host) {
                 return Err(witness);
             }
             self.suspects.pop_first();
@@ -564,79 +585,81 @@
         Ok(())
     }
 
-    /// Orders that take out what nobody has taken out and a proxy may hold outside the reach: for a front whose
-    /// decisions have started anew and know of no such line.
+    /// Orders that remove entries which are still set and which a proxy may hold outside the reach: for a
+    /// caller whose decisions have restarted and do not know of these entries.
     pub fn mends(&mut self, now: f64) -> Vec<Order> {
         self.advance(now);
         let mut orders = Vec::new();
         for (table, host) in self.suspects.iter().copied().collect::<Vec<_>>() {
-            let spans = self.tables.get(&table).and_then(|table| table.lines.get(&host));
+            let spans = self.tables.get(&table).and_then(|table| table.entries.get(&host));
             let stands = spans.and_then(|spans| spans.last()).is_some_and(|last| last.to == OPEN);
-            if stands && self.held(table, host).is_some() {
+            if stands && self.find_holder(table, host).is_some() {
                 orders.push(Order::SetEntry { table, host, weight: 0.0 });
             }
         }
         orders
     }
 
-    /// How much is kept: proxies, tables, lines in tables, uses of tables.
+    /// Number of proxies, tables, table entries and table uses kept.
     pub fn size(&self) -> [usize; 4] {
-        let lines = self.tables.values().map(|table| table.lines.len()).sum();
+        let entries = self.tables.values().map(|table| table.entries.len()).sum();
         let uses = self.proxies.values().map(|proxy| proxy.uses.len()).sum();
-        [self.proxies.len(), self.tables.len(), lines, uses]
+        [self.proxies.len(), self.tables.len(), entries, uses]
     }
 
     fn is_gone(&self, proxy: ProxyId) -> bool {
         self.proxies.get(&proxy).is_none_or(|known| known.left.is_some())
     }
 
-    /// What is due by time.
+    /// Applies what is due by `now`: ends of grace periods and of the waits for retry reports.
     fn advance(&mut self, now: f64) {
         while let Some((_, host)) = self.moved.front().copied().filter(|moved| moved.0 <= now) {
             self.moved.pop_front();
             let Some(known) = self.hosts.get_mut(&host) else { continue };
             known.places.retain(|place| place.1 > now);
-            // One that is nowhere by now is in no set of zones that was kept for its tables.
-            for tbl in known.tables.iter().filter(|_| known.places.is_empty()) {
-                if let Some(table) = self.tables.get_mut(tbl) {
-                    table.named = None;
+            // A host without a zone is in none of the zone sets cached for its tables.
+            for table_id in known.tables.iter().filter(|_| known.places.is_empty()) {
+                if let Some(table) = self.tables.get_mut(table_id) {
+                    table.entry_zones = None;
                 }
             }
-            self.suspects.extend(known.tables.iter().map(|tbl| (*tbl, host)));
+            self.suspects.extend(known.tables.iter().map(|table_id| (*table_id, host)));
         }
-        let mut quiet = 0;
+        let mut retry_horizon = 0;
         while let Some(answer) = self.answers.front().copied().filter(|answer| answer.at + TOLD_BY <= now) {
             self.answers.pop_front();
-            quiet = if self.is_clean(&answer) { quiet.max(answer.to) } else { quiet };
+            retry_horizon = if self.is_clean(&answer) { retry_horizon.max(answer.to) } else { retry_horizon };
         }
-        self.calm(quiet);
-        self.depart();
+        self.raise_retry_horizon(retry_horizon);
+        self.close_applied_uses();
     }
 
-    /// No call up to there is carried out again: what was loose is over by now.
-    fn calm(&mut self, quiet: At) {
-        self.quiet = self.quiet.max(quiet.min(self.at));
-        self.doubts.retain(|_, at| *at > self.quiet);
+    /// No call up to that index is retried: what a retry could have brought back has ended by now.
+    fn raise_retry_horizon(&mut self, retry_horizon: OrderIndex) {
+        self.retry_horizon = self.retry_horizon.max(retry_horizon.min(self.at));
+        self.uncertain_binds.retain(|_, at| *at > self.retry_horizon);
         let now = self.at;
-        while let Some((at, what)) = self.loose.front().copied().filter(|loose| loose.0 <= self.quiet) {
-            self.loose.pop_front();
+        while let Some((at, what)) =
+            self.repeatable.front().copied().filter(|repeatable| repeatable.0 <= self.retry_horizon)
+        {
+            self.repeatable.pop_front();
             let tighten = |span: &mut Span| {
-                if span.loose && span.to == at {
-                    (span.to, span.loose, span.late) = (now, false, true);
+                if span.repeatable && span.to == at {
+                    (span.to, span.repeatable, span.end_delayed) = (now, false, true);
                 }
             };
             match what {
-                Loose::Line(tbl, host) => {
-                    let Some(table) = self.tables.get_mut(&tbl) else { continue };
-                    let Some(spans) = table.lines.get_mut(&host) else { continue };
+                Repeatable::Entry(table_id, host) => {
+                    let Some(table) = self.tables.get_mut(&table_id) else { continue };
+                    let Some(spans) = table.entries.get_mut(&host) else { continue };
                     spans.iter_mut().for_each(tighten);
                     table.unset.push_back((now, host));
                 }
-                Loose::Host(host) => {
-                    let spans = self.hosts.get_mut(&host).map(|host| &mut host.inside);
+                Repeatable::Host(host) => {
+                    let spans = self.hosts.get_mut(&host).map(|host| &mut host.admitted);
                     spans.into_iter().flatten().for_each(tighten);
                 }
-                Loose::Use(proxy) => {
+                Repeatable::Use(proxy) => {
                     let Some(known) = self.proxies.get_mut(&proxy) else { continue };
                     let (zone, before) = (known.zone, known.uses.clone());
                     known.uses.iter_mut().map(|held| &mut held.span).for_each(tighten);
@@ -650,16 +673,20 @@
         let mut touched = BTreeSet::new();
         for undo in std::mem::take(&mut self.undo) {
             match undo {
-                Undo::Line(tbl, ..) => drop(touched.insert(tbl)),
-                Undo::Uses(_, before) => touched.extend(before.into_iter().map(|held| held.tbl)),
+                Undo::Entry(table_id, ..) => drop(touched.insert(table_id)),
+                Undo::Uses(_, before) => touched.extend(before.into_iter().map(|held| held.table_id)),
                 Undo::Host(..) => {}
             }
         }
-        for tbl in touched {
-            let gone = self.tables.get_mut(&tbl).map(|table| table.prune(self.quiet)).unwrap_or_default();
+        for table_id in touched {
+            let gone = self
+                .tables
+                .get_mut(&table_id)
+                .map(|table| table.prune(self.retry_horizon))
+                .unwrap_or_default();
             for host in gone {
                 let Some(known) = self.hosts.get_mut(&host) else { continue };
-                known.tables.remove(&tbl);
+                known.tables.remove(&table_id);
                 if known.forgotten {
                     self.forgotten(host);
                 }
@@ -667,18 +694,18 @@
         }
         for order in orders {
             match order {
-                Order::Mark { mark, .. } => self.sent(*mark),
+                Order::Mark { mark, .. } => self.record_mark(*mark),
                 Order::ForgetHost { host } => self.forgotten(*host),
                 _ => {}
             }
         }
     }
 
-    fn sent(&mut self, mark: MarkId) {
-        let sent = Sent { at: self.at, again: false, answered: false };
+    fn record_mark(&mut self, mark: MarkId) {
+        let sent = Sent { at: self.at, retried: false, answered: false };
         self.marks.entry(mark).or_default().push(sent);
         self.remembered.push_back(mark);
-        if self.remembered.len() > MARKS {
+        if self.remembered.len() > MAX_MARKS {
             if let Some(oldest) = self.remembered.pop_front() {
                 let of = self.marks.entry(oldest).or_default();
                 of.remove(0);
@@ -689,115 +716,117 @@
         }
     }
 
-    /// Takes one order up, with how to undo it.
-    fn take(&mut self, order: &Order) -> Result<(), Witness> {
+    /// Applies one order and records how to undo it.
+    fn apply(&mut self, order: &Order) -> Result<(), Witness> {
         match order {
-            Order::SetEntry { table, host, weight } if *weight > 0.0 => self.line(*table, *host),
+            Order::SetEntry { table, host, weight } if *weight > 0.0 => self.set_entry(*table, *host),
             Order::SetEntry { table, host, .. } => {
                 self.at += 1;
-                self.unset_line(*table, *host);
+                self.unset_entry(*table, *host);
                 Ok(())
             }
             Order::ClearTable { table } => {
                 self.at += 1;
                 let all = *table == TableId::ALL;
                 let tables = self.tables.iter().filter(|(known, _)| all || *known == table);
-                let lines = tables.flat_map(|(tbl, table)| table.lines.keys().map(move |host| (*tbl, *host)));
-                for (tbl, host) in lines.collect::<Vec<_>>() {
-                    self.unset_line(tbl, host);
+                let entries = tables
+                    .flat_map(|(table_id, table)| table.entries.keys().map(move |host| (*table_id, *host)));
+                for (table_id, host) in entries.collect::<Vec<_>>() {
+                    self.unset_entry(table_id, host);
                 }
                 Ok(())
             }
             Order::Withdraw { host, withdrawn: true } => {
                 self.at += 1;
-                let (at, quiet) = (self.at, self.quiet);
+                let (at, retry_horizon) = (self.at, self.retry_horizon);
                 let known = self.hosts.entry(*host).or_default();
-                self.undo.push(Undo::Host(*host, known.inside.clone()));
-                if unset(&mut known.inside, at, quiet) == Some(true) {
-                    self.loose.push_back((at, Loose::Host(*host)));
+                self.undo.push(Undo::Host(*host, known.admitted.clone()));
+                if unset(&mut known.admitted, at, retry_horizon) == Some(true) {
+                    self.repeatable.push_back((at, Repeatable::Host(*host)));
                 }
                 Ok(())
             }
-            Order::Withdraw { host, withdrawn: false } => self.let_in(*host),
+            Order::Withdraw { host, withdrawn: false } => self.restore(*host),
             Order::Bind { proxy, table, classes } => self.bind(*proxy, *table, *classes),
             _ => Ok(()),
         }
     }
 
-    fn line(&mut self, tbl: TableId, host: HostId) -> Result<(), Witness> {
+    fn set_entry(&mut self, table_id: TableId, host: HostId) -> Result<(), Witness> {
         self.at += 1;
-        if tbl == TableId::ALL {
-            let (proxy, from, product) = (ProxyId(0), ZoneId(0), ClassId(0));
-            let (tbl, host, zone, how) = (Some(tbl), Some(host), None, How::AllTables);
-            return Err(Witness { proxy, from, product, tbl, host, zone, how });
+        if table_id == TableId::ALL {
+            let (proxy, from, class) = (ProxyId(0), ZoneId(0), ClassId(0));
+            let (table_id, host, zone, how) = (Some(table_id), Some(host), None, How::AllTables);
+            return Err(Witness { proxy, from, product: class, table_id, host, zone, how });
         }
         let at = self.at;
         self.hosts.entry(host).or_default();
-        let table = self.tables.entry(tbl).or_default();
-        let mut line = table.lines.get(&host).cloned().unwrap_or_default();
-        set(&mut line, at);
+        let table = self.tables.entry(table_id).or_default();
+        let mut entry = table.entries.get(&host).cloned().unwrap_or_default();
+        set(&mut entry, at);
         if self.hosts[&host].after(at) {
-            let strangers = self.strangers(tbl, host);
-            if !strangers.is_empty() {
-                let parts = [Part::of(&line), Part::of(&self.hosts[&host].inside)];
-                self.outside(tbl, host, strangers, &parts, How::Line)?;
+            let excluded_groups = self.excluded_groups(table_id, host);
+            if !excluded_groups.is_empty() {
+                let conditions =
+                    [Condition::from_spans(&entry), Condition::from_spans(&self.hosts[&host].admitted)];
+                self.check_groups(table_id, host, excluded_groups, &conditions, How::Line)?;
             }
         }
-        let (Some(known), Some(table)) = (self.hosts.get_mut(&host), self.tables.get_mut(&tbl)) else {
+        let (Some(known), Some(table)) = (self.hosts.get_mut(&host), self.tables.get_mut(&table_id)) else {
             return Ok(());
         };
-        self.undo.push(Undo::Line(tbl, host, table.lines.insert(host, line)));
-        known.tables.insert(tbl);
-        table.named = table
-            .named
-            .map(|named| known.places.iter().fold(named, |all, place| all.union(Zones::one(place.0))));
-        // What is not listed, or in a zone that no set can tell apart, is in no set.
+        self.undo.push(Undo::Entry(table_id, host, table.entries.insert(host, entry)));
+        known.tables.insert(table_id);
+        table.entry_zones = table.entry_zones.map(|entry_zones| {
+            known.places.iter().fold(entry_zones, |all, place| all.union(Zones::one(place.0)))
+        });
+        // A host that is not listed, or in a zone beyond the capacity of `Zones`, is in no zone set.
         if known.places.is_empty() || known.places.iter().any(|place| place.0 .0 >= Zones::CAPACITY) {
-            table.named = None;
+            table.entry_zones = None;
         }
         Ok(())
     }
 
-    fn unset_line(&mut self, tbl: TableId, host: HostId) {
-        let (at, quiet) = (self.at, self.quiet);
-        let Some(table) = self.tables.get_mut(&tbl) else { return };
-        let Some(spans) = table.lines.get_mut(&host) else { return };
-        self.undo.push(Undo::Line(tbl, host, Some(spans.clone())));
-        if unset(spans, at, quiet) == Some(true) {
-            self.loose.push_back((at, Loose::Line(tbl, host)));
+    fn unset_entry(&mut self, table_id: TableId, host: HostId) {
+        let (at, retry_horizon) = (self.at, self.retry_horizon);
+        let Some(table) = self.tables.get_mut(&table_id) else { return };
+        let Some(spans) = table.entries.get_mut(&host) else { return };
+        self.undo.push(Undo::Entry(table_id, host, Some(spans.clone())));
+        if unset(spans, at, retry_horizon) == Some(true) {
+            self.repeatable.push_back((at, Repeatable::Entry(table_id, host)));
         }
         table.unset.push_back((at, host));
     }
 
-    fn let_in(&mut self, host: HostId) -> Result<(), Witness> {
+    fn restore(&mut self, host: HostId) -> Result<(), Witness> {
         self.at += 1;
         let at = self.at;
         let known = self.hosts.entry(host).or_default();
-        let mut inside = known.inside.clone();
-        set(&mut inside, at);
-        for tbl in known.tables.clone() {
-            let spans = self.tables.get(&tbl).and_then(|table| table.lines.get(&host));
+        let mut admitted = known.admitted.clone();
+        set(&mut admitted, at);
+        for table_id in known.tables.clone() {
+            let spans = self.tables.get(&table_id).and_then(|table| table.entries.get(&host));
             let Some(spans) = spans.filter(|spans| spans.iter().any(|span| span.end() > at)) else {
                 continue;
             };
-            let parts = [Part::of(spans), Part::of(&inside)];
-            let strangers = self.strangers(tbl, host);
-            self.outside(tbl, host, strangers, &parts, How::LetIn)?;
+            let conditions = [Condition::from_spans(spans), Condition::from_spans(&admitted)];
+            let excluded_groups = self.excluded_groups(table_id, host);
+            self.check_groups(table_id, host, excluded_groups, &conditions, How::LetIn)?;
         }
         let known = self.hosts.entry(host).or_default();
-        self.undo.push(Undo::Host(host, std::mem::replace(&mut known.inside, inside)));
+        self.undo.push(Undo::Host(host, std::mem::replace(&mut known.admitted, admitted)));
         Ok(())
     }
 
-    fn bind(&mut self, proxy: ProxyId, tbl: TableId, products: ClassSet) -> Result<(), Witness> {
+    fn bind(&mut self, proxy: ProxyId, table_id: TableId, products: ClassSet) -> Result<(), Witness> {
         self.at += 1;
-        let (at, quiet) = (self.at, self.quiet);
-        let mask = if products == ClassSet::ALL { self.products } else { products.0 & self.products };
-        let joined = |known: &&Proxy| known.left.is_none() && tbl != TableId::ALL;
+        let (at, retry_horizon) = (self.at, self.retry_horizon);
+        let mask = if products == ClassSet::ALL { self.all_classes } else { products.0 & self.all_classes };
+        let joined = |known: &&Proxy| known.left.is_none() && table_id != TableId::ALL;
         let Some(known) = self.proxies.get(&proxy).filter(joined) else {
-            let how = if tbl == TableId::ALL { How::AllTables } else { How::NotJoined };
-            let (from, product, tbl) = (ZoneId(0), ClassId(0), Some(tbl));
-            return Err(Witness { proxy, from, product, tbl, host: None, zone: None, how });
+            let how = if table_id == TableId::ALL { How::AllTables } else { How::NotJoined };
+            let (from, class, table_id) = (ZoneId(0), ClassId(0), Some(table_id));
+            return Err(Witness { proxy, from, product: class, table_id, host: None, zone: None, how });
         };
         let (zone, before) = (known.zone, known.uses.clone());
         let allowed = self.allowed(zone, mask);
@@ -812,20 +841,33 @@
             if stays != 0 {
                 uses.push(Use { mask: stays, ..*held });
             }
-            let loose = held.span.from > quiet;
-            if loose {
-                self.loose.push_back((at, Loose::Use(proxy)));
+            let repeatable = held.span.from > retry_horizon;
+            if repeatable {
+                self.repeatable.push_back((at, Repeatable::Use(proxy)));
             }
-            uses.push(Use { mask: ends, span: Span { to: at, loose, ..held.span }, ..*held });
+            uses.push(Use { mask: ends, span: Span { to: at, repeatable, ..held.span }, ..*held });
         }
-        uses.push(Use { tbl, mask, span: Span::open(at) });
-        for host in self.named_outside(tbl, allowed, at) {
-            let line = self.tables.get(&tbl).and_then(|table| table.lines.get(&host));
-            let parts = [Part::of(line.map_or(&[], Vec::as_slice)), Part::of(&self.hosts[&host].inside)];
-            if let Some(product) = self.meet(proxy, zone, &uses, (tbl, mask), host, &parts) {
+        uses.push(Use { table_id, mask, span: Span::open(at) });
+        for host in self.excluded_hosts(table_id, allowed, at) {
+            let entry = self.tables.get(&table_id).and_then(|table| table.entries.get(&host));
+            let conditions = [
+                Condition::from_spans(entry.map_or(&[], Vec::as_slice)),
+                Condition::from_spans(&self.hosts[&host].admitted),
+            ];
+            if let Some(class) =
+                self.first_coinciding_class(proxy, zone, &uses, (table_id, mask), host, &conditions)
+            {
                 let place = self.hosts[&host].zone();
-                let (tbl, host) = (Some(tbl), Some(host));
-                return Err(Witness { proxy, from: zone, product, tbl, host, zone: place, how: How::Bind });
+                let (table_id, host) = (Some(table_id), Some(host));
+                return Err(Witness {
+                    proxy,
+                    from: zone,
+                    product: class,
+                    table_id,
+                    host,
+                    zone: place,
+                    how: How::Bind,
+                });
             }
         }
         self.undo.push(Undo::Uses(proxy, before.clone()));
@@ -837,18 +879,18 @@
     fn roll_back(&mut self, to: usize) {
         while self.undo.len() > to {
             match self.undo.pop() {
-                Some(Undo::Line(tbl, host, spans)) => {
-                    let Some(table) = self.tables.get_mut(&tbl) else { continue };
+                Some(Undo::Entry(table_id, host, spans)) => {
+                    let Some(table) = self.tables.get_mut(&table_id) else { continue };
                     match spans {
-                        Some(spans) => drop(table.lines.insert(host, spans)),
+                        Some(spans) => drop(table.entries.insert(host, spans)),
                         None => {
-                            table.lines.remove(&host);
-                            table.named = None;
-                            self.hosts.get_mut(&host).map(|host| host.tables.remove(&tbl));
+                            table.entries.remove(&host);
+                            table.entry_zones = None;
+                            self.hosts.get_mut(&host).map(|host| host.tables.remove(&table_id));
                         }
                     }
                 }
-                Some(Undo::Host(host, spans)) => self.hosts.entry(host).or_default().inside = spans,
+                Some(Undo::Host(host, spans)) => self.hosts.entry(host).or_default().admitted = spans,
                 Some(Undo::Uses(proxy, uses)) => {
                     let Some(known) = self.proxies.get_mut(&proxy) else { continue };
                     let (zone, before) = (known.zone, std::mem::replace(&mut known.uses, uses));
@@ -859,15 +901,15 @@
         }
     }
 
-    /// What a proxy used, of a zone that it was in, gives way to what it uses now. Returns the tables that it is
-    /// in anew, or for longer.
+    /// Replaces the proxy's former uses, recorded under its former zone, with its current ones. Returns
+    /// the tables that it uses newly or for longer.
     fn regroup(&mut self, proxy: ProxyId, zone: ZoneId, before: Vec<Use>) -> BTreeSet<TableId> {
         let mut widened = BTreeSet::new();
         let Some(known) = self.proxies.get(&proxy) else { return widened };
         let uses = |zone: ZoneId, uses: &[Use]| uses.iter().map(|held| (zone, *held)).collect::<Vec<_>>();
         let (old, new) = (uses(zone, &before), uses(known.zone, &known.uses));
         for (zone, held) in old.iter().filter(|held| !new.contains(held)) {
-            let Some(table) = self.tables.get_mut(&held.tbl) else { continue };
+            let Some(table) = self.tables.get_mut(&held.table_id) else { continue };
             let group = table.groups.entry((*zone, held.mask)).or_default();
             group.remove(proxy, &held.span, known.floor);
             if group.is_empty() {
@@ -875,58 +917,59 @@
             }
         }
         for (zone, held) in new.iter().filter(|held| !old.contains(held)) {
-            let table = self.tables.entry(held.tbl).or_default();
+            let table = self.tables.entry(held.table_id).or_default();
             table.groups.entry((*zone, held.mask)).or_default().add(proxy, &held.span, known.floor);
-            widened.insert(held.tbl);
+            widened.insert(held.table_id);
         }
         widened
     }
 
-    /// The proxy holds what was ordered here, for these products.
-    fn prove(&mut self, proxy: ProxyId, zone: ZoneId, mask: u64) {
+    /// The proxy has confirmed the state ordered here for these classes.
+    fn confirm_classes(&mut self, proxy: ProxyId, zone: ZoneId, mask: u64) {
         let Some(known) = self.proxies.get_mut(&proxy) else { return };
         let newly = known.unproven & mask;
         known.unproven &= !mask;
-        for product in each(newly) {
-            self.unproven.get_mut(&(zone, product)).map(|proxies| proxies.remove(&proxy));
+        for class in classes_in(newly) {
+            self.unproven.get_mut(&(zone, class)).map(|proxies| proxies.remove(&proxy));
         }
     }
 
-    /// What it held is somebody else's by now. A bind that may still be on its way takes hold if it comes back, so
-    /// that is kept; true: nothing is left.
-    fn let_go(&mut self, proxy: ProxyId, still: At) -> bool {
+    /// Drops the state of a proxy that left at least a linger ago. A bind that may still be in flight
+    /// takes effect if the proxy comes back, so it is kept. Returns whether nothing is left.
+    fn release(&mut self, proxy: ProxyId, lingered_horizon: OrderIndex) -> bool {
         let Some(known) = self.proxies.get_mut(&proxy) else { return true };
-        let (zone, before, heard) = (known.zone, known.uses.clone(), self.heard.max(still));
-        known.uses.retain(|held| held.span.set > heard);
+        let (zone, before, join_horizon) =
+            (known.zone, known.uses.clone(), self.join_horizon.max(lingered_horizon));
+        known.uses.retain(|held| held.span.set > join_horizon);
         let gone = known.uses.is_empty();
         self.regroup(proxy, zone, before);
-        self.prove(proxy, zone, self.products);
+        self.confirm_classes(proxy, zone, self.all_classes);
         if gone {
             self.proxies.remove(&proxy);
         }
         gone
     }
 
-    fn reopen_line(&mut self, tbl: TableId, host: HostId) {
-        let spans = self.tables.get_mut(&tbl).and_then(|table| table.lines.get_mut(&host));
+    fn reopen_entry(&mut self, table_id: TableId, host: HostId) {
+        let spans = self.tables.get_mut(&table_id).and_then(|table| table.entries.get_mut(&host));
         if let Some(spans) = spans {
             reopen(spans);
-            self.suspects.insert((tbl, host));
+            self.suspects.insert((table_id, host));
         }
     }
 
     fn allowed(&mut self, zone: ZoneId, mask: u64) -> Zones {
         let reach = &self.reach;
-        let of = |product| reach.get(&(product, zone)).copied().unwrap_or(Zones::ALL);
+        let of = |class| reach.get(&(class, zone)).copied().unwrap_or(Zones::ALL);
         *self
             .allowed
             .entry((zone, mask))
-            .or_insert_with(|| each(mask).fold(Zones::ALL, |all, product| all.intersection(of(product))))
+            .or_insert_with(|| classes_in(mask).fold(Zones::ALL, |all, class| all.intersection(of(class))))
     }
 
-    /// Those who use the table now or may again, and may not be served by the host.
-    fn strangers(&mut self, tbl: TableId, host: HostId) -> Vec<(ZoneId, u64)> {
-        let Some(table) = self.tables.get(&tbl) else { return vec![] };
+    /// Groups of proxies that use the table now or may again, and that the host may not serve.
+    fn excluded_groups(&mut self, table_id: TableId, host: HostId) -> Vec<(ZoneId, u64)> {
+        let Some(table) = self.tables.get(&table_id) else { return vec![] };
         let live = table.groups.iter().filter(|(_, group)| group.after(self.at)).map(|(key, _)| *key);
         let mut live: Vec<(ZoneId, u64)> = live.collect();
         live.retain(|(zone, mask)| {
@@ -936,56 +979,60 @@
         live
     }
 
-    /// Whether one of them may hold the line, now or while a call is carried out again.
-    fn outside(
+    /// Fails if a proxy of these groups may hold the entry, now or while a call is retried.
+    fn check_groups(
         &self,
-        tbl: TableId,
+        table_id: TableId,
         host: HostId,
-        strangers: Vec<(ZoneId, u64)>,
-        parts: &[Part; 2],
+        excluded_groups: Vec<(ZoneId, u64)>,
+        conditions: &[Condition; 2],
         how: How,
     ) -> Result<(), Witness> {
-        for (from, mask) in strangers {
-            for (_, proxy, bound) in self.tables[&tbl].groups[&(from, mask)].before(OPEN) {
+        for (from, mask) in excluded_groups {
+            for (_, proxy, bound) in self.tables[&table_id].groups[&(from, mask)].before(OPEN) {
                 let uses = self.proxies.get(&proxy).map_or(&[][..], |known| &known.uses);
                 if !uses.iter().any(|held| held.span.from == bound && held.span.end() > self.at) {
                     continue;
                 }
-                if let Some(product) = self.meet(proxy, from, uses, (tbl, mask), host, parts) {
+                if let Some(class) =
+                    self.first_coinciding_class(proxy, from, uses, (table_id, mask), host, conditions)
+                {
                     let zone = self.hosts[&host].zone();
-                    let (tbl, host) = (Some(tbl), Some(host));
-                    return Err(Witness { proxy, from, product, tbl, host, zone, how });
+                    let (table_id, host) = (Some(table_id), Some(host));
+                    return Err(Witness { proxy, from, product: class, table_id, host, zone, how });
                 }
             }
         }
         Ok(())
     }
 
-    /// The first of these products for which the proxy, by these uses, may hold the line while it lies outside.
-    fn meet(
+    /// The first class of the mask for which the proxy, with these uses, may hold the entry while the
+    /// host is outside the reach.
+    fn first_coinciding_class(
         &self,
         proxy: ProxyId,
         zone: ZoneId,
         uses: &[Use],
-        (tbl, mask): (TableId, u64),
+        (table_id, mask): (TableId, u64),
         host: HostId,
-        [line, inside]: &[Part; 2],
+        [entry, admitted]: &[Condition; 2],
     ) -> Option<ClassId> {
-        let sure = !self.doubts.contains_key(&proxy);
-        each(mask).find(|product| {
-            let zones = self.reach.get(&(*product, zone)).copied().unwrap_or(Zones::ALL);
-            let using = Part::at(tbl, 1 << product.0, uses, sure);
-            let parts = [using, line.clone(), inside.clone()];
-            !self.hosts[&host].within(zones) && meet(&parts, self.quiet, self.at)
+        let sure = !self.uncertain_binds.contains_key(&proxy);
+        classes_in(mask).find(|class| {
+            let zones = self.reach.get(&(*class, zone)).copied().unwrap_or(Zones::ALL);
+            let using = Condition::bound(table_id, 1 << class.0, uses, sure);
+            let conditions = [using, entry.clone(), admitted.clone()];
+            !self.hosts[&host].within(zones) && may_coincide(&conditions, self.retry_horizon, self.at)
         })
     }
 
-    /// Hosts that the table's lines name at that place or later, that are let in then, and lie outside.
-    fn named_outside(&mut self, tbl: TableId, allowed: Zones, at: At) -> Vec<HostId> {
+    /// Hosts that the table's entries may name after that index, that are not withdrawn then, and that
+    /// are outside the allowed zones.
+    fn excluded_hosts(&mut self, table_id: TableId, allowed: Zones, at: OrderIndex) -> Vec<HostId> {
         if allowed == Zones::ALL {
             return vec![];
         }
-        let Some(table) = self.tables.get_mut(&tbl) else { return vec![] };
+        let Some(table) = self.tables.get_mut(&table_id) else { return vec![] };
         let hosts = &self.hosts;
         let zones = |host: &HostId| {
             let places = hosts[host].places.iter();
@@ -996,56 +1043,65 @@
                 places.map(|place| place.0).collect()
             }
         };
-        let named = table
-            .named
-            .unwrap_or_else(|| table.lines.keys().fold(Zones::NONE, |all, host| all.union(zones(host))));
-        table.named = Some(named);
-        if named.difference(allowed).is_empty() {
+        let entry_zones = table
+            .entry_zones
+            .unwrap_or_else(|| table.entries.keys().fold(Zones::NONE, |all, host| all.union(zones(host))));
+        table.entry_zones = Some(entry_zones);
+        if entry_zones.difference(allowed).is_empty() {
             return vec![];
         }
-        let outside = table.lines.iter().filter(|(host, spans)| {
+        let outside = table.entries.iter().filter(|(host, spans)| {
             let host = &hosts[host];
             !host.within(allowed) && host.after(at) && spans.iter().any(|span| span.end() > at)
         });
         outside.map(|(host, _)| *host).collect()
     }
 
-    /// Looks at all lines of a table again, before it is said that all is settled.
-    fn suspect(&mut self, tbl: TableId) {
-        let Some(table) = self.tables.get(&tbl) else { return };
+    /// Queues the table's entries outside the reach for the next [`Judge::settled`].
+    fn recheck_table(&mut self, table_id: TableId) {
+        let Some(table) = self.tables.get(&table_id) else { return };
         let groups: Vec<(ZoneId, u64)> = table.groups.keys().copied().collect();
         let allowed: Vec<Zones> = groups.into_iter().map(|(zone, mask)| self.allowed(zone, mask)).collect();
         if allowed.iter().all(|zones| *zones == Zones::ALL) {
             return;
         }
-        let lines = self.tables.get(&tbl).into_iter().flat_map(|table| table.lines.keys());
+        let entries = self.tables.get(&table_id).into_iter().flat_map(|table| table.entries.keys());
         let outside = |host: &&HostId| allowed.iter().any(|zones| !self.hosts[host].within(*zones));
-        self.suspects.extend(lines.filter(outside).map(|host| (tbl, *host)));
+        self.suspects.extend(entries.filter(outside).map(|host| (table_id, *host)));
     }
 
-    /// Who may hold the line while it lies outside.
-    fn held(&mut self, tbl: TableId, host: HostId) -> Option<Witness> {
-        let keys: Vec<(ZoneId, u64)> = self.tables.get(&tbl)?.groups.keys().copied().collect();
+    /// A proxy that may hold the entry while it is outside the reach.
+    fn find_holder(&mut self, table_id: TableId, host: HostId) -> Option<Witness> {
+        let keys: Vec<(ZoneId, u64)> = self.tables.get(&table_id)?.groups.keys().copied().collect();
         for (zone, mask) in keys {
             let allowed = self.allowed(zone, mask);
-            let (table, known) = (self.tables.get(&tbl)?, self.hosts.get(&host)?);
+            let (table, known) = (self.tables.get(&table_id)?, self.hosts.get(&host)?);
             if known.within(allowed) {
                 continue;
             }
-            for line in table.lines.get(&host).into_iter().flatten() {
-                for inside in &known.inside {
-                    let (from, end) = (line.from.max(inside.from), line.end().min(inside.end()));
+            for entry in table.entries.get(&host).into_iter().flatten() {
+                for admitted in &known.admitted {
+                    let (from, end) = (entry.from.max(admitted.from), entry.end().min(admitted.end()));
                     let uses = table.groups[&(zone, mask)].before(end);
-                    let meets = |(low, proxy, bound): &(At, ProxyId, At)| {
+                    let meets = |(low, proxy, bound): &(OrderIndex, ProxyId, OrderIndex)| {
                         let uses = self.proxies.get(proxy).into_iter().flat_map(|known| &known.uses);
-                        let mut held = uses.filter(|held| held.tbl == tbl && held.span.from == *bound);
+                        let mut held =
+                            uses.filter(|held| held.table_id == table_id && held.span.from == *bound);
                         held.any(|held| from.max(*low) < end.min(held.span.end()))
                     };
                     if let Some((_, proxy, _)) = uses.into_iter().find(meets) {
-                        let (product, place) = (self.product(zone, mask, host), known.zone());
+                        let (class, place) = (self.first_excluded_class(zone, mask, host), known.zone());
                         let how = if self.is_gone(proxy) { How::Left } else { How::Held };
-                        let (tbl, host) = (Some(tbl), Some(host));
-                        return Some(Witness { proxy, from: zone, product, tbl, host, zone: place, how });
+                        let (table_id, host) = (Some(table_id), Some(host));
+                        return Some(Witness {
+                            proxy,
+                            from: zone,
+                            product: class,
+                            table_id,
+                            host,
+                            zone: place,
+                            how,
+                        });
                     }
                 }
             }
@@ -1053,16 +1109,16 @@
         None
     }
 
-    /// The first product of the mask that the host may not serve.
-    fn product(&self, zone: ZoneId, mask: u64, host: HostId) -> ClassId {
-        let within = |product: &ClassId| {
-            let zones = self.reach.get(&(*product, zone)).copied().unwrap_or(Zones::ALL);
+    /// The first class of the mask that the host may not serve.
+    fn first_excluded_class(&self, zone: ZoneId, mask: u64, host: HostId) -> ClassId {
+        let within = |class: &ClassId| {
+            let zones = self.reach.get(&(*class, zone)).copied().unwrap_or(Zones::ALL);
             self.hosts.get(&host).is_some_and(|host| host.within(zones))
         };
-        each(mask).find(|product| !within(product)).unwrap_or(ClassId(0))
+        classes_in(mask).find(|class| !within(class)).unwrap_or(ClassId(0))
     }
 }
 
-fn each(mask: u64) -> impl Iterator<Item = ClassId> {
+fn classes_in(mask: u64) -> impl Iterator<Item = ClassId> {
     (0..64).filter(move |place| mask & (1 << place) != 0).map(ClassId)
 }
--- a/crates/residency/src/lib.rs
+++ b/crates/residency/src/lib.rs
@@ -1,7 +1,9 @@
-//! Which zones may serve which txns. A policy's rules go in and are compiled into a [`Reach`]; every reply of orders
-//! is judged against what holds before it is written, by what each proxy may have in its hands.
+//! Data residency: which zones may serve which txns. The rules of a policy are compiled into a [`Reach`],
+//! and the [`Judge`] checks each reply of orders before it is written, against every state that each
+//! proxy may be in.
 //!
-//! What it never does: choose a host, let a rule widen by itself, or take an answer for more than it proves.
+//! This crate never chooses a host, never widens a rule, and never takes an acknowledgement as proof of
+//! more than it confirms.
 
 mod compile;
 mod judge;
--- a/crates/residency/src/plain.rs
+++ b/crates/residency/src/plain.rs
@@ -1,6 +1,7 @@
-//! The plain judge: what is to be held last, and all of it looked at after each order. [`crate::Judge`] is measured
-//! and tested beside it. It knows no repeats, no marks and no time, so by itself it would let too much pass; of
-//! orders that are carried out once and in their order it refuses exactly those that break the reach.
+//! Reference check: it keeps the state that the orders result in and checks all of it after each order.
+//! [`crate::Judge`] is benchmarked and tested against it. It has no retries, marks or time, so on its own
+//! it would let too much pass. For orders that are carried out once and in order it refuses exactly those
+//! that break the reach.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +21,7 @@
 }
 
 impl Plain {
-    /// Whether the order is one that can widen; it is carried out.
+    /// Carries the order out and returns whether it is one that can widen what proxies hold.
     pub fn carry_out(&mut self, order: &Order) -> bool {
         match order {
             Order::SetEntry { table, host, weight } if *weight > 0.0 => {
@@ -28,7 +29,7 @@
                 true
             }
             Order::SetEntry { table, host, .. } => {
-                self.tables.get_mut(table).map(|lines| lines.remove(host));
+                self.tables.get_mut(table).map(|entries| entries.remove(host));
                 false
             }
             Order::ClearTable { table } => {
@@ -53,50 +54,51 @@
         }
     }
 
-    /// The hosts outside the reach that a proxy may use for a product.
-    pub fn outside(&self, proxy: ProxyId, product: ClassId, tbl: TableId) -> Option<HostId> {
+    /// A host outside the reach that a proxy may use for a class.
+    pub fn outside(&self, proxy: ProxyId, class: ClassId, table_id: TableId) -> Option<HostId> {
         let zone = self.zones.get(&proxy)?;
-        let allowed = self.reach.get(&(product, *zone)).copied().unwrap_or(Zones::ALL);
+        let allowed = self.reach.get(&(class, *zone)).copied().unwrap_or(Zones::ALL);
         let beyond = |host: &&HostId| {
             !self.out.contains(host)
                 && allowed != Zones::ALL
                 && !self.hosts.get(host).is_some_and(|zone| allowed.contains(*zone))
         };
-        self.tables.get(&tbl)?.iter().find(beyond).copied()
+        self.tables.get(&table_id)?.iter().find(beyond).copied()
     }
 
-    /// All that is outside in anyone's hands.
+    /// The first binding that leads a proxy to a host outside the reach.
     pub fn all_outside(&self) -> Option<(ProxyId, ClassId, HostId)> {
-        self.binds.iter().find_map(|((proxy, product), tbl)| {
-            Some((*proxy, *product, self.outside(*proxy, *product, *tbl)?))
+        self.binds.iter().find_map(|((proxy, class), table_id)| {
+            Some((*proxy, *class, self.outside(*proxy, *class, *table_id)?))
         })
     }
 
-    /// Judges a reply, starting from one that was within the reach; true: it was carried out.
+    /// Checks a reply, starting from a state within the reach; returns whether it was carried out.
     pub fn judge(&mut self, orders: &[Order]) -> bool {
-        // Only what the reply names is put back: a copy of all would be dearer than the look itself.
-        let (mut lines, mut binds, mut out) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        // Only what the reply names is saved for the rollback: a copy of the whole state costs more than
+        // the check itself.
+        let (mut entries, mut binds, mut out) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         for order in orders {
             match order {
                 Order::SetEntry { table, .. } | Order::ClearTable { table } => {
-                    lines.entry(*table).or_insert_with(|| self.tables.get(table).cloned());
+                    entries.entry(*table).or_insert_with(|| self.tables.get(table).cloned());
                 }
                 Order::Withdraw { host, .. } => {
                     out.entry(*host).or_insert_with(|| self.out.contains(host));
                 }
                 Order::Bind { proxy, .. } => {
-                    for product in (0..self.products).map(ClassId) {
-                        let key = (*proxy, product);
+                    for class in (0..self.products).map(ClassId) {
+                        let key = (*proxy, class);
                         binds.entry(key).or_insert_with(|| self.binds.get(&key).copied());
                     }
                 }
                 _ => {}
             }
             if self.carry_out(order) && self.all_outside().is_some() {
-                for (tbl, before) in lines {
+                for (table_id, before) in entries {
                     match before {
-                        Some(before) => drop(self.tables.insert(tbl, before)),
-                        None => drop(self.tables.remove(&tbl)),
+                        Some(before) => drop(self.tables.insert(table_id, before)),
+                        None => drop(self.tables.remove(&table_id)),
                     }
                 }
                 for (key, before) in binds {
--- a/crates/residency/src/section.rs
+++ b/crates/residency/src/section.rs
@@ -1,4 +1,4 @@
-//! `[residency]` of the policy file: its words, and where each stands.
+//! The `[residency]` section of the policy file: its keys, with the span of each value.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,50 +10,52 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
-    /// Names for sets of zones.
+    /// Names of sets of zones.
     #[serde(default)]
     pub labels: BTreeMap<Spanned<String>, Vec<Spanned<String>>>,
     #[serde(default)]
     pub customers: BTreeMap<Spanned<String>, Customer>,
     #[serde(default)]
     pub rule: Vec<Spanned<Rule>>,
-    /// How far a steward's clock may be off: an exception ends that much before its `until`.
+    /// Bound of the clock skew of controllers: an exception ends this long before its `until`.
     #[serde(default = "second", with = "humantime_serde")]
     pub clock_skew: Duration,
 }
 
-/// Told by its products and by where its txns come in.
+/// A customer, identified by its request classes and by the zones at which its txns arrive.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     pub products: Vec<Spanned<String>>,
-    /// Zones or labels; none: all zones.
+    /// Zones or labels; `None` means all zones.
     pub from: Option<Vec<Spanned<String>>>,
 }
 
-/// For whom, and where those txns may be served. Zones may be named by label.
+/// A rule: whose txns it governs, and where those may be served. Zones may be named by label.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     pub name: Spanned<String>,
-    /// This or `products`, never both.
+    /// Exactly one of `customer` and `products` is set.
     pub customer: Option<Spanned<String>>,
     pub products: Option<Vec<Spanned<String>>>,
-    /// Zones whose proxies' txns it is about; none: all, or all of the customer's.
+    /// Home zones of the proxies whose txns it governs; `None` means all zones, or all zones of the
+    /// customer.
     pub from: Option<Vec<Spanned<String>>>,
-    /// None: all zones.
+    /// `None` means all zones.
     pub permit: Option<Vec<Spanned<String>>>,
     #[serde(default)]
     pub forbid: Vec<Spanned<String>>,
-    /// Each is used only while nothing before it has a host.
+    /// Later tiers, each used only while no earlier one has a host.
     #[serde(default)]
     pub fallback: Vec<Vec<Spanned<String>>>,
-    /// No fallback, whatever another rule says.
+    /// No fallback, even if another rule has one.
     #[serde(default)]
     pub never: bool,
-    /// An exception: until then it stands in place of what rules without an end permit.
+    /// End of an exception, which until then replaces what rules without an end permit.
     pub until: Option<Spanned<Datetime>>,
-    /// Its txns may be declined while a change is under way, and for as long as nothing is permitted to them.
+    /// Its txns may be rejected while a change is in progress, and for as long as no zone is permitted to
+    /// them.
     #[serde(default)]
     pub declined: bool,
 }
--- a/crates/residency/tests/residency/arrivals.rs
+++ b/crates/residency/tests/residency/arrivals.rs
@@ -1,4 +1,5 @@
-//! The judge against a relay and proxies that do whatever a channel can do, at small sizes.
+//! Randomized tests of the judge, at small sizes, against a relay and proxies that do anything that the
+//! channel allows.
 
 use amberarch_emulator::{Arrivals, Spoilt, Trial};
 
--- a/crates/residency/tests/residency/main.rs
+++ b/crates/residency/tests/residency/main.rs
@@ -1,4 +1,4 @@
-//! Rules, reach and judge, each made to fail in the ways that would cost a fleet its residency.
+//! Tests of rules, reach and judge in the situations in which a fleet could break residency.
 
 mod arrivals;
 mod judge;
--- a/crates/residency/tests/residency/reach.rs
+++ b/crates/residency/tests/residency/reach.rs
@@ -1,4 +1,4 @@
-//! Joint reach, tiers in use, and what is refused beforehand.
+//! Tests of joint reach, tiers in use, and changes that are refused in advance.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_fallback_of_one_is_shut_while_the_others_first_zone_has_hosts() {
-    // The old one serves in 1, and in 2 only once 1 has no host; the new one in 2 alone.
+    // The old reach serves in 1, and in 2 only while 1 has no host; the new one serves in 2 alone.
     let joint = reach(&[&[1], &[2]]).joint(&reach(&[&[2]]));
     assert_eq!(joint.in_use(zones(&[1, 2]))[&PAIR], Zones::NONE);
     assert_eq!(joint.in_use(zones(&[2]))[&PAIR], zones(&[2]));
@@ -52,9 +52,10 @@
     let told = |allowed_zones| vec![Event::ReachRule { zone: ZoneId(0), class: ClassId(0), allowed_zones }];
     assert_eq!(difference(&InUse::new(), &all), told(zones(&[1])));
     assert_eq!(difference(&all, &lost), told(zones(&[2])));
-    // One host more or less there is no news.
+    // Another host in the zone, or one fewer, changes nothing.
     assert_eq!(difference(&all, &with(&[(1, 1), (2, 9)])), []);
-    // With nothing left it is the first tier again, and nothing serves: declined, not served elsewhere.
+    // Without any host the first tier is used again and nothing serves: txns are rejected, not served
+    // elsewhere.
     assert_eq!(with(&[(1, 0), (2, 0)])[&PAIR], zones(&[1]));
     assert_eq!(difference(&lost, &InUse::new()), told(Zones::ALL));
 }
@@ -98,7 +99,7 @@
 }
 
 proptest! {
-    /// Whatever has hosts, joint stays within the one and within the other, as each would be used by itself.
+    /// Whichever zones have hosts, joint stays within both reaches as each would be used alone.
     #[test]
     fn joint_is_within_both(a in drawn(), b in drawn(), there in 0..16u128) {
         let (joint, there) = (a.joint(&b), Zones(there));
@@ -109,7 +110,8 @@
         }
     }
 
-    /// The flow against every set of zones (Hall's condition): refused if some set is over, and then named rightly.
+    /// Compares the flow with every set of zones (Hall's condition): demand is refused if some set is
+    /// overloaded, and the error then names such a set.
     #[test]
     fn over_is_what_some_set_of_zones_can_not_carry(
         sets in prop::collection::vec((1..16u128, 0..50u32), 1..5),
--- a/crates/residency/tests/residency/rules.rs
+++ b/crates/residency/tests/residency/rules.rs
@@ -1,4 +1,4 @@
-//! The language: what compiles, and what is refused with its place.
+//! Tests of the rule language: what compiles, and what is refused with its place in the file.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -122,7 +122,7 @@
     assert_eq!(found.meanwhile.len(), 4);
 }
 
-/// Each thing that can be wrong, and where it is said to be.
+/// Each possible error, and the place reported for it.
 #[test]
 fn each_fault_has_its_place_and_something_to_do() {
     let cases: [(&str, &str, (usize, usize)); 17] = [
@@ -202,7 +202,7 @@
     let unfit = compile(&Section::default(), &many, NOW).expect_err("129 zones");
     assert!(matches!(unfit, Unfit::TooManyZones { count: 129 }) && !unfit.advice().is_empty());
     seen.insert("TooManyZones");
-    // A variant more does not compile here until it has a case above.
+    // A new variant does not compile here until it has a case above.
     let name = |unfit: &Unfit| match unfit {
         Unfit::TooManyZones { .. } => "TooManyZones",
         Unfit::UnknownZone { .. } => "UnknownZone",
@@ -260,8 +260,8 @@
 }
 
 proptest! {
-    /// What compiles keeps to each rule: nothing that one forbids, nothing that one does not permit, no tier past
-    /// the first where one says never.
+    /// The compiled reach keeps to each rule: no zone that a rule forbids or does not permit, and no tier
+    /// past the first where a rule says `never`.
     #[test]
     fn what_compiles_keeps_to_each_rule(rules in prop::collection::vec(drawn(), 1..5)) {
         let facts = facts();
