--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -1,4 +1,5 @@
-//! `[fleet]`: who belongs to the fleet, where members hear each other, and how long what is agreed lasts.
+//! `[fleet]`: the members of the fleet, the addresses at which they reach each other, and the durations
+//! of leases and grants.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,52 +15,57 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// This member's name; none: the steward's own, as its configuration gives it.
+    /// This member's name; `None`: the controller's own name from its configuration.
     pub name: Option<Spanned<String>>,
-    /// The fleet's, the same at all members. What members of another fleet say is refused.
+    /// The fleet's id, the same at all members. Messages from members of another fleet are refused.
     pub id: Spanned<String>,
-    /// Where other members connect.
+    /// Address to which other members connect.
     pub listen: SocketAddr,
     pub member: Vec<Spanned<Member>>,
-    /// What has to last. Voters need it; one folder a member, on a disk that outlives the daemon.
+    /// Folder for durable state. Voters need it; one folder per member, on a disk that outlives the
+    /// daemon.
     pub folder: Option<PathBuf>,
-    /// The policy file; read at the start and on SIGHUP.
+    /// The policy file, read at the start and on SIGHUP.
     pub policy: Spanned<PathBuf>,
-    /// The products that a policy may ever govern. Declined at once while it can't be known what holds.
+    /// The request classes that a policy may ever govern. Their txns are rejected at once while the rules
+    /// in force can't be known.
     pub govern: Spanned<Vec<Spanned<String>>>,
-    /// How long a steward acts on what it was told last, by its own clock.
+    /// How long a controller acts on the last lease it received, by its own clock.
     #[serde(default = "acts")]
     pub acts: Spanned<Period>,
-    /// How long it goes on within that and what was staged beside it.
+    /// How long it continues within both the rules of its last lease and those staged beside them.
     #[serde(default = "knows")]
     pub knows: Spanned<Period>,
-    /// No clock of a member runs faster or slower than another by a larger part than this.
+    /// Bound of the difference in speed between the clocks of two members, as a fraction.
     #[serde(default = "drift")]
     pub drift: Spanned<f64>,
-    /// What the chair adds to each lease before it counts it as over.
+    /// Time that the leader adds to each lease before it counts the lease as expired.
     #[serde(default = "slack")]
     pub slack: Spanned<Period>,
-    /// Worst transit of the relay's channel, and the time in which proxies of a steward that is gone are bound anew.
+    /// Longest transit time of the relay's channel, which is also the time in which proxies of a failed
+    /// controller are bound again.
     #[serde(default = "linger")]
     pub linger: Spanned<Period>,
-    /// A voter that hears of no chair for so long, and up to as long again, asks for votes.
+    /// A voter that receives nothing from a leader for this long (plus up to as long again at random)
+    /// starts an election.
     #[serde(default = "election")]
     pub election: Spanned<Period>,
-    /// How often a chair is heard.
+    /// Interval of the leader's heartbeats.
     #[serde(default = "beat")]
     pub beat: Spanned<Period>,
-    /// How long a proposal waits for all stewards to have checked it.
+    /// How long a proposal waits until all controllers have checked it.
     #[serde(default = "check_within")]
     pub check_within: Spanned<Period>,
-    /// How long a grant of fair shares lasts.
+    /// Duration of a quota grant.
     #[serde(default = "grant")]
     pub grant: Spanned<Period>,
-    /// Txns a second that a warm host of weight 1 can do; fair shares are dealt by it. Needed where a policy has
-    /// `[shares]`.
+    /// Capacity of a warm host of weight 1, in txns per second; quotas are computed from it. Required
+    /// where a policy has `[shares]`.
     pub txns_per_s_per_weight: Option<Spanned<f64>>,
     #[serde(default = "most_message")]
     pub most_message_bytes: Spanned<u32>,
-    /// Each thing proposed, answered, held and written, as a line of JSON: for tests and audits.
+    /// File to which every proposal, answer, lease held and durable write is appended as a line of JSON,
+    /// for tests and audits.
     pub history: Option<PathBuf>,
 }
 
@@ -67,13 +73,13 @@
 #[serde(deny_unknown_fields)]
 pub struct Member {
     pub name: Spanned<String>,
-    /// Where the others reach it.
+    /// Address at which the other members reach it.
     pub address: Spanned<SocketAddr>,
     #[serde(default)]
     pub votes: bool,
 }
 
-// Where the file says nothing: a lease that outlives two elections, and figures for stewards on one continent.
+// Defaults: a lease that outlives two elections, and durations for controllers on one continent.
 fn period(ms: u64) -> Spanned<Period> {
     Spanned::new(0..0, Period(Duration::from_millis(ms)))
 }
@@ -108,30 +114,30 @@
     Spanned::new(0..0, 4 * 1_024 * 1_024)
 }
 
-/// A length of the file, in ms.
-pub fn ms(length: &Spanned<Period>) -> f64 {
-    length.get_ref().0.as_secs_f64() * 1e3
+/// A duration of the file, in ms.
+pub fn ms(duration: &Spanned<Period>) -> f64 {
+    duration.get_ref().0.as_secs_f64() * 1e3
 }
 
 /// Raft's safety needs a majority; more than seven voters make each write slower and the fleet no safer.
-const MOST_VOTERS: usize = 7;
-/// Names go into each message and into file names of no folder; longer ones are no names.
-const MOST_NAME: usize = 128;
-/// Followers are hundreds; more than this is a file gone wrong.
-const MOST_MEMBERS: usize = 4_096;
+const MAX_VOTERS: usize = 7;
+/// Names are part of each message and not of file names; a longer one is an error.
+const MAX_NAME_BYTES: usize = 128;
+/// A fleet has hundreds of followers; a larger number than this is taken for an error in the file.
+const MAX_MEMBERS: usize = 4_096;
 
 impl Fleet {
     pub(crate) fn check(&self) -> Result<(), Unfit> {
-        self.names()?;
-        self.lengths()?;
+        self.check_names()?;
+        self.check_durations()?;
         if let Some(name) = &self.name {
             self.own(name.get_ref(), name.span())?;
         }
         Ok(())
     }
 
-    fn names(&self) -> Result<(), Unfit> {
-        named("id", &self.id)?;
+    fn check_names(&self) -> Result<(), Unfit> {
+        check_name("id", &self.id)?;
         if self.govern.get_ref().is_empty() {
             return Err((
                 self.govern.span(),
@@ -139,14 +145,14 @@
             ));
         }
         let mut governed = BTreeSet::new();
-        for product in self.govern.get_ref() {
-            if !governed.insert(product.get_ref()) {
-                return Err((product.span(), format!("product {} is named twice", product.get_ref())));
+        for class in self.govern.get_ref() {
+            if !governed.insert(class.get_ref()) {
+                return Err((class.span(), format!("product {} is named twice", class.get_ref())));
             }
         }
         let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
         for member in self.member.iter().map(Spanned::get_ref) {
-            named("name", &member.name)?;
+            check_name("name", &member.name)?;
             if !names.insert(member.name.get_ref()) {
                 return Err((member.name.span(), format!("two members are named {}", member.name.get_ref())));
             }
@@ -156,25 +162,25 @@
             }
         }
         let at = |place: usize| self.member.get(place).map_or(self.id.span(), Spanned::span);
-        if names.len() > MOST_MEMBERS {
-            return Err((at(MOST_MEMBERS), format!("{} members, at most {MOST_MEMBERS}", names.len())));
+        if names.len() > MAX_MEMBERS {
+            return Err((at(MAX_MEMBERS), format!("{} members, at most {MAX_MEMBERS}", names.len())));
         }
         let voting = |member: &(usize, &Spanned<Member>)| member.1.get_ref().votes;
         let voters: Vec<usize> =
             self.member.iter().enumerate().filter(voting).map(|(place, _)| place).collect();
         match voters.len() {
             0 => Err((at(0), "no member votes: 1 to 7 have to".into())),
-            1..=MOST_VOTERS => Ok(()),
-            many => Err((at(voters[MOST_VOTERS]), format!("{many} members vote: 1 to {MOST_VOTERS} may"))),
+            1..=MAX_VOTERS => Ok(()),
+            many => Err((at(voters[MAX_VOTERS]), format!("{many} members vote: 1 to {MAX_VOTERS} may"))),
         }
     }
 
-    /// Each length alone, and those that contradict each other: a lease that ends before it can be renewed or
-    /// before a new chair can be there takes service away at every hiccup. What slack and drift leave of a lease is
-    /// three beats at the least.
-    fn lengths(&self) -> Result<(), Unfit> {
+    /// Checks each duration, and the durations against each other: a lease that ends before it can be
+    /// renewed, or before a new leader can be elected, takes service away at every short interruption.
+    /// What slack and drift leave of a lease is at least three heartbeats.
+    fn check_durations(&self) -> Result<(), Unfit> {
         const HOUR: u64 = 3_600_000;
-        let lengths = [
+        let durations = [
             ("acts", &self.acts, 100, HOUR),
             ("knows", &self.knows, 100, 24 * HOUR),
             ("slack", &self.slack, 1, 60_000),
@@ -184,11 +190,11 @@
             ("check_within", &self.check_within, 100, HOUR),
             ("grant", &self.grant, 100, HOUR),
         ];
-        for (name, length, least, most) in lengths {
-            let found = length.get_ref().0;
+        for (name, duration, least, most) in durations {
+            let found = duration.get_ref().0;
             if !(Duration::from_millis(least)..=Duration::from_millis(most)).contains(&found) {
                 let (least, most) = (Duration::from_millis(least), Duration::from_millis(most));
-                return Err((length.span(), format!("{name} = {found:?}: expected {least:?} to {most:?}")));
+                return Err((duration.span(), format!("{name} = {found:?}: expected {least:?} to {most:?}")));
             }
         }
         if !(0.0..=0.1).contains(self.drift.get_ref()) {
@@ -199,7 +205,7 @@
             between("txns_per_s_per_weight", rate, 1e-3, 1e9)?;
         }
         between("most_message_bytes", &self.most_message_bytes, 64 * 1_024, 64 * 1_024 * 1_024)?;
-        // The value that the file says is the one at fault, where only one of the two stands there.
+        // The error is reported at the value that the file sets, where the file sets only one of the two.
         let fault = |first: &Spanned<Period>, other: std::ops::Range<usize>, what: String| {
             Err((if first.span().is_empty() { other } else { first.span() }, what))
         };
@@ -234,10 +240,10 @@
         Ok(())
     }
 
-    /// The member that this daemon is, by the name that the file or the steward's configuration gives.
+    /// The member that this daemon is, by the name from this file or from the controller's configuration.
     ///
     /// # Errors
-    /// No member has the name, or it votes and has no folder; with the place.
+    /// No member has the name, or it votes and has no folder; with the span of the value at fault.
     pub fn own(
         &self,
         name: &str,
@@ -254,11 +260,12 @@
     }
 }
 
-fn named(what: &str, name: &Spanned<String>) -> Result<(), Unfit> {
-    match (1..=MOST_NAME).contains(&name.get_ref().len()) {
+fn check_name(what: &str, name: &Spanned<String>) -> Result<(), Unfit> {
+    match (1..=MAX_NAME_BYTES).contains(&name.get_ref().len()) {
         true => Ok(()),
-        false => {
-            Err((name.span(), format!("{what} of {} bytes: expected 1 to {MOST_NAME}", name.get_ref().len())))
-        }
+        false => Err((
+            name.span(),
+            format!("{what} of {} bytes: expected 1 to {MAX_NAME_BYTES}", name.get_ref().len()),
+        )),
     }
 }
--- a/crates/operator/src/guard.rs
+++ b/crates/operator/src/guard.rs
@@ -1,4 +1,4 @@
-//! `[guard]`: the last check between decisions and proxies.
+//! `[guard]`: the check between the decisions and the proxies.
 
 use serde::Deserialize;
 use toml::Spanned;
@@ -9,7 +9,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Guard {
     pub mode: GuardMode,
-    /// What a warm host of weight 1 can do; none: it is learnt, and warm hosts are not judged by it.
+    /// Capacity of a warm host of weight 1, in txns per second. `None`: it is estimated, and warm hosts
+    /// are not checked against it.
     pub txns_per_s_per_weight: Option<Spanned<f64>>,
 }
 
@@ -17,9 +18,9 @@
 #[serde(rename_all = "kebab-case")]
 pub enum GuardMode {
     Off,
-    /// Counted and logged; all goes out.
+    /// Breaches are counted and logged; all orders are sent.
     Watch,
-    /// What would break a rule is held back.
+    /// Orders that would break a rule are withheld.
     Enforce,
 }
 
--- a/crates/operator/src/intake.rs
+++ b/crates/operator/src/intake.rs
@@ -1,4 +1,4 @@
-//! `[intake]`: where load reports come in, and how much of them.
+//! `[intake]`: the address for load reports and the limits on them.
 
 use std::net::SocketAddr;
 
@@ -10,9 +10,10 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Intake {
-    /// Where reporters connect. Set it beside what the platform lets the program listen on.
+    /// Address to which reporters connect. The platform has to let the program listen on it.
     pub listen: SocketAddr,
-    /// Reports a second that are taken in over all hosts; paces are dealt from it.
+    /// Total rate of reports accepted over all hosts, per second; each reporter's interval is derived
+    /// from it.
     pub reports_per_s: Spanned<u32>,
     #[serde(default = "most_connections")]
     pub most_connections: Spanned<u32>,
@@ -26,12 +27,12 @@
     pub most_reports_per_batch: Spanned<u32>,
     #[serde(default = "most_message")]
     pub most_message_bytes: Spanned<u32>,
-    /// What all connections together may have sent that was not looked at yet.
+    /// Bytes that all connections together may have sent and that are not processed yet.
     #[serde(default = "most_in_hand")]
     pub most_bytes_in_hand: Spanned<u64>,
 }
 
-// Where the file says nothing: what 5,000 hosts behind agents of twenty need, with room for as many again.
+// Defaults: what 5,000 hosts behind agents of twenty hosts each need, with as much again in reserve.
 fn spanned<T>(value: T) -> Spanned<T> {
     Spanned::new(0..0, value)
 }
@@ -57,9 +58,9 @@
     spanned(64 * 1_024 * 1_024)
 }
 
-/// HTTP/2 (RFC 9113, 6.9.2) gives each connection this much before anything is said of it.
-const LEAST_WINDOW: u64 = 65_535;
-/// A report on the wire: its figures at full width.
+/// HTTP/2 (RFC 9113, 6.9.2) grants each connection this window before any settings are exchanged.
+const MIN_WINDOW: u64 = 65_535;
+/// Size of a report on the wire with all its numbers at full width.
 const REPORT_BYTES: u32 = 64;
 
 impl Intake {
@@ -69,7 +70,7 @@
         between("most_streams_per_connection", &self.most_streams_per_connection, 1, 10_000)?;
         between("most_reporters", &self.most_reporters, 1, 1_000_000)?;
         between("most_hosts_per_reporter", &self.most_hosts_per_reporter, 1, 100_000)?;
-        // The window of numbers that tells repeats holds two batches of this size.
+        // The window of sequence numbers that detects duplicates holds two batches of this size.
         between("most_reports_per_batch", &self.most_reports_per_batch, 1, 1_000)?;
         between("most_message_bytes", &self.most_message_bytes, 256, 4 * 1_024 * 1_024)?;
         let (reports, bytes) = (self.most_reports_per_batch.get_ref(), self.most_message_bytes.get_ref());
@@ -80,18 +81,18 @@
             );
             return Err((self.most_message_bytes.span(), what));
         }
-        let least = u64::from(*self.most_connections.get_ref()) * LEAST_WINDOW;
+        let least = u64::from(*self.most_connections.get_ref()) * MIN_WINDOW;
         let found = between("most_bytes_in_hand", &self.most_bytes_in_hand, least, 1 << 34);
-        // Where the file does not say it, it is the number of connections that asks for too much.
+        // With the default value, the number of connections is what asks for too much.
         found.map_err(|(span, what)| match span.is_empty() {
             true => (self.most_connections.span(), what),
             false => (span, what),
         })
     }
 
-    /// What one connection may have sent that was not looked at yet.
+    /// Bytes that one connection may have sent and that are not processed yet.
     pub fn window(&self) -> u32 {
         let each = self.most_bytes_in_hand.get_ref() / u64::from(*self.most_connections.get_ref());
-        each.clamp(LEAST_WINDOW, 1 << 20) as u32
+        each.clamp(MIN_WINDOW, 1 << 20) as u32
     }
 }
--- a/crates/operator/src/levels.rs
+++ b/crates/operator/src/levels.rs
@@ -1,5 +1,5 @@
-//! `[levels]`: named levels of reduced service. What makes a ladder of them is checked where it is built; here are
-//! the words of the file and their places.
+//! `[levels]`: named levels of reduced service. This module holds the keys of the file and their spans;
+//! the ladder of levels is validated where it is built.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -11,12 +11,12 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Levels {
-    /// False: levels are looked at, told and logged, and nothing is bounded.
+    /// If false, levels are evaluated, published and logged, but limit nothing.
     #[serde(default = "yes")]
     pub act: bool,
-    /// A unix socket at which `amberarch levels` asks; none: it can't be asked.
+    /// Unix socket that `amberarch levels` queries; `None`: it can't be queried.
     pub socket: Option<PathBuf>,
-    /// From full service down.
+    /// Ordered from full service downwards.
     pub level: Vec<Spanned<Level>>,
 }
 
@@ -24,7 +24,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Level {
     pub name: String,
-    /// Products by name; those not named are kept whole.
+    /// Request classes by name; classes that are not named are not limited.
     #[serde(default)]
     pub keep: BTreeMap<Spanned<String>, Keep>,
     #[serde(default)]
@@ -41,7 +41,7 @@
     pub force: bool,
 }
 
-/// A share from 0 to 1 that is let in at the least, or that and the most.
+/// Fraction of the txns to admit, from 0 to 1: a lower bound, or a lower and an upper bound.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum Keep {
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,7 @@
-//! The operator's file, `deploy/amberarch.toml`: one section a subsystem, and a section that is absent is off.
-//! Text goes in, checked sections or the first fault with its line and column come out. It opens no file, and
-//! nothing here is a decision: what a figure is used for stands with the subsystem that is given it.
+//! The operator's file, `deploy/amberarch.toml`, with one section per subsystem; an absent section
+//! switches its subsystem off. Parsing takes the text and returns checked sections, or the first error
+//! with its line and column. This crate opens no file and takes no decisions: the use of each value is
+//! documented with its subsystem.
 
 pub mod fleet;
 pub mod guard;
@@ -19,7 +20,7 @@
 pub use levels::Levels;
 pub use state::State;
 
-/// All that an operator has switched on.
+/// The sections present in the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
@@ -30,11 +31,11 @@
     pub state: Option<State>,
 }
 
-/// What is wrong, and where.
+/// An error in the file, with its place.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Fault {
     pub line: usize,
-    /// In characters from 1.
+    /// Counted in characters, from 1.
     pub column: usize,
     pub what: String,
 }
@@ -46,7 +47,7 @@
 }
 
 impl Fault {
-    /// A fault at that byte of the file.
+    /// An error at that byte offset of the file.
     pub fn at(text: &str, offset: usize, what: impl Into<String>) -> Fault {
         let before = text.get(..offset).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
@@ -55,12 +56,14 @@
     }
 }
 
-/// A figure that can't be, found after the file was read; its place is that of the value.
+/// A value out of range, found after parsing: the byte span of the value, and the message.
 type Unfit = (std::ops::Range<usize>, String);
 
 impl Operator {
+    /// Parses and checks the file.
+    ///
     /// # Errors
-    /// The first thing that is no TOML, names no setting, lacks one, or holds a figure that can't be.
+    /// The first error: text that is not TOML, an unknown or missing setting, or a value out of range.
     pub fn parse(text: &str) -> Result<Operator, Fault> {
         let operator: Operator = read(text)?;
         let intake = operator.intake.as_ref().map_or(Ok(()), Intake::check);
@@ -72,7 +75,7 @@
         Ok(operator)
     }
 
-    /// The names of the sections that are there.
+    /// Names of the sections present.
     pub fn sections(&self) -> Vec<&'static str> {
         let on = [
             (self.fleet.is_some(), "fleet"),
@@ -85,10 +88,10 @@
     }
 }
 
-/// Reads a text as that type.
+/// Parses a TOML text into a value of the type.
 ///
 /// # Errors
-/// The first thing that is no TOML or does not fit the type, with its place.
+/// The first error: text that is not TOML or does not fit the type, with its place.
 pub fn read<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Fault> {
     toml::from_str(text).map_err(|error| {
         let offset = error.span().map_or(0, |span| span.start);
@@ -96,7 +99,7 @@
     })
 }
 
-/// The value lies between the two, ends included.
+/// Checks that the value lies in the range, ends included.
 fn between<T: PartialOrd + fmt::Display + Copy>(
     name: &str,
     value: &Spanned<T>,
--- a/crates/operator/src/state.rs
+++ b/crates/operator/src/state.rs
@@ -1,4 +1,4 @@
-//! `[state]`: where what a restart should know is kept.
+//! `[state]`: where the state that a restart needs is stored.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    /// A folder of the daemon's own, on a disk that survives it.
+    /// A folder used by the daemon alone, on a disk that outlives it.
     pub folder: PathBuf,
-    /// How often what has changed is written.
+    /// Interval at which changed state is written.
     #[serde(default = "every")]
     pub every: Spanned<Period>,
 }
--- a/crates/operator/tests/faults.rs
+++ b/crates/operator/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault of an operator's file is told with its place.
+//! Every error in an operator's file is reported with its place.
 
 use amberarch_operator::Operator;
 use expect_test::expect;
