--- a/crates/wirehost/src/events.rs
+++ b/crates/wirehost/src/events.rs
@@ -1,4 +1,4 @@
-//! Lines of a batch as events.
+//! Parses the lines of a batch into events.
 
 use amberarch_core::*;
 use amberarch_facts::{Given, Names};
@@ -8,13 +8,13 @@
 
 pub enum Line {
     End,
-    Enlist { who: u64, steward: Box<dyn Decide> },
+    Enlist { who: u64, decisions: Box<dyn Decide> },
     Destroy { who: u64 },
-    List { who: u64, news: ListUpdate, rows: usize },
+    List { who: u64, update: ListUpdate, rows: usize },
     Event { who: u64, event: Event },
 }
 
-/// Reads one line of a batch; `names` finds the names of the instance that it concerns.
+/// Parses one line of a batch; `names` returns the names of the instance that the line concerns.
 pub fn line<'n>(
     text: &str,
     names: impl FnOnce(u64) -> Result<&'n mut Names, String>,
@@ -47,8 +47,8 @@
     match word {
         "ENLIST" => {
             let seed = f.number("randomSeed")?;
-            let steward = Given::from_pairs(f.remaining())?.steward(seed)?;
-            return Ok(Line::Enlist { who, steward: Box::new(steward) });
+            let decisions = Given::from_pairs(f.remaining())?.steward(seed)?;
+            return Ok(Line::Enlist { who, decisions: Box::new(decisions) });
         }
         "DESTROY" => return Ok(Line::Destroy { who }),
         _ => {}
@@ -57,7 +57,7 @@
     let event = match word {
         "FLEET" => {
             let _version: u64 = f.number("gen")?;
-            let news = match f.text("how")? {
+            let update = match f.text("how")? {
                 "update" => ListUpdate::Changes,
                 "replace" => ListUpdate::Full,
                 "restored" => ListUpdate::FromSnapshot,
@@ -67,7 +67,7 @@
                 }
             };
             let rows = f.number("number of entries")?;
-            return Ok(Line::List { who, news, rows });
+            return Ok(Line::List { who, update, rows });
         }
         "TOOK_EFFECT" => Event::MarkApplied {
             proxy: ProxyId(f.number("sidecar")?),
--- a/crates/wirehost/src/fields.rs
+++ b/crates/wirehost/src/fields.rs
@@ -1,4 +1,4 @@
-//! The parts of one line, taken from left to right.
+//! The fields of one line, taken from left to right.
 
 pub struct Fields<'a> {
     rest: std::str::Split<'a, char>,
@@ -39,7 +39,7 @@
         Ok(ns as f64 / 1e6)
     }
 
-    /// As `time`; none where absent.
+    /// As `time`; `None` where the field is `-`.
     pub fn maybe_time(&mut self, name: &str) -> Result<Option<f64>, String> {
         let part = self.text(name)?;
         if part == "-" {
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,7 +1,7 @@
-//! Carries the line protocol to `amberarch-policy` and back, for as many instances as it is sent.
+//! Adapter from the simulator's line protocol to `amberarch-policy`, for any number of instances.
 //!
-//! Only units and names change here; no decision is taken. Each instance has its own names and
-//! its own steward, and sees its own events alone.
+//! It converts units and names and takes no decisions. Each instance has its own names and its own
+//! decision module, and receives its own events only.
 
 mod events;
 mod fields;
@@ -42,7 +42,7 @@
 }
 
 struct Instance {
-    steward: Box<dyn Decide>,
+    decisions: Box<dyn Decide>,
     names: Names,
     events: Vec<Event>,
 }
@@ -73,7 +73,7 @@
     }
 }
 
-/// Answers batches until input ends.
+/// Answers batches until the end of input.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
     let mut reader = Reader { input, line: 0, text: String::new() };
     let mut instances: BTreeMap<u64, Instance> = BTreeMap::new();
@@ -114,8 +114,8 @@
         });
         match parsed.map_err(|what| reader.fault(what))? {
             Line::End => return Ok(()),
-            Line::Enlist { who, steward } => {
-                let instance = Instance { steward, names: Names::default(), events: Vec::new() };
+            Line::Enlist { who, decisions } => {
+                let instance = Instance { decisions, names: Names::default(), events: Vec::new() };
                 instances.insert(who, instance);
             }
             Line::Destroy { who } => {
@@ -126,7 +126,7 @@
                     instance.events.push(event);
                 }
             }
-            Line::List { who, news: update, rows } => {
+            Line::List { who, update, rows } => {
                 let mut entries = Vec::with_capacity(rows.min(4096));
                 for _ in 0..rows {
                     if !reader.next()? {
@@ -145,14 +145,14 @@
     }
 }
 
-/// Lets an instance with events decide; false when it has failed and is given up.
+/// Passes an instance its events, if any, and writes its orders; false if it panicked and is dropped.
 fn answer(who: u64, instance: &mut Instance, now: f64, reply: &mut String) -> bool {
     if instance.events.is_empty() {
         return true;
     }
-    let happened = std::mem::take(&mut instance.events);
-    let steward = &mut instance.steward;
-    match catch_unwind(AssertUnwindSafe(|| steward.decide(now, &happened))) {
+    let events = std::mem::take(&mut instance.events);
+    let decisions = &mut instance.decisions;
+    match catch_unwind(AssertUnwindSafe(|| decisions.decide(now, &events))) {
         Ok(decided) => {
             for order in &decided {
                 orders::write(who, order, &mut instance.names, reply);
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -2,7 +2,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic is reported on the wire; its trace would only repeat it on standard error.
+    // A panic is reported on the wire, so its trace on standard error is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     let input = io::stdin().lock();
     let output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
--- a/crates/wirehost/src/orders.rs
+++ b/crates/wirehost/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders as lines of a reply; one that names a host that is not known is none.
+//! Writes orders as lines of a reply. An order for an unknown host is skipped.
 
 use std::fmt::Write;
 
@@ -36,7 +36,7 @@
             let Some(host) = names.name(*host) else { return };
             writeln!(out, "ASK_LOAD {who} {host}")
         }
-        // Stewards of the simulator start from nothing.
+        // Controllers of the simulator start without stored state.
         Order::StoreHint { .. } => return,
         Order::ForgetHost { host } => return names.forget(*host),
         Order::WatchList { on } => writeln!(out, "FOLLOW {who} {}", u8::from(*on)),
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -15,7 +15,7 @@
     rules.drainGrace=2300000000 rules.fallMultiple=4.0 rules.overloadFor=2000000000 \
     rules.warmWithin=17000000000 somethingNew=7";
 
-/// What was answered to the lines, and how serving ended.
+/// The replies to the lines, and how serving ended.
 fn check(lines: &str, expected: Expect) {
     let mut out = Vec::new();
     let end = serve(lines.replace("SETTINGS", SETTINGS).as_bytes(), &mut out);
