--- a/crates/intake-grpc/build.rs
+++ b/crates/intake-grpc/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the protocol without a compiler of its own on the machine.
+//! Compiles the protocol definition without requiring an installed `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/load.proto");
--- a/crates/intake-grpc/src/accept.rs
+++ b/crates/intake-grpc/src/accept.rs
@@ -1,4 +1,4 @@
-//! Connections: so many at a time, and none that falls silent for good.
+//! Accepts connections, up to a limit, and closes connections that stay silent.
 
 use std::io;
 use std::pin::Pin;
@@ -16,28 +16,28 @@
 
 use crate::counts::Counts;
 
-/// One that stands answers a PING within 15 s; a little more is no sign of life. It also ends a connection
-/// that never finished its first frame.
-const SILENCE: Duration = Duration::from_secs(20);
-/// What can't be written for so long is not read.
-const UNREAD: Duration = Duration::from_secs(20);
-/// After a connection could not be taken, as where descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(50);
+/// A live connection answers a PING within 15 s; the rest is a margin. It also ends a connection that
+/// never finished its first frame.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// A peer to which nothing can be written for this long does not read.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause after a failed accept, for instance when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A connection that gives its place back when it ends.
-pub struct Guest {
+/// An accepted connection; it releases its permit when it is dropped.
+pub struct Connection {
     stream: Pin<Box<TimeoutStream<TcpStream>>>,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
-impl Connected for Guest {
+impl Connected for Connection {
     type ConnectInfo = TcpConnectInfo;
     fn connect_info(&self) -> TcpConnectInfo {
         self.stream.get_ref().connect_info()
     }
 }
 
-impl AsyncRead for Guest {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -47,7 +47,7 @@
     }
 }
 
-impl AsyncWrite for Guest {
+impl AsyncWrite for Connection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
         self.stream.as_mut().poll_write(cx, from)
     }
@@ -59,37 +59,38 @@
     }
 }
 
-/// Takes connections for good. One over the number is closed at once, so that its peer knows.
+/// Accepts connections for the lifetime of the process. A connection over the limit is closed at once so
+/// that its peer notices.
 pub fn incoming(
     listener: TcpListener,
     most: usize,
     counts: Arc<Counts>,
     log: Logger,
-) -> ReceiverStream<io::Result<Guest>> {
-    let places = Arc::new(Semaphore::new(most));
-    let (to, guests) = mpsc::channel(1);
+) -> ReceiverStream<io::Result<Connection>> {
+    let permits = Arc::new(Semaphore::new(most));
+    let (to, connections) = mpsc::channel(1);
     tokio::spawn(async move {
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(why) => {
-                    warn!(log, "the intake could not take a connection"; "why" => %why);
-                    tokio::time::sleep(PAUSE).await;
+                    warn!(log, "failed to accept a connection for load reports"; "why" => %why);
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             counts.connections.one();
-            let Ok(place) = places.clone().try_acquire_owned() else {
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
                 counts.connections_refused.one();
                 continue;
             };
             let mut stream = TimeoutStream::new(stream);
-            stream.set_read_timeout(Some(SILENCE));
-            stream.set_write_timeout(Some(UNREAD));
-            if to.send(Ok(Guest { stream: Box::pin(stream), _place: place })).await.is_err() {
+            stream.set_read_timeout(Some(READ_TIMEOUT));
+            stream.set_write_timeout(Some(WRITE_TIMEOUT));
+            if to.send(Ok(Connection { stream: Box::pin(stream), _permit: permit })).await.is_err() {
                 return;
             }
         }
     });
-    ReceiverStream::new(guests)
+    ReceiverStream::new(connections)
 }
--- a/crates/intake-grpc/src/counts.rs
+++ b/crates/intake-grpc/src/counts.rs
@@ -1,4 +1,4 @@
-//! What the intake took in and turned away, readable from any thread.
+//! Counters of what the intake accepted and refused, readable from any thread.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -22,18 +22,18 @@
     }
 }
 
-/// Times in microseconds, to 1 %.
-struct Times(Mutex<Histogram<u64>>);
+/// Histogram of durations in microseconds, precise to 1 %.
+struct Durations(Mutex<Histogram<u64>>);
 
-impl Default for Times {
-    fn default() -> Times {
-        /// Ten minutes; what takes longer counts as that.
+impl Default for Durations {
+    fn default() -> Durations {
+        /// Ten minutes; longer durations are recorded as that.
         const MOST_US: u64 = 600_000_000;
-        Times(Mutex::new(Histogram::new_with_max(MOST_US, 2).expect("two digits of a range above two")))
+        Durations(Mutex::new(Histogram::new_with_max(MOST_US, 2).expect("two digits of a range above two")))
     }
 }
 
-impl Times {
+impl Durations {
     fn add(&self, us: f64) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(us.max(0.0) as u64);
     }
@@ -57,10 +57,10 @@
     pub messages_of_paces: Count,
     pub paces: Count,
     pub told: Count,
-    /// From a message that was read to a belief that was renewed by it.
-    to_belief: Times,
-    /// From a message that was read to the decisions that were told.
-    to_decision: Times,
+    /// From reading a message to updating a host's believed load.
+    to_belief: Durations,
+    /// From reading a message to passing its load to the decisions.
+    to_decision: Durations,
     census: Mutex<Census>,
 }
 
@@ -79,7 +79,7 @@
         self.to_decision.add(1e3 * waited_ms);
     }
 
-    pub fn stands(&self, census: Census) {
+    pub fn set_census(&self, census: Census) {
         *self.census.lock().unwrap_or_else(PoisonError::into_inner) = census;
     }
 }
--- a/crates/intake-grpc/src/desk.rs
+++ b/crates/intake-grpc/src/desk.rs
@@ -1,5 +1,6 @@
-//! The one owner of the intake on its thread: streams bring batches, a clock's tick gives out what is believed
-//! and which paces are due. Held by one stream at a time, never across a wait.
+//! The only owner of the intake, on the service's thread: streams bring batches, and a timer publishes
+//! believed loads and sends the paces that are due. One stream at a time holds the lock, never across an
+//! await.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,29 +18,30 @@
 use crate::witness::Witness;
 use crate::{Basis, Bounds};
 
-/// As often as the decisions look.
-const TICK: Duration = Duration::from_millis(200);
-/// Told to the decisions at one tick, at the most; what stands over comes with the next ones.
-const ROOM: usize = 4_096;
+/// Matches the interval of the decisions.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Upper bound of believed loads sent to the decisions per tick; the remainder follows at later ticks.
+const MAX_BELIEFS_PER_TICK: usize = 4_096;
 
-/// Where messages to a reporter go: one that does not read finds its newest paces waiting, not a queue of them.
+/// Channel for messages to a reporter. A reporter that does not read finds only its newest paces waiting,
+/// not a queue of them.
 pub type ToReporter = mpsc::Sender<Result<wire::Paces, Status>>;
 
-/// One stream of a reporter, as long as it stands.
-pub struct Seat {
+/// An open stream of a reporter.
+pub struct ReporterStream {
     pub id: ReporterId,
     number: u64,
     boot: Boot,
     names: Vec<String>,
-    /// By place in `names`; none where the host is not listed.
+    /// Same index as `names`; `None` where the host is not listed.
     hosts: Vec<Option<HostId>>,
     list: u64,
 }
 
-struct Open {
+struct OpenStream {
     number: u64,
     to: ToReporter,
-    places: BTreeMap<HostId, u32>,
+    indexes: BTreeMap<HostId, u32>,
 }
 
 struct Inner {
@@ -47,21 +49,21 @@
     start: Instant,
     ids: HashMap<String, ReporterId>,
     next: u32,
-    /// The newest stream of each reporter: paces go there.
-    open: BTreeMap<ReporterId, Open>,
+    /// The newest stream of each reporter, to which its paces are sent.
+    open: BTreeMap<ReporterId, OpenStream>,
     streams: u64,
     names: HashMap<String, HostId>,
     list: u64,
 }
 
 #[derive(Clone)]
-pub struct Desk {
+pub struct SharedIntake {
     inner: Arc<Mutex<Inner>>,
     counts: Arc<Counts>,
 }
 
-impl Desk {
-    pub fn new(bounds: Bounds, basis: Basis, counts: Arc<Counts>) -> Desk {
+impl SharedIntake {
+    pub fn new(bounds: Bounds, basis: Basis, counts: Arc<Counts>) -> SharedIntake {
         let now = basis.start.elapsed().as_secs_f64() * 1e3;
         let intake = Intake::new(now, basis.reports_per_s, bounds.reporters, basis.line, basis.echo);
         let inner = Inner {
@@ -74,19 +76,19 @@
             names: HashMap::new(),
             list: 1,
         };
-        Desk { inner: Arc::new(Mutex::new(inner)), counts }
+        SharedIntake { inner: Arc::new(Mutex::new(inner)), counts }
     }
 
     fn with<T>(&self, act: impl FnOnce(&mut Inner) -> T) -> T {
-        // A stream that panicked took its batch with it; what the intake holds is whole after each report.
+        // A stream that panicked lost its batch, but the intake is consistent after each report.
         act(&mut self.inner.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// A stream whose reporter has said who it is.
+    /// Registers a stream whose reporter has sent its hello.
     ///
     /// # Errors
-    /// As many reporters as there may be are connected.
-    pub fn opened(&self, hello: wire::Hello, to: ToReporter) -> Result<Seat, TooMany> {
+    /// The limit of connected reporters is reached.
+    pub fn opened(&self, hello: wire::Hello, to: ToReporter) -> Result<ReporterStream, TooMany> {
         self.with(|inner| {
             let (now, known) = (inner.now(), inner.ids.get(&hello.reporter).copied());
             let id = known.unwrap_or(ReporterId(inner.next));
@@ -103,10 +105,10 @@
             inner.streams += 1;
             self.counts.streams.one();
             let number = inner.streams;
-            inner.open.insert(id, Open { number, to, places: places(&hosts) });
+            inner.open.insert(id, OpenStream { number, to, indexes: indexes(&hosts) });
             let (boot, names, list) = (Boot(hello.boot), hello.hosts, inner.list);
-            inner.tell(id, &self.counts);
-            Ok(Seat { id, number, boot, names, hosts, list })
+            inner.send_paces(id, &self.counts);
+            Ok(ReporterStream { id, number, boot, names, hosts, list })
         })
     }
 
@@ -114,64 +116,64 @@
         self.counts.streams_refused.one();
     }
 
-    pub fn closed(&self, seat: &Seat) {
+    pub fn closed(&self, stream: &ReporterStream) {
         self.with(|inner| {
-            inner.intake.closed(seat.id);
-            if inner.open.get(&seat.id).is_some_and(|open| open.number == seat.number) {
-                inner.open.remove(&seat.id);
+            inner.intake.closed(stream.id);
+            if inner.open.get(&stream.id).is_some_and(|open| open.number == stream.number) {
+                inner.open.remove(&stream.id);
             }
         });
     }
 
-    /// Takes a batch in; tells how long to wait before the next is read.
-    pub fn take(&self, seat: &mut Seat, batch: &wire::Batch) -> Duration {
+    /// Accepts a batch; returns how long to wait before reading the next one.
+    pub fn take(&self, stream: &mut ReporterStream, batch: &wire::Batch) -> Duration {
         let arrived = Instant::now();
         let taken = self.with(|inner| {
-            if seat.list != inner.list {
-                inner.name_anew(seat);
+            if stream.list != inner.list {
+                inner.look_up_hosts(stream);
             }
-            let mut strangers = 0;
+            let mut unknown_hosts = 0;
             let reports: Vec<Report> = batch
                 .reports
                 .iter()
                 .filter_map(|report| {
-                    let host = seat.hosts.get(report.host as usize).copied().flatten();
-                    strangers += u32::from(host.is_none());
+                    let host = stream.hosts.get(report.host as usize).copied().flatten();
+                    unknown_hosts += u32::from(host.is_none());
                     Some(Report { host: host?, seq: Seq(report.seq), at: report.at_ms, load: load(report) })
                 })
                 .collect();
             let echo = Some(Echo(batch.echo)).filter(|echo| echo.0 > 0);
             let now = inner.now();
-            let batch = Batch { boot: seat.boot, sent: batch.sent_ms, echo, reports: &reports };
-            let mut taken: Taken = inner.intake.take(now, seat.id, &batch);
-            taken.refused[Refusal::UnknownHost as usize] += strangers;
-            inner.tell(seat.id, &self.counts);
+            let batch = Batch { boot: stream.boot, sent: batch.sent_ms, echo, reports: &reports };
+            let mut taken: Taken = inner.intake.take(now, stream.id, &batch);
+            taken.refused[Refusal::UnknownHost as usize] += unknown_hosts;
+            inner.send_paces(stream.id, &self.counts);
             taken
         });
         self.counts.batch(batch.reports.len(), &taken, arrived.elapsed().as_secs_f64() * 1e6);
         Duration::from_secs_f64(taken.rest / 1e3)
     }
 
-    /// Ticks for good.
+    /// Runs the timer for the lifetime of the service.
     pub async fn run(self, witness: Witness, out: mpsc::Sender<Vec<Believed>>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            // What the decisions have no room for now is not lost: it is believed, and told at a later tick.
+            // What the decisions have no room for now is kept and sent at a later tick.
             let permit = out.try_reserve().ok();
-            let told = self.with(|inner| {
-                inner.heed(&witness);
+            let beliefs = self.with(|inner| {
+                inner.apply_observations(&witness);
                 let now = inner.now();
-                let told = inner.intake.tick(now, if permit.is_some() { ROOM } else { 0 });
+                let beliefs = inner.intake.tick(now, if permit.is_some() { MAX_BELIEFS_PER_TICK } else { 0 });
                 let open: Vec<ReporterId> = inner.open.keys().copied().collect();
-                open.into_iter().for_each(|id| inner.tell(id, &self.counts));
-                self.counts.stands(inner.intake.census());
-                told
+                open.into_iter().for_each(|id| inner.send_paces(id, &self.counts));
+                self.counts.set_census(inner.intake.census());
+                beliefs
             });
-            told.iter().for_each(|told| self.counts.told(told.waited));
-            if let Some(permit) = permit.filter(|_| !told.is_empty()) {
-                permit.send(told);
+            beliefs.iter().for_each(|belief| self.counts.told(belief.waited));
+            if let Some(permit) = permit.filter(|_| !beliefs.is_empty()) {
+                permit.send(beliefs);
             }
         }
     }
@@ -182,7 +184,7 @@
         self.start.elapsed().as_secs_f64() * 1e3
     }
 
-    fn heed(&mut self, witness: &Witness) {
+    fn apply_observations(&mut self, witness: &Witness) {
         let (now, told) = (self.now(), witness.take());
         if let Some(list) = told.list {
             let listed: Vec<ListedHost> = list
@@ -196,13 +198,13 @@
         told.seen.into_iter().for_each(|(host, at)| self.intake.seen(host, at));
     }
 
-    /// Hands a reporter its newest paces if it has room for a message.
-    fn tell(&mut self, id: ReporterId, counts: &Counts) {
+    /// Sends a reporter its newest paces if its channel has room for a message.
+    fn send_paces(&mut self, id: ReporterId, counts: &Counts) {
         let (now, Some(open)) = (self.now(), self.open.get(&id)) else { return };
         let Ok(permit) = open.to.try_reserve() else { return };
         let Some(paces) = self.intake.paces(now, id) else { return };
         let pace = |(host, every_ms): (HostId, f64)| {
-            open.places.get(&host).map(|place| wire::Pace { host: *place, every_ms })
+            open.indexes.get(&host).map(|index| wire::Pace { host: *index, every_ms })
         };
         let told: Vec<wire::Pace> = paces.every.into_iter().filter_map(pace).collect();
         counts.messages_of_paces.one();
@@ -210,25 +212,25 @@
         permit.send(Ok(wire::Paces { echo: paces.echo.0, paces: told }));
     }
 
-    /// The list has changed since the stream's hosts were looked up.
-    fn name_anew(&mut self, seat: &mut Seat) {
-        seat.hosts = seat.names.iter().map(|name| self.names.get(name).copied()).collect();
-        seat.list = self.list;
-        for host in seat.hosts.iter().flatten() {
-            self.intake.speaks_for(seat.id, *host);
+    /// Looks up the stream's hosts again after the host list has changed.
+    fn look_up_hosts(&mut self, stream: &mut ReporterStream) {
+        stream.hosts = stream.names.iter().map(|name| self.names.get(name).copied()).collect();
+        stream.list = self.list;
+        for host in stream.hosts.iter().flatten() {
+            self.intake.speaks_for(stream.id, *host);
         }
-        if let Some(open) = self.open.get_mut(&seat.id).filter(|open| open.number == seat.number) {
-            open.places = places(&seat.hosts);
+        if let Some(open) = self.open.get_mut(&stream.id).filter(|open| open.number == stream.number) {
+            open.indexes = indexes(&stream.hosts);
         }
     }
 }
 
-fn places(hosts: &[Option<HostId>]) -> BTreeMap<HostId, u32> {
-    hosts.iter().enumerate().filter_map(|(place, host)| Some(((*host)?, place as u32))).collect()
+fn indexes(hosts: &[Option<HostId>]) -> BTreeMap<HostId, u32> {
+    hosts.iter().enumerate().filter_map(|(index, host)| Some(((*host)?, index as u32))).collect()
 }
 
-/// gRFC A58 (weighted round robin): the application's own measure goes first where it is told. A report
-/// without a load says what can't be.
+/// gRFC A58 (weighted round robin): the application's own utilization takes precedence where it is set. A
+/// report without a load gives NaN, which is refused as impossible.
 fn load(report: &wire::Report) -> f64 {
     match &report.load {
         Some(load) if load.application_utilization != 0.0 => load.application_utilization,
--- a/crates/intake-grpc/src/lib.rs
+++ b/crates/intake-grpc/src/lib.rs
@@ -1,6 +1,7 @@
-//! The intake on a gRPC service: reporters connect and stream batches of reports, paces go back to them, and
-//! what is believed of hosts' loads goes to the daemon. Runs on a thread of its own, so that no flood of reports
-//! holds the decisions up; what may be in hand is bounded on every way in and out. Nothing is decided here.
+//! gRPC service of the load report intake: reporters connect and stream batches of reports, the intervals
+//! at which reports are wanted (paces) are sent back, and the believed loads of hosts go to the daemon.
+//! It runs on a thread of its own so that a flood of reports does not delay the decisions, and the data
+//! in progress is bounded in both directions. No decision is taken here.
 
 mod accept;
 mod counts;
@@ -20,7 +21,7 @@
 pub use counts::Counts;
 pub use witness::{NamedHost, Witness};
 
-/// The messages of the protocol, as `proto/load.proto` defines them.
+/// Messages of the protocol, as defined in `proto/load.proto`.
 pub mod wire {
     #![allow(missing_docs, clippy::all)]
     tonic::include_proto!("amberarch.intake.v1");
@@ -28,7 +29,7 @@
 
 use wire::load_intake_server::LoadIntakeServer;
 
-/// What an operator allows; all of it is enforced here or by HTTP/2's own flow control.
+/// Limits set by the operator, enforced here or by HTTP/2's flow control.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub connections: usize,
@@ -37,18 +38,18 @@
     pub hosts_per_reporter: usize,
     pub reports_per_batch: usize,
     pub message_bytes: usize,
-    /// What one connection may have sent that was not looked at yet.
+    /// Bytes that one connection may have sent and that are not processed yet.
     pub window: u32,
 }
 
-/// What the intake goes by.
+/// Parameters of the intake.
 #[derive(Clone, Copy, Debug)]
 pub struct Basis {
     pub reports_per_s: f64,
     pub line: Line,
-    /// When the daemon's clock began.
+    /// Start of the daemon's clock.
     pub start: Instant,
-    /// No daemon before this one has sent a number as high.
+    /// Higher than any echo number that an earlier daemon sent.
     pub echo: Echo,
 }
 
@@ -57,20 +58,20 @@
 pub enum Fault {
     #[error("{0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    #[error("no thread for the intake: {0}")]
+    #[error("failed to start the intake thread: {0}")]
     Thread(std::io::Error),
 }
 
-/// RFC 9113, 6.7: a peer that is there answers a PING. One that does not within 5 s has gone.
+/// RFC 9113, 6.7: a live peer answers a PING. A peer that does not answer within 5 s is gone.
 const PING_EVERY: Duration = Duration::from_secs(10);
 const PING_ANSWER: Duration = Duration::from_secs(5);
-/// Reporters send no headers beyond a call's own.
-const MOST_HEADERS: u32 = 8 * 1_024;
+/// Reporters send no headers other than those of the call.
+const MAX_HEADER_BYTES: u32 = 8 * 1_024;
 
-/// Listens at once; the rest runs on a thread of its own for as long as the process does.
+/// Starts listening; the service runs on a thread of its own for the lifetime of the process.
 ///
 /// # Errors
-/// The address can't be had, or the thread.
+/// The address can't be bound, or the thread can't be started.
 pub fn start(
     listen: SocketAddr,
     bounds: Bounds,
@@ -84,20 +85,20 @@
     listener.set_nonblocking(true).map_err(fault)?;
     let at = listener.local_addr().map_err(fault)?;
     let counts = Arc::new(Counts::default());
-    let desk = desk::Desk::new(bounds, basis, counts.clone());
+    let intake = desk::SharedIntake::new(bounds, basis, counts.clone());
     let run = {
         let counts = counts.clone();
         move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let ended = match runtime {
                 Ok(runtime) => {
-                    runtime.block_on(serve(listener, bounds, desk, witness, out, counts, log.clone()))
+                    runtime.block_on(serve(listener, bounds, intake, witness, out, counts, log.clone()))
                 }
                 Err(why) => Err(why.to_string()),
             };
-            // The daemon goes on: without reports the decisions are what they are without an intake.
+            // The daemon continues: without reports it decides as it does without an intake.
             if let Err(why) = ended {
-                error!(log, "the intake ended"; "why" => why);
+                error!(log, "load report intake stopped"; "why" => why);
             }
         }
     };
@@ -108,25 +109,26 @@
 async fn serve(
     listener: TcpListener,
     bounds: Bounds,
-    desk: desk::Desk,
+    intake: desk::SharedIntake,
     witness: Witness,
     out: mpsc::Sender<Vec<Believed>>,
     counts: Arc<Counts>,
     log: Logger,
 ) -> Result<(), String> {
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|why| why.to_string())?;
-    let service = LoadIntakeServer::new(service::Service { desk: desk.clone(), bounds, log: log.clone() })
-        .max_decoding_message_size(bounds.message_bytes);
+    let service =
+        LoadIntakeServer::new(service::Service { intake: intake.clone(), bounds, log: log.clone() })
+            .max_decoding_message_size(bounds.message_bytes);
     let incoming = accept::incoming(listener, bounds.connections, counts, log.clone());
-    tokio::spawn(desk.run(witness, out));
-    info!(log, "the intake listens");
+    tokio::spawn(intake.run(witness, out));
+    info!(log, "load report intake is listening");
     Server::builder()
         .max_concurrent_streams(bounds.streams_per_connection)
         .initial_stream_window_size(bounds.window)
         .initial_connection_window_size(bounds.window)
         .http2_keepalive_interval(Some(PING_EVERY))
         .http2_keepalive_timeout(Some(PING_ANSWER))
-        .http2_max_header_list_size(MOST_HEADERS)
+        .http2_max_header_list_size(MAX_HEADER_BYTES)
         .add_service(service)
         .serve_with_incoming(incoming)
         .await
--- a/crates/intake-grpc/src/service.rs
+++ b/crates/intake-grpc/src/service.rs
@@ -1,4 +1,4 @@
-//! One stream of a reporter, from its first message to its end.
+//! Serves one stream of a reporter, from its first message to its end.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Request, Response, Status, Streaming};
 
-use crate::desk::{Desk, Seat, ToReporter};
+use crate::desk::{ReporterStream, SharedIntake, ToReporter};
 use crate::wire::load_intake_server::LoadIntake;
 use crate::wire::{Batch, Hello, Paces};
 use crate::Bounds;
 
-/// Who says nothing for so long has not answered three messages of paces.
-const IDLE: Duration = Duration::from_secs(100);
-/// The first message is a few names.
-const HELLO: Duration = Duration::from_secs(5);
-/// Names of reporters and hosts; longer ones are no names.
-const MOST_NAME: usize = 256;
+/// A reporter that is silent for this long has left three messages of paces unanswered.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(100);
+/// Time limit for the first message, which holds only a few names.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
+/// Limit for names of reporters and hosts; a longer one is an error.
+const MAX_NAME_BYTES: usize = 256;
 
 pub struct Service {
-    pub desk: Desk,
+    pub intake: SharedIntake,
     pub bounds: Bounds,
     pub log: Logger,
 }
@@ -34,14 +34,14 @@
         &self,
         request: Request<Streaming<Batch>>,
     ) -> Result<Response<Self::ReportStream>, Status> {
-        // Room for one message: what a slow reader has not read yet is replaced by what is newer.
+        // Room for one message: what a slow reader has not read yet is replaced by newer content.
         let (to, from_here) = mpsc::channel(1);
-        let (desk, bounds, log) = (self.desk.clone(), self.bounds, self.log.clone());
+        let (intake, bounds, log) = (self.intake.clone(), self.bounds, self.log.clone());
         tokio::spawn(async move {
-            if let Err(status) = stream(request.into_inner(), &desk, bounds, to.clone(), &log).await {
-                desk.refused();
-                info!(log, "the intake ended a stream"; "why" => status.message().to_string());
-                // The last word waits until the reader has room, for as long as there is a reader.
+            if let Err(status) = stream(request.into_inner(), &intake, bounds, to.clone(), &log).await {
+                intake.refused();
+                info!(log, "load report stream ended with an error"; "why" => status.message().to_string());
+                // The final status waits until the reader has room, for as long as there is a reader.
                 drop(to.send(Err(status)).await);
             }
         });
@@ -49,10 +49,10 @@
     }
 }
 
-/// The seat goes back however the stream ends.
-struct Seated<'a>(&'a Desk, Seat);
+/// Closes the stream at the intake however its task ends.
+struct OpenGuard<'a>(&'a SharedIntake, ReporterStream);
 
-impl Drop for Seated<'_> {
+impl Drop for OpenGuard<'_> {
     fn drop(&mut self) {
         self.0.closed(&self.1);
     }
@@ -60,19 +60,21 @@
 
 async fn stream(
     mut incoming: Streaming<Batch>,
-    desk: &Desk,
+    intake: &SharedIntake,
     bounds: Bounds,
     to: ToReporter,
     log: &Logger,
 ) -> Result<(), Status> {
-    let late = |_| Status::deadline_exceeded("no message came in time");
-    let Some(mut batch) = timeout(HELLO, incoming.message()).await.map_err(late)?? else { return Ok(()) };
+    let timed_out = |_| Status::deadline_exceeded("no message came in time");
+    let Some(mut batch) = timeout(HELLO_TIMEOUT, incoming.message()).await.map_err(timed_out)?? else {
+        return Ok(());
+    };
     let hello =
         batch.hello.take().ok_or_else(|| Status::invalid_argument("the first message has no hello"))?;
-    let hello = named(hello, bounds)?;
-    debug!(log, "a reporter"; "name" => hello.reporter.clone(), "hosts" => hello.hosts.len());
-    let seat = desk.opened(hello, to).map_err(|why| Status::resource_exhausted(why.to_string()))?;
-    let mut seated = Seated(desk, seat);
+    let hello = check_names(hello, bounds)?;
+    debug!(log, "reporter connected"; "name" => hello.reporter.clone(), "hosts" => hello.hosts.len());
+    let reporter = intake.opened(hello, to).map_err(|why| Status::resource_exhausted(why.to_string()))?;
+    let mut open = OpenGuard(intake, reporter);
     loop {
         if batch.hello.is_some() {
             return Err(Status::invalid_argument("a second hello"));
@@ -81,26 +83,28 @@
         if count > most {
             return Err(Status::invalid_argument(format!("{count} reports in a batch, {most} at most")));
         }
-        let rest = desk.take(&mut seated.1, &batch);
-        // Not read on: HTTP/2's window fills, and the reporter waits.
+        let rest = intake.take(&mut open.1, &batch);
+        // While nothing is read, HTTP/2's window fills and the reporter has to wait.
         if !rest.is_zero() {
             sleep(rest).await;
         }
-        batch = match timeout(IDLE, incoming.message()).await.map_err(late)?? {
+        batch = match timeout(IDLE_TIMEOUT, incoming.message()).await.map_err(timed_out)?? {
             Some(batch) => batch,
             None => return Ok(()),
         };
     }
 }
 
-fn named(hello: Hello, bounds: Bounds) -> Result<Hello, Status> {
+fn check_names(hello: Hello, bounds: Bounds) -> Result<Hello, Status> {
     let (count, most) = (hello.hosts.len(), bounds.hosts_per_reporter);
     if count > most {
         return Err(Status::invalid_argument(format!("{count} hosts of one reporter, {most} at most")));
     }
-    let fits = |name: &String| (1..=MOST_NAME).contains(&name.len());
+    let fits = |name: &String| (1..=MAX_NAME_BYTES).contains(&name.len());
     match fits(&hello.reporter) && hello.hosts.iter().all(fits) {
         true => Ok(hello),
-        false => Err(Status::invalid_argument(format!("a name of no bytes, or of more than {MOST_NAME}"))),
+        false => {
+            Err(Status::invalid_argument(format!("a name of no bytes, or of more than {MAX_NAME_BYTES}")))
+        }
     }
 }
--- a/crates/intake-grpc/src/witness.rs
+++ b/crates/intake-grpc/src/witness.rs
@@ -1,17 +1,18 @@
-//! What the daemon tells the intake, held as the newest of each: it never waits and nothing piles up.
+//! What the daemon reports to the intake. Only the newest of each item is kept, so the daemon never waits
+//! and nothing accumulates.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use amberarch_core::{HostId, ZoneId};
 
-/// A host of the list by its name.
+/// A host of the host list with its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedHost {
     pub name: String,
     pub host: HostId,
     pub zone: ZoneId,
-    /// Its last start by the daemon's clock, where it is known.
+    /// Time of its last start by the daemon's clock, where it is known.
     pub born: Option<f64>,
 }
 
@@ -25,12 +26,12 @@
 pub struct Witness(Arc<Mutex<Told>>);
 
 impl Witness {
-    /// The whole list, without hosts that are gone.
+    /// Replaces the host list; removed hosts are left out.
     pub fn list(&self, hosts: Vec<NamedHost>) {
         self.with(|told| told.list = Some(hosts));
     }
 
-    /// A probe of the host, or a sum about it, was observed then.
+    /// Records that a probe of the host, or a host report about it, was observed at that time.
     pub fn seen(&self, host: HostId, at: f64) {
         self.with(|told| {
             let last = told.seen.entry(host).or_insert(at);
@@ -38,13 +39,13 @@
         });
     }
 
-    /// Takes what was told since the last call.
+    /// Takes what was reported since the last call.
     pub fn take(&self) -> Told {
         self.with(std::mem::take)
     }
 
     fn with<T>(&self, act: impl FnOnce(&mut Told) -> T) -> T {
-        // What is told is whole after each call, so a panic elsewhere leaves nothing half done.
+        // The content is consistent after each call, so a panic elsewhere leaves nothing half done.
         act(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/crates/intake-grpc/tests/loopback/main.rs
+++ b/crates/intake-grpc/tests/loopback/main.rs
@@ -1,4 +1,4 @@
-//! The service on loopback beside clients that do as they should, and clients that do not.
+//! The service on loopback with clients that follow the protocol and clients that violate it.
 
 mod peer;
 
@@ -25,7 +25,7 @@
     reporter.send(vec![report]).await;
     let believed = stood.believed(1).await.expect("a belief");
     assert!((believed.load - 0.75).abs() < 1e-9 && believed.sure == 1.0 && believed.age < 2_000.0);
-    // Where the application tells of its own measure, that counts (as for the published report).
+    // The application's own utilization takes precedence where it is set (as in the published report).
     let mut report = reporter.report(2, 0.1);
     report.load = Some(Load { application_utilization: 1.25, ..report.load.unwrap() });
     reporter.send(vec![report]).await;
@@ -60,13 +60,13 @@
     let mut without = reporter.report(0, 0.5);
     without.load = None;
     reports.push(without);
-    // s-10 and s-11 are not listed; place 99 was never named.
+    // s-10 and s-11 are not listed; index 99 was never named.
     reports.extend([reporter.report(11, 0.5), reporter.report(99, 0.5), reporter.report(3, 0.5)]);
     reporter.send(reports).await;
     assert!(stood.believed(3).await.is_some());
     let counts = stood.counts.to_string();
     assert!(counts.contains("Unfit=5 UnknownHost=2 "), "{counts}");
-    // Listed later, it is known at once.
+    // Once listed, it is known at once.
     stood.list(12);
     sleep(Duration::from_millis(300)).await;
     let report = reporter.report(11, 0.5);
@@ -128,7 +128,7 @@
     let mut stranger = TcpStream::connect(stood.at).await.unwrap();
     let read = timeout(Duration::from_secs(5), stranger.read(&mut [0; 16])).await.expect("a close");
     assert!(matches!(read, Ok(0) | Err(_)), "{read:?}");
-    // One that goes leaves its place, and its reporter's.
+    // A connection that ends frees its permit and its reporter's.
     drop(held.remove(0));
     sleep(Duration::from_millis(300)).await;
     drop(Reporter::proven(&mut clients[0], "agent-5", 1).await);
@@ -152,7 +152,7 @@
     assert!(stood.believed(0).await.is_some(), "its reports are read all the same");
 }
 
-/// Guards the core against one who sends as fast as it can: it is read more and more rarely.
+/// Guards the CPU against a client that sends as fast as it can: it is read less and less often.
 #[tokio::test]
 async fn a_flood_is_slowed_down_by_not_being_read() {
     let mut stood = stand(BOUNDS);
@@ -164,7 +164,7 @@
     while start.elapsed() < Duration::from_secs(3) {
         let reports: Vec<_> = (0..50).map(|_| flood.report(0, 0.5)).collect();
         let batch = Batch { hello: None, sent_ms: flood.clock(), echo: flood.echo, reports };
-        // Where there is no room it waits a little; what it could send in all is told below.
+        // Where there is no room it waits a little; the total that it could send is checked below.
         if flood.to.try_send(batch).is_ok() {
             sent += 50;
         }
@@ -178,7 +178,7 @@
     assert!(stood.believed(1).await.is_some());
 }
 
-/// What never finishes its first frame holds a place for 20 s at the most.
+/// A connection that never finishes its first frame holds a permit for 20 s at most.
 #[tokio::test]
 async fn half_a_frame_is_closed_in_time_and_strangers_at_once() {
     let stood = stand(BOUNDS);
--- a/crates/intake-grpc/tests/loopback/peer.rs
+++ b/crates/intake-grpc/tests/loopback/peer.rs
@@ -1,4 +1,4 @@
-//! An intake on loopback, its list, and a client that can do wrong.
+//! An intake on loopback, its host list, and a client that can violate the protocol.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -62,7 +62,7 @@
         LoadIntakeClient::new(to.connect().await.expect("a connection"))
     }
 
-    /// The next belief of the host, within five seconds.
+    /// The next believed load of the host, within five seconds.
     pub async fn believed(&mut self, host: u32) -> Option<Believed> {
         let until = tokio::time::Instant::now() + Duration::from_secs(5);
         while let Ok(Some(told)) = tokio::time::timeout_at(until, self.told.recv()).await {
@@ -90,7 +90,7 @@
         Ok(Reporter { to, paces, echo: 0, seq: 0, start: Instant::now() })
     }
 
-    /// One that names hosts from `s-0` on and has answered its first message of paces.
+    /// A client that names hosts from `s-0` on and has answered its first message of paces.
     pub async fn proven(client: &mut LoadIntakeClient<Channel>, name: &str, hosts: u32) -> Reporter {
         let mut reporter = Reporter::open(client, hello(name, hosts)).await.expect("a stream");
         reporter.answer().await;
@@ -119,7 +119,7 @@
         let _ = self.to.send(batch).await;
     }
 
-    /// Why the stream ended.
+    /// The status with which the stream ended.
     pub async fn ended(&mut self) -> Status {
         loop {
             match self.paces.message().await {
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,6 +1,6 @@
-//! A toy deployment to try the steward with: discovery, a relay with four proxies, four hosts and a
+//! A toy deployment for trying out the controller: discovery, a relay with four proxies, four hosts and a
 //! collector, all on loopback and at the addresses of `config.json` beside this file. It prints the
-//! orders that come. From 8 s to 16 s after the start one host fails its probes and its txns.
+//! orders received. From 8 s to 16 s after the start one host fails its probes and its txns.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use tokio::sync::broadcast;
 use tokio::time::sleep;
 
-const STEWARD: &str = "127.0.0.1:3000";
+const CONTROLLER: &str = "127.0.0.1:3000";
 const DISCOVERY: &str = "127.0.0.1:8500";
 const RELAY: &str = "127.0.0.1:6400";
 const ZONES: [&str; 2] = ["east", "west"];
@@ -31,7 +31,7 @@
     Response::new(Full::new(Bytes::from(body.to_string())).boxed())
 }
 
-/// Serves HTTP/1.1 at an address; what each request gets says `answer`.
+/// Serves HTTP/1.1 at an address; `answer` produces each response.
 async fn serve<F, Fut>(address: String, answer: F) -> std::io::Result<()>
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
@@ -54,7 +54,7 @@
         "class": "plain", "block": 0, "health": "in_service", "share": 1.0, "born_ms": 0})
 }
 
-/// The list never changes, so a watch waits its time out.
+/// The list never changes, so a watch waits until its timeout.
 async fn discovery(request: Request<Incoming>) -> Response<Body> {
     let query = request.uri().query().unwrap_or("");
     let wait = query.split('&').find_map(|pair| pair.strip_prefix("wait_ms="));
@@ -66,8 +66,8 @@
     full(json!({"seq": 1, "whole": true, "hosts": (0..4).map(host).collect::<Vec<_>>()}))
 }
 
-/// What stands first, then answers to marks and a sign of life each second.
-fn watch(mut news: broadcast::Receiver<String>) -> Response<Body> {
+/// Sends the joined proxies first, then answers to marks and a heartbeat each second.
+fn watch(mut events: broadcast::Receiver<String>) -> Response<Body> {
     let (to, body) = tokio::sync::mpsc::channel::<Result<Frame<Bytes>, Infallible>>(16);
     tokio::spawn(async move {
         for proxy in 0..4 {
@@ -78,7 +78,7 @@
         }
         loop {
             let line = tokio::select! {
-                line = news.recv() => line.unwrap_or_default(),
+                line = events.recv() => line.unwrap_or_default(),
                 () = sleep(Duration::from_secs(1)) => "{}".to_string(),
             };
             if to.send(Ok(Frame::data(format!("{line}\n").into()))).await.is_err() {
@@ -92,11 +92,11 @@
 
 async fn relay(
     request: Request<Incoming>,
-    news: broadcast::Sender<String>,
+    events: broadcast::Sender<String>,
     start: Instant,
 ) -> Response<Body> {
     if request.uri().path() == "/watch" {
-        return watch(news.subscribe());
+        return watch(events.subscribe());
     }
     let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
     let call: Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -107,11 +107,11 @@
             let acks = (0..4).map(|proxy| {
                 json!({"type": "ACK", "object": {"proxy": proxy, "mark": order["nonce_out"], "took_ms": 200.0}})
             });
-            let news = news.clone();
+            let events = events.clone();
             let acks: Vec<String> = acks.map(|ack| ack.to_string()).collect();
             tokio::spawn(async move {
                 sleep(Duration::from_millis(200)).await;
-                acks.into_iter().for_each(|ack| drop(news.send(ack)));
+                acks.into_iter().for_each(|ack| drop(events.send(ack)));
             });
         }
     }
@@ -130,10 +130,10 @@
     answer
 }
 
-/// Waits until the steward answers, then passes sums on.
+/// Waits until the controller answers, then sends traffic reports.
 async fn collector(start: Instant) -> std::io::Result<()> {
     let mut stream = loop {
-        match TcpStream::connect(STEWARD).await {
+        match TcpStream::connect(CONTROLLER).await {
             Ok(stream) => break stream,
             Err(_) => sleep(Duration::from_millis(200)).await,
         }
@@ -141,17 +141,17 @@
     stream.write_all(b"PING\r\n").await?;
     let mut pong = [0; 6];
     stream.read_exact(&mut pong).await?;
-    println!("the steward serves");
+    println!("the controller answers");
     loop {
         stream.write_all(b"SOURCE zone=east\r\n").await?;
         for number in 0..4 {
             let zone = ZONES[number % 2];
             let failed = if fails(number, start) { 20 } else { 0 };
-            let sums = format!(
+            let reports = format!(
                 "LOAD zone={zone} server=s-{number} tries=20 failed={failed} mean_ms=180.0 span_ms=2000.0\r\n\
                  RATE proxy={number} class=look tries=20 failed=0 span_ms=2000.0\r\n"
             );
-            stream.write_all(sums.as_bytes()).await?;
+            stream.write_all(reports.as_bytes()).await?;
         }
         sleep(Duration::from_secs(2)).await;
     }
@@ -160,19 +160,19 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> std::io::Result<()> {
     let start = Instant::now();
-    let (news, _) = broadcast::channel(64);
+    let (events, _) = broadcast::channel(64);
     for number in 0..4 {
         let address: SocketAddr = ([127, 0, 0, 1], 3100 + number as u16).into();
         tokio::spawn(serve(address.to_string(), move |_| health(number, start)));
     }
     tokio::spawn(async move {
-        // A steward that ends takes its connection along; the next one is found anew.
+        // A controller that exits closes its connection; the collector connects to the next one.
         while let Err(why) = collector(start).await {
-            println!("the steward is gone: {why}");
+            println!("lost the connection to the controller: {why}");
             sleep(Duration::from_secs(1)).await;
         }
     });
-    let relay = serve(RELAY.to_string(), move |request| relay(request, news.clone(), start));
+    let relay = serve(RELAY.to_string(), move |request| relay(request, events.clone(), start));
     println!("a toy deployment: relay {RELAY}, discovery {DISCOVERY}, hosts 127.0.0.1:3100 to 3103");
     tokio::try_join!(relay, serve(DISCOVERY.to_string(), discovery))?;
     Ok(())
