--- a/crates/steward/src/clock.rs
+++ b/crates/steward/src/clock.rs
@@ -1,13 +1,12 @@
-//! Unix time that a step of the machine's wall clock does not move.
+//! Unix time that does not jump when the machine's wall clock is stepped.
 
 use std::time::SystemTime;
 
 use tokio::time::Instant;
 
-/// The wall clock as it was read once, carried on by the monotonic clock. Guards against a wall clock that is stepped, by
-/// seconds or an hour: ages and ends are spans of real time, and by a clock that is read anew a host that has just started
-/// would be an hour old and warm, or not start for an hour. A wall clock that was wrong when it was read stays wrong by as
-/// much.
+/// The wall clock read once, then advanced by the monotonic clock. Ages and deadlines are spans of real time: if the wall
+/// clock were read again after a step of an hour, a host that has just started would seem an hour old and warm, or would
+/// not start for an hour. An error of the wall clock at the first reading stays.
 #[derive(Clone, Copy, Debug)]
 pub struct UnixClock {
     read_ms: f64,
@@ -21,7 +20,7 @@
         UnixClock::reading(since.map_or(0.0, |since| since.as_secs_f64() * 1e3))
     }
 
-    /// A clock that shows this now, in ms since 1970.
+    /// A clock that shows this time now, in ms since 1970.
     pub fn reading(read_ms: f64) -> UnixClock {
         UnixClock { read_ms, at: Instant::now() }
     }
--- a/crates/steward/src/command.rs
+++ b/crates/steward/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line, and the operator's file that it names.
+//! The command line and its subcommands, and loading of the operator's file.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -15,7 +15,7 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use serde_json::json;
 
-use crate::fleet::Ground;
+use crate::fleet::CompileContext;
 use crate::policy::Policy;
 use crate::{config, fleet, levels, state};
 
@@ -107,7 +107,7 @@
     operator: Option<PathBuf>,
 }
 
-/// Where operators keep their file, from the root that `run` is started in.
+/// The default path of the operator's file, relative to the working directory.
 const USUAL: &str = "deploy/amberarch.toml";
 
 impl Line {
@@ -117,10 +117,10 @@
 }
 
 impl Run {
-    /// What the operator has switched on.
+    /// Loads the operator's file: the named one, or the default one if it exists.
     ///
     /// # Errors
-    /// A file that was named and is not there, one that can't be read, or its first fault with its place.
+    /// A named file is missing, the file can't be read, or it has a fault, which is reported with its position.
     pub fn operator(&self) -> Result<Read, String> {
         match &self.operator {
             Some(file) => read(file),
@@ -132,7 +132,7 @@
     }
 }
 
-/// An operator's file that was read, and its text, in which later faults have their places.
+/// A parsed operator's file, and its text, in which later faults have their positions.
 #[derive(Default)]
 pub struct Read {
     pub operator: Operator,
@@ -141,21 +141,20 @@
 }
 
 impl Read {
-    /// The ladder of `[levels]`, where the file has one.
+    /// The service levels of `[levels]`, if the file has this section.
     ///
     /// # Errors
-    /// The file's name and the place of what is wrong.
+    /// The file's name and the position of the fault.
     pub fn ladder(&self, products: &[(String, RequestClass)]) -> Result<Option<Ladder>, String> {
         let Some(section) = &self.operator.levels else { return Ok(None) };
         let ladder = levels::ladder(section, products, &self.text);
         ladder.map(Some).map_err(|fault| format!("{}:{fault}", self.file.display()))
     }
 
-    /// What a policy of the fleet may be about, where the file has one.
+    /// The zones and request classes that a fleet policy may refer to, if the file has `[fleet]`.
     ///
     /// # Errors
-    /// The file's name and the place of what is wrong: a product that is not known, or a member that this steward
-    /// is not.
+    /// The file's name and the position of the fault: an unknown request class, or no member that matches this daemon.
     pub fn governs(
         &self,
         zones: &[String],
@@ -182,8 +181,8 @@
     Ok(Read { operator, file: file.to_path_buf(), text })
 }
 
-/// The products of the deployment that GW_CONFIG describes; where there is none, those that the file names, of
-/// which nothing else is known.
+/// The request classes of the deployment that GW_CONFIG describes, and whether they are known. Without GW_CONFIG, those that
+/// the operator's file names, with default properties.
 fn products(read: &Read) -> Result<(Vec<(String, RequestClass)>, bool), String> {
     if std::env::var_os("GW_CONFIG").is_some() {
         return Ok((config::read()?.level_facts()?.products, true));
@@ -205,16 +204,14 @@
     Ok((names.into_iter().map(|name| (name, unknown.clone())).collect(), false))
 }
 
-/// Asks a daemon about its levels and shows the answer.
+/// Queries a running daemon about its levels and prints the answer.
 pub fn levels(question: Option<Question>, asked: &Asked) -> ExitCode {
     let socket = match (&asked.socket, Run { operator: asked.operator.clone() }.operator()) {
         (Some(socket), _) => Ok(socket.clone()),
         (None, Err(why)) => Err(why),
-        (None, Ok(read)) => read
-            .operator
-            .levels
-            .and_then(|levels| levels.socket)
-            .ok_or_else(|| "the operator's file names no socket in [levels]; --socket does".to_string()),
+        (None, Ok(read)) => read.operator.levels.and_then(|levels| levels.socket).ok_or_else(|| {
+            "the operator's file names no socket in [levels]; name one with --socket".to_string()
+        }),
     };
     let question = match question.unwrap_or(Question::Show) {
         Question::Show => "show".to_string(),
@@ -237,7 +234,7 @@
     ExitCode::SUCCESS
 }
 
-/// The deployment that GW_CONFIG describes, as far as policies speak of it; none where it describes none.
+/// The configuration that GW_CONFIG names, if it is set.
 fn deployment() -> Result<Option<config::Config>, String> {
     match std::env::var_os("GW_CONFIG").is_some() {
         true => config::read().map(Some),
@@ -250,8 +247,8 @@
     since.map_or(0.0, |since| since.as_secs_f64() * 1e3)
 }
 
-/// A policy's first fault: by its words alone where nothing is known of the deployment.
-fn check_policy(file: &Path, ground: Option<&Ground>) -> Result<u64, String> {
+/// Checks a policy file and returns its revision. Without a deployment only its syntax is checked.
+fn check_policy(file: &Path, ground: Option<&CompileContext>) -> Result<u64, String> {
     let shown = file.display();
     let text = fs::read_to_string(file).map_err(|why| format!("{shown}: {why}"))?;
     let no = match ground {
@@ -261,7 +258,7 @@
     no.map_err(|fault| format!("{shown}:{fault}"))
 }
 
-/// `[fleet]` and the policy file that it names, whose path is looked up from where the command is started.
+/// Checks `[fleet]` and the policy file that it names; its path is relative to the working directory.
 fn check_fleet(read: &Read) -> Result<(), String> {
     let Some(section) = &read.operator.fleet else { return Ok(()) };
     let levels = read.operator.levels.iter().flat_map(|levels| &levels.level);
@@ -269,19 +266,19 @@
     let ground = match deployment()? {
         Some(config) => read
             .governs(&config.labels.zones, &config.labels.products, &config.name)?
-            .map(|facts| Ground::of(section, facts, config.labels.proxies, levels)),
+            .map(|facts| CompileContext::of(section, facts, config.labels.proxies, levels)),
         None => None,
     };
     check_policy(section.policy.get_ref(), ground.as_ref()).map(|_| ())
 }
 
-/// A policy file alone, of which it is not known what may be governed: all of the deployment.
+/// Checks a policy file alone. As no `[fleet]` names the governed request classes, all of the deployment may be governed.
 fn check_policy_alone(file: &Path, as_json: bool) -> ExitCode {
     let found = deployment().and_then(|config| {
         let ground = config.map(|config| {
             let govern = (0..config.labels.products.len() as u16).map(ClassId).collect();
             let facts = Facts { zones: config.labels.zones, products: config.labels.products, govern };
-            Ground::alone(facts, config.labels.proxies)
+            CompileContext::alone(facts, config.labels.proxies)
         });
         Ok((check_policy(file, ground.as_ref())?, ground.is_some()))
     });
@@ -301,7 +298,7 @@
     ExitCode::from(if found.is_ok() { 0 } else { 2 })
 }
 
-/// Says on standard output what a file switches on, or on standard error what is wrong with it.
+/// Prints the sections that a file enables, or its first fault on standard error.
 pub fn check(file: &Path, as_json: bool) -> ExitCode {
     if fs::read_to_string(file).is_ok_and(|text| Policy::is_meant(&text)) {
         return check_policy_alone(file, as_json);
@@ -335,7 +332,7 @@
     }
 }
 
-/// Looks at a folder of `[state]`, or mends it.
+/// Inspects or repairs a folder of `[state]`.
 pub fn state(act: Act, folder: &Path, as_json: bool) -> ExitCode {
     let now = unix_ms();
     let held = match act {
--- a/crates/steward/src/config.rs
+++ b/crates/steward/src/config.rs
@@ -1,4 +1,4 @@
-//! What the steward is told at its start: `GW_CONFIG` names a file that holds all of it.
+//! The bootstrap configuration, read from the file that `GW_CONFIG` names.
 
 use std::env;
 use std::fs;
@@ -29,10 +29,10 @@
 }
 
 impl Config {
-    /// What named levels need to know of the deployment.
+    /// The deployment settings that service levels need.
     ///
     /// # Errors
-    /// Never, once the settings have been read through.
+    /// Never after the settings were parsed once.
     pub fn level_facts(&self) -> Result<Facts, String> {
         let names = self.labels.products.iter().cloned();
         Ok(Facts {
@@ -46,22 +46,22 @@
     /// How long a host still counts for the zone that it was listed in before, ms.
     ///
     /// # Errors
-    /// Never, once the settings have been read through.
+    /// Never after the settings were parsed once.
     pub fn drain_grace(&self) -> Result<f64, String> {
         self.given.drain_grace()
     }
 
-    /// What the guard needs to know of the deployment.
+    /// The deployment settings that the guard needs.
     ///
     /// # Errors
-    /// Never, once the settings have been read through.
+    /// Never after the settings were parsed once.
     pub fn guard_facts(&self) -> Result<amberarch_guard::Facts, String> {
         let Start { post, products, channel, sidecars, warmup, roster, sums } =
             self.given.start(self.seed)?;
         Ok(amberarch_guard::Facts::new(&post, &products, channel, &sidecars, warmup, &roster, &sums))
     }
 
-    /// Makes the decisions; the settings have been read through once by now.
+    /// Returns the factory of controllers; the settings were parsed once before.
     pub fn make(&self) -> Make {
         let given = self.given.clone();
         Box::new(move |seed| Box::new(given.steward(seed).expect("settings that were read read again")))
@@ -78,15 +78,15 @@
     parse(&text).map_err(|why| format!("{path}: {why}"))
 }
 
-/// What a new configuration moves while the program runs.
+/// The part of the configuration that can change while the program runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Addresses {
     pub discovery: SocketAddr,
     pub relay: SocketAddr,
 }
 
-/// The file once more, whole and checked like at the start, or why not. Discovery's address in the
-/// environment is as old as the process, so now the file's goes first. All else holds until the next start.
+/// Reads the file again and checks all of it as at the start. The address of discovery in the environment is as old as the
+/// process, so now the file's takes precedence. All other settings stay until the next start.
 pub fn reread() -> Result<Addresses, String> {
     from_file(addresses)
 }
@@ -96,18 +96,19 @@
     Ok(Addresses { discovery, relay })
 }
 
-/// Descriptors that the program holds beside probes and guests: the three standard ones, the runtime's (epoll, its
-/// wake-up, the pair that signals come by), the listener, the relay's calls, its news twice where a watch moves, and
-/// discovery. An operator's sections add to them; a quarter of the descriptors has to hold all.
+/// Descriptors that the program uses beside those for probes and incoming connections: the three standard ones, the
+/// runtime's (epoll, its waker, the pair for signals), the listener, the relay's calls, two relay watches while one
+/// replaces the other, and discovery. An operator's sections add to them; a quarter of the descriptors has to hold all.
 const OWN_SOCKETS: usize = 12;
 
-/// The fewest descriptors with which no collector has to give way.
+/// The fewest descriptors with which no collector's connection has to be closed for another.
 fn least_sockets(zones: usize) -> Option<usize> {
     let guests = zones.checked_mul(2)?.checked_add(1)?;
     Some((2 * guests).max(4 * OWN_SOCKETS))
 }
 
-/// Settings that can each be read and can't hold together: a steward would start and steer nobody, or divide by nothing.
+/// Rejects settings that are valid one by one but not together: a controller would start and direct no proxy, or divide by
+/// zero.
 fn fits(settings: &Value, zones: usize) -> Result<(), String> {
     let number = |path: &str| {
         let value = settings.pointer(&format!("/{}", path.replace('.', "/")))?;
@@ -117,10 +118,10 @@
         let found = number(path).map_or("none".into(), |found| found.to_string());
         Err(format!("expected {expected} for the setting {path}, found {found}"))
     };
-    // All of these were found and read before.
+    // All of these settings were found and parsed before.
     let over = |path: &str, least: f64| number(path).is_some_and(|found| found > least);
     if !over("balancers", 0.0) {
-        return refuse("balancers", "one steward or more".into());
+        return refuse("balancers", "one controller or more".into());
     }
     if number("az").is_none_or(|az| az as usize >= zones) {
         return refuse("az", format!("one of the {zones} zones of dcs, from 0"));
@@ -152,7 +153,7 @@
     Ok(())
 }
 
-/// The environment says again where to listen and where discovery is, and goes first.
+/// Parses the configuration. The addresses of the listener and of discovery in the environment take precedence.
 pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let all: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
     let text = |path: &str| {
@@ -170,7 +171,7 @@
         .map_err(|_| format!("expected a hexadecimal number at /seed, found '{seed}'"))?;
     let known = all.get("known").cloned().unwrap_or_default();
     let settings = all.get("settings").ok_or("expected settings, found none")?;
-    // On sockets the list comes only to those who ask for it, whatever the deployment's kind.
+    // On sockets the list is sent only on request, whatever the deployment's kind.
     let given = Given::from_json(settings)?.with("discovery", "on_request");
     given.steward(seed)?;
     let sockets = sockets.ok_or("expected a number at /limits/sockets")? as usize;
--- a/crates/steward/src/counters.rs
+++ b/crates/steward/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the steward took in, sent and answered, and a bound on how often one thing is logged.
+//! The daemon's counters, and a rate limit for log lines.
 
 use std::cell::Cell;
 use std::fmt;
@@ -11,7 +11,7 @@
 
 macro_rules! counters {
     ($($name:ident)*) => {
-        /// Registered in their order. What another part counts or measures is told with them once it is registered
+        /// The counters, registered in this order. Metrics of other modules are shown with them once they are registered
         /// in `shown`.
         pub struct Counters { $(pub $name: Count,)* pub shown: Registry }
 
@@ -40,7 +40,7 @@
     declined_unknown breaches fenced_calls fenced_orders
 }
 
-/// As `name=value`, a word each, for people; [`encode`] writes the same for machines.
+/// Formats the counters for people, as `name=value` separated by spaces; [`encode`] writes the same for machines.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = String::new();
@@ -68,7 +68,7 @@
     }
 }
 
-/// Lets one log line a second pass, and tells how many it held back before.
+/// Rate limit for one kind of log line: lets one line a second pass and counts the suppressed ones.
 #[derive(Default)]
 pub struct Seldom {
     last: Cell<Option<Instant>>,
@@ -76,6 +76,7 @@
 }
 
 impl Seldom {
+    /// The number of lines suppressed since the last one that passed, or `None` if this one is suppressed.
     pub fn pass(&self) -> Option<u64> {
         let now = Instant::now();
         if self.last.get().is_some_and(|last| now < last + Duration::from_secs(1)) {
--- a/crates/steward/src/desk.rs
+++ b/crates/steward/src/desk.rs
@@ -1,5 +1,5 @@
-//! The one task that owns the decisions, the clock, the timers and the numbers of hosts. It gathers
-//! what has come in, lets the module decide, and hands out the orders. No input or output here.
+//! The event loop: the one task that owns the controller, its clock, its timers and the numbers that hosts have in it.
+//! It collects the messages of the other tasks, has the controller decide and hands out the orders. It does no I/O.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -18,17 +18,17 @@
 
 use crate::clock::UnixClock;
 use crate::counters::{Counters, Seldom};
-use crate::fleet::Ward;
+use crate::fleet::PolicyLease;
 use crate::guard::Keeper;
 use crate::heard::{Entry, Heard, Listing, Out};
-use crate::lines::Said;
-use crate::state::{self, Rolls};
+use crate::lines::Message;
+use crate::state::{self, HostState};
 
 mod hosts;
 mod proxies;
 mod replies;
 
-/// The names that lines and lists use, in the order of the settings.
+/// The names that the line protocol and host lists use, in the order of the settings.
 pub struct Labels {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -37,31 +37,31 @@
     pub proxies: u32,
 }
 
-/// Makes the decisions anew, from the start facts and a seed.
+/// Makes a new controller from the bootstrap settings and a seed.
 pub type Make = Box<dyn Fn(u64) -> Box<dyn Decide>>;
 
-/// A host as it was listed last.
-struct Known {
+/// A host and its latest entry in the host list.
+struct KnownHost {
     listed: HostEntry,
-    /// Its last start in Unix time.
+    /// Its last start, Unix time in ms.
     born_ms: f64,
     dial: Option<SocketAddr>,
-    /// The list has it in a zone that is not known, so it counts as gone from the one it was in.
+    /// The list names an unknown zone for the host, so it counts as removed from its former zone.
     lost: bool,
 }
 
-impl Known {
-    /// Where it is probed; none: its address can't be read.
+impl KnownHost {
+    /// Where the host is probed; `None` if its address can't be parsed.
     fn entry(&self) -> Option<Entry> {
         Some(Entry { dial: self.dial?, born_ms: self.born_ms })
     }
 }
 
-/// Decisions that start anew count their marks from the first again. Theirs on the wire begin so far after those of
-/// the ones before them: else an answer to a mark could be one to an earlier mark, maybe of a call that was never
-/// written, and what a proxy has confirmed would never be known. What starts anew once a second comes round after
-/// 16 s, when no answer is on its way any more.
-const MARKS_OF_A_LIFE: u16 = 4_096;
+/// Distance between the first marks on the wire of two successive incarnations of the controller. Each incarnation
+/// counts its marks from the first again. Without the offset an answer to a mark could belong to an earlier incarnation,
+/// maybe to a call that was never written, and it would be unknown what a proxy has confirmed. With a restart every
+/// second the numbers repeat after 16 s, when no answer is in transit any more.
+const MARKS_PER_INCARNATION: u16 = 4_096;
 
 #[derive(Clone, Copy)]
 struct Joined {
@@ -72,42 +72,47 @@
 pub struct Desk {
     make: Make,
     seed: u64,
-    steward: Box<dyn Decide>,
+    controller: Box<dyn Decide>,
     labels: Labels,
     names: Names,
-    hosts: BTreeMap<HostId, Known>,
+    hosts: BTreeMap<HostId, KnownHost>,
     joined: BTreeMap<ProxyId, Joined>,
-    /// While what stands is read: who was joined and has not been named yet.
+    /// While a snapshot of the relay's proxies is read: joined proxies that it has not named yet.
     unseen: Option<BTreeSet<ProxyId>>,
-    anew: bool,
+    /// Proxies that the current snapshot names are bound again, as they may have left and returned.
+    rebind: bool,
     timers: BinaryHeap<Reverse<(Instant, TimerId)>>,
     start: Instant,
-    /// No decision before this time.
+    /// The controller is not called before this time.
     resume: Instant,
-    /// Who is shut out by the orders so far, and who the next call lets in again ahead of its orders.
-    shut_out: BTreeSet<HostId>,
-    let_in: BTreeSet<HostId>,
-    /// When the list was last told or confirmed, by the clock of the decisions.
-    list_heard_at: f64,
-    /// Unix time, whatever becomes of the system's clock.
+    /// Hosts that are withdrawn by the orders so far.
+    withdrawn_hosts: BTreeSet<HostId>,
+    /// Hosts that the next call restores ahead of its orders.
+    to_restore: BTreeSet<HostId>,
+    /// When the list was last received or confirmed, on the controller's clock, ms.
+    list_confirmed_at: f64,
+    /// Unix time, independent of steps of the system clock.
     unix: UnixClock,
     events: Vec<Event>,
     out: Out,
-    /// The roster, where what it holds is kept on disk; and when that was last handed on.
-    rolls: Option<Rolls>,
-    kept_at: Instant,
-    /// What holds, where this steward belongs to a fleet; and what of it a start anew has to take back.
-    ward: Option<Ward>,
-    mends: bool,
-    /// The last look at what goes out, where an operator has switched it on.
+    /// Host membership and its store on disk, where an operator's file configures one.
+    host_state: Option<HostState>,
+    /// When the state was last handed to its writer.
+    handed_on_at: Instant,
+    /// The policy in force, where this controller belongs to a fleet.
+    policy_lease: Option<PolicyLease>,
+    /// The controller was restarted: the next call starts by repairing what former incarnations left in tables.
+    repairs_due: bool,
+    /// The last check of outgoing orders, where an operator has enabled it.
     guard: Option<Keeper>,
-    /// The part of its listed weight that each host was seen to carry, where it is known and shares are dealt by it.
-    parts: BTreeMap<HostId, f64>,
-    /// Counts the starts of the decisions.
-    life: u64,
-    /// What is added to the marks of these decisions.
+    /// The fraction of its listed weight that each host was observed to carry, where it is known; grants are based on it.
+    weight_fractions: BTreeMap<HostId, f64>,
+    /// Counts the restarts of the controller.
+    incarnation: u64,
+    /// Added to the marks of this incarnation.
     first_mark: u16,
-    own_marks: u16,
+    /// Counts the marks that the event loop orders itself.
+    poll_marks: u16,
     counters: Rc<Counters>,
     skipped: Seldom,
     refused: Seldom,
@@ -126,7 +131,7 @@
         log: Logger,
     ) -> Desk {
         let mut desk = Desk {
-            steward: make(seed),
+            controller: make(seed),
             make,
             seed,
             labels,
@@ -134,25 +139,25 @@
             hosts: BTreeMap::new(),
             joined: BTreeMap::new(),
             unseen: None,
-            anew: false,
+            rebind: false,
             timers: BinaryHeap::new(),
             start: Instant::now(),
             resume: Instant::now(),
-            shut_out: BTreeSet::new(),
-            let_in: BTreeSet::new(),
-            list_heard_at: 0.0,
+            withdrawn_hosts: BTreeSet::new(),
+            to_restore: BTreeSet::new(),
+            list_confirmed_at: 0.0,
             unix,
             events: Vec::new(),
             out,
-            rolls: None,
-            kept_at: Instant::now(),
-            ward: None,
-            mends: false,
+            host_state: None,
+            handed_on_at: Instant::now(),
+            policy_lease: None,
+            repairs_due: false,
             guard: None,
-            parts: BTreeMap::new(),
-            life: 0,
+            weight_fractions: BTreeMap::new(),
+            incarnation: 0,
             first_mark: 0,
-            own_marks: 0,
+            poll_marks: 0,
             counters,
             skipped: Seldom::default(),
             refused: Seldom::default(),
@@ -163,62 +168,64 @@
         desk
     }
 
-    /// With a roster between the list and the decisions: they hear of what it trusts.
-    pub fn keeping(mut self, rolls: Rolls) -> Desk {
-        self.rolls = Some(rolls);
-        self.roll_out(ListUpdate::FromSnapshot, true);
+    /// Puts the membership between the host list and the controller, which then receives only trusted hosts.
+    pub fn keeping(mut self, host_state: HostState) -> Desk {
+        self.host_state = Some(host_state);
+        self.emit_trusted(ListUpdate::FromSnapshot, true);
         self
     }
 
-    /// With marks that begin elsewhere in each process. Guards against an answer to a mark of the former process of this
-    /// name, which arrives late and would be taken for one to the same number of this one.
+    /// Lets the marks begin at a number that differs between processes. Otherwise a late answer to a mark of the former
+    /// process of this name could be taken for an answer to the same number of this one.
     pub fn marks_drawn_from(mut self, seed: u64) -> Desk {
         self.first_mark = (seed ^ (seed >> 16) ^ (seed >> 32) ^ (seed >> 48)) as u16;
         self
     }
 
-    /// With a policy of the fleet, under which each reply is judged.
-    pub fn governed(mut self, ward: Ward) -> Desk {
-        self.ward = Some(ward);
-        self.tell_zones();
+    /// Adds a fleet policy, against which each reply is checked.
+    pub fn governed(mut self, policy_lease: PolicyLease) -> Desk {
+        self.policy_lease = Some(policy_lease);
+        self.update_zones();
         self
     }
 
-    /// With a guard between the decisions and the relay.
+    /// Puts a guard between the controller and the relay.
     pub fn guarded(mut self, guard: Keeper) -> Desk {
         self.guard = Some(guard);
         let entries = self.hosts.values().map(|known| known.listed.clone()).collect();
-        self.guard_hears(&Event::List { update: ListUpdate::FromSnapshot, entries });
+        self.notify_guard(&Event::List { update: ListUpdate::FromSnapshot, entries });
         self
     }
 
-    fn guard_hears(&mut self, event: &Event) {
+    fn notify_guard(&mut self, event: &Event) {
         let now = self.now();
         if let Some(guard) = &mut self.guard {
             guard.hear(now, event);
         }
     }
 
-    /// Orders that were not carried out.
+    /// Reports orders that were not carried out.
     fn gave_up(&mut self, orders: &[Order]) {
-        self.judged(|judge, _| judge.gave_up(orders));
+        self.with_judge(|judge, _| judge.gave_up(orders));
         if let Some(guard) = &mut self.guard {
             guard.gave_up(orders);
         }
     }
 
-    /// Runs until nobody is left who could bring anything.
+    /// Runs until all senders of messages are gone.
     pub async fn run(mut self, mut heard: mpsc::Receiver<Heard>) {
         const MOST_AT_ONCE: usize = 1_024;
         const IDLE: Duration = Duration::from_secs(60);
-        /// A change waits for the last steward to say that it is settled; what is over by time is looked for as often.
+        /// A policy change waits until the last controller reports that it is settled, so expired entries are checked for
+        /// this often.
         const LOOK: Duration = Duration::from_millis(50);
         loop {
-            let calls = self.ward.as_ref().is_some_and(|ward| ward.calls(self.unix.now_ms()));
-            // What a start, a start anew or a full queue left to decide on waits for nobody.
+            let calls =
+                self.policy_lease.as_ref().is_some_and(|policy_lease| policy_lease.calls(self.unix.now_ms()));
+            // Events left by a start, a restart or a full queue are decided on without waiting for a message.
             let due = match self.timers.peek() {
                 _ if !self.events.is_empty() || calls => self.resume,
-                _ if self.ward.is_some() => {
+                _ if self.policy_lease.is_some() => {
                     let timer = self.timers.peek().map(|Reverse((at, _))| self.resume.max(*at));
                     timer.unwrap_or(Instant::now() + IDLE).min(Instant::now() + LOOK)
                 }
@@ -229,13 +236,13 @@
                 biased;
                 () = sleep_until(due) => {}
                 news = heard.recv() => match news {
-                    Some(news) => self.hear(news),
+                    Some(news) => self.handle(news),
                     None => return,
                 },
             }
             for _ in 0..MOST_AT_ONCE {
                 match heard.try_recv() {
-                    Ok(news) => self.hear(news),
+                    Ok(news) => self.handle(news),
                     Err(_) => break,
                 }
             }
@@ -248,24 +255,27 @@
                 self.counters.timers.one();
                 self.events.push(Event::TimerExpired { timer });
             }
-            let calls = self.ward.as_ref().is_some_and(|ward| ward.calls(self.unix.now_ms()));
+            let calls =
+                self.policy_lease.as_ref().is_some_and(|policy_lease| policy_lease.calls(self.unix.now_ms()));
             if (!self.events.is_empty() || calls) && now >= self.resume {
                 self.decide();
             }
             let now = self.now();
-            if let Some(ward) = &mut self.ward {
-                ward.settle(now);
-                if ward.asks(now) && Instant::now() >= self.resume && !self.joined.is_empty() {
+            if let Some(policy_lease) = &mut self.policy_lease {
+                policy_lease.settle(now);
+                if policy_lease.asks(now) && Instant::now() >= self.resume && !self.joined.is_empty() {
                     self.ask_proxies();
                 }
             }
-            if let Some(ward) = &mut self.ward {
-                ward.sees(now, || open(&self.hosts, &self.shut_out, &self.parts));
+            if let Some(policy_lease) = &mut self.policy_lease {
+                policy_lease.sees(now, || {
+                    in_service_weights(&self.hosts, &self.withdrawn_hosts, &self.weight_fractions)
+                });
             }
         }
     }
 
-    /// When the clock of the decisions began.
+    /// The zero of the controller's clock.
     pub fn start(&self) -> Instant {
         self.start
     }
@@ -274,20 +284,20 @@
         self.start.elapsed().as_secs_f64() * 1e3
     }
 
-    /// The reply with the mark takes one message more to each of its proxies, or may.
-    fn another_message(&mut self, mark: MarkId, event: fn(MarkId) -> Event) {
-        self.judged(|judge, _| judge.unsure(mark));
-        self.guard_hears(&Event::CallDuplicated { mark });
+    /// Records that the reply with this mark takes, or may take, one more message to each of its proxies.
+    fn duplicate_message(&mut self, mark: MarkId, event: fn(MarkId) -> Event) {
+        self.with_judge(|judge, _| judge.unsure(mark));
+        self.notify_guard(&Event::CallDuplicated { mark });
         self.events.extend(self.own(mark).map(event));
     }
 
-    /// Turns what was heard into events; names that are not known are skipped.
-    fn hear(&mut self, heard: Heard) {
+    /// Turns a message into events for the controller; unknown names are skipped.
+    fn handle(&mut self, heard: Heard) {
         match heard {
-            Heard::Sum(sum) => match self.sum(sum) {
+            Heard::Report(report) => match self.report_event(report) {
                 Ok(event) => {
-                    self.served(&event);
-                    self.came(&event);
+                    self.record_success(&event);
+                    self.record_arrivals(&event);
                     self.events.push(event);
                 }
                 Err(why) => {
@@ -295,38 +305,38 @@
                     self.skip(why);
                 }
             },
-            Heard::Standing { anew } => {
-                // What a watch before this one left open stays so.
-                self.anew = anew || self.unseen.is_some() && self.anew;
+            Heard::SnapshotBegins { rebind } => {
+                // A snapshot that the former watch left incomplete keeps its `rebind`.
+                self.rebind = rebind || self.unseen.is_some() && self.rebind;
                 self.unseen = Some(self.joined.keys().copied().collect());
             }
-            Heard::Stood => {
+            Heard::SnapshotEnds => {
                 let unseen = self.unseen.take().unwrap_or_default();
-                info!(self.log, "the relay's proxies are known"; "joined" => self.joined.len() - unseen.len(),
-                    "left" => unseen.len(), "bound_anew" => self.anew);
+                info!(self.log, "the snapshot of the relay's proxies is complete"; "joined" => self.joined.len() - unseen.len(),
+                    "left" => unseen.len(), "bound_anew" => self.rebind);
                 for proxy in unseen {
                     self.left(proxy);
                 }
             }
-            Heard::News(news) => self.news(news),
-            Heard::Listed(listing) if self.rolls.is_some() => {
+            Heard::News(news) => self.relay_event(news),
+            Heard::Listed(listing) if self.host_state.is_some() => {
                 let now = self.unix.now_ms();
                 let rows = listing.hosts.iter().map(|row| (row.host.clone(), state::kept(row))).collect();
-                if let Some(rolls) = &mut self.rolls {
-                    rolls.roster.listed(now, listing.seq, listing.whole, rows);
+                if let Some(host_state) = &mut self.host_state {
+                    host_state.roster.listed(now, listing.seq, listing.whole, rows);
                 }
-                self.roll_out(ListUpdate::Changes, true);
+                self.emit_trusted(ListUpdate::Changes, true);
             }
-            Heard::ListStands => {
-                self.list_heard_at = self.now();
+            Heard::ListUnchanged => {
+                self.list_confirmed_at = self.now();
                 let now = self.unix.now_ms();
-                if let Some(rolls) = &mut self.rolls {
-                    rolls.roster.stands(now);
+                if let Some(host_state) = &mut self.host_state {
+                    host_state.roster.stands(now);
                 }
             }
             Heard::Listed(listing) => {
-                let news = if listing.whole { ListUpdate::Full } else { ListUpdate::Changes };
-                self.listed(listing, news);
+                let update = if listing.whole { ListUpdate::Full } else { ListUpdate::Changes };
+                self.listed(listing, update);
             }
             Heard::ListFailed => {
                 self.events.push(Event::List { update: ListUpdate::Failed, entries: vec![] });
@@ -342,56 +352,58 @@
             }
             Heard::Probed { host, entry, .. } if self.replaced(host, entry) => {
                 let (outcome, load) = (ProbeOutcome::Unknown, LoadReport::default());
-                self.proved(host, outcome);
+                self.record_probe(host, outcome);
                 self.events.push(Event::ProbeResult { host, outcome, duration: 0.0, load });
             }
             Heard::Probed { host, outcome, took: duration, report: load, .. } => {
-                self.proved(host, outcome);
-                // One that the roster has asked for ahead of the decisions is no host of theirs yet.
-                if self.rolls.is_some() && !self.hosts.contains_key(&host) {
+                self.record_probe(host, outcome);
+                // A host that is probed on behalf of the membership is not known to the controller yet.
+                if self.host_state.is_some() && !self.hosts.contains_key(&host) {
                     return;
                 }
                 self.seen(host, self.now());
                 self.events.push(Event::ProbeResult { host, outcome, duration, load });
             }
-            Heard::Behind { on } => self.events.push(Event::RelayDelayed { on }),
+            Heard::RelayDelayed { on } => self.events.push(Event::RelayDelayed { on }),
             Heard::Together { marks } => self.together(&marks),
-            Heard::Again { mark } => self.another_message(mark, |mark| Event::CallDuplicated { mark }),
-            Heard::Parted { mark } => self.another_message(mark, |mark| Event::CallSplit { mark }),
+            Heard::CallDuplicated { mark } => {
+                self.duplicate_message(mark, |mark| Event::CallDuplicated { mark })
+            }
+            Heard::CallSplit { mark } => self.duplicate_message(mark, |mark| Event::CallSplit { mark }),
             Heard::Answered { place } => {
-                self.judged(|judge, _| judge.answered(place));
+                self.with_judge(|judge, _| judge.answered(place));
                 let now = self.now();
                 self.guard.iter_mut().for_each(|guard| guard.answered(now, place));
             }
             Heard::Holds(holds) => {
                 let unix = self.unix.now_ms();
-                if let Some(ward) = &mut self.ward {
-                    ward.hold(unix, holds);
+                if let Some(policy_lease) = &mut self.policy_lease {
+                    policy_lease.hold(unix, holds);
                 }
             }
             Heard::Bound(bound) => {
-                if let Some(ward) = &mut self.ward {
-                    ward.bound(bound);
+                if let Some(policy_lease) = &mut self.policy_lease {
+                    policy_lease.bound(bound);
                 }
             }
-            Heard::Fenced { life, orders } => {
+            Heard::Fenced { incarnation, orders } => {
                 self.gave_up(&orders);
-                if life == self.life {
-                    warn!(self.log, "orders waited until what they were decided under was over; \
+                if incarnation == self.incarnation {
+                    warn!(self.log, "orders were dropped because their lease or policy stage is no longer in force; \
                         the decisions start anew"; "orders" => orders.len());
                     self.start_anew();
                 }
             }
-            // The proxy is not, or not any more, the one that was bound: it is bound anew. News of its
-            // leaving, where that is on its way, has the last word.
-            Heard::NotTaken { binds: Some(proxy), orders } => {
+            // The proxy is not, or no longer, the one that was bound, so it is bound again. If a message about its
+            // leaving is still in transit, that one takes effect last.
+            Heard::OrdersRefused { binds: Some(proxy), orders } => {
                 self.gave_up(&orders);
                 if let Some(Joined { zone, txns_per_s }) = self.joined.get(&proxy).copied() {
                     self.events.push(Event::ProxyLeft { proxy });
                     self.events.push(Event::ProxyJoined { proxy, zone, txns_per_s, without_table: false });
                 }
             }
-            Heard::NotTaken { binds: None, orders } => {
+            Heard::OrdersRefused { binds: None, orders } => {
                 self.gave_up(&orders);
                 if let Some(hidden) = self.refused.pass() {
                     error!(self.log, "the relay refuses an order; the decisions start anew"; "hidden" => hidden);
@@ -407,62 +419,55 @@
         }
     }
 
-    fn came(&mut self, event: &Event) {
+    fn record_arrivals(&mut self, event: &Event) {
         let (now, Event::ProxyReport { proxy, .. }) = (self.now(), event) else { return };
-        if let Some((ward, joined)) = self.ward.as_mut().zip(self.joined.get(proxy)) {
-            ward.came(now, joined.zone, event);
+        if let Some((policy_lease, joined)) = self.policy_lease.as_mut().zip(self.joined.get(proxy)) {
+            policy_lease.came(now, joined.zone, event);
         }
     }
 
-    fn judged(&mut self, tell: impl FnOnce(&mut Judge, f64)) {
+    fn with_judge(&mut self, tell: impl FnOnce(&mut Judge, f64)) {
         let now = self.now();
-        if let Some(ward) = &mut self.ward {
-            tell(ward.judge(), now);
+        if let Some(policy_lease) = &mut self.policy_lease {
+            tell(policy_lease.judge(), now);
         }
     }
 
-    fn sum(&self, sum: Said) -> Result<Event, String> {
-        match sum {
-            Said::Load {
-                zone,
-                host,
-                tries,
-                voided: failed,
-                mean: mean_latency,
-                over: covered,
-                report: load,
-            } => {
-                let zone = place(&self.labels.zones, &zone).ok_or("a zone that is not known")?;
-                let host = self.names.find(&host).ok_or("a host that is not known")?;
-                // A sum stands for the middle of its time.
+    fn report_event(&self, report: Message) -> Result<Event, String> {
+        match report {
+            Message::Load { zone, host, tries, failed, mean_latency, covered, report: load } => {
+                let zone = place(&self.labels.zones, &zone).ok_or("unknown zone")?;
+                let host = self.names.find(&host).ok_or("unknown host")?;
+                // A report counts as observed in the middle of the time that it covers.
                 self.seen(host, self.now() - covered / 2.0);
                 Ok(Event::HostReport { host, zone: ZoneId(zone), covered, tries, failed, mean_latency, load })
             }
-            Said::Rate { proxy, product: class, txns, voided: failed, over: covered } => {
-                let class = place(&self.labels.products, &class).ok_or("a product that is not known")?;
+            Message::Rate { proxy, class, txns, failed, covered } => {
+                let class = place(&self.labels.products, &class).ok_or("unknown request class")?;
                 if u32::from(proxy) >= self.labels.proxies {
-                    return Err("a proxy that is not known".into());
+                    return Err("unknown proxy".into());
                 }
                 let (proxy, class) = (ProxyId(proxy), ClassId(class));
                 Ok(Event::ProxyReport { proxy, class, txns, failed, covered })
             }
-            Said::Ping | Said::Source { .. } => Err("no sum".into()),
+            Message::Ping | Message::Source { .. } => Err("not a traffic report".into()),
         }
     }
 
     fn decide(&mut self) {
-        self.tend();
+        self.maintain_membership();
         let (now, unix) = (self.now(), self.unix.now_ms());
-        // What holds goes first: what else happened is decided under it.
-        let mut events = self.ward.as_mut().map_or(vec![], |ward| ward.events(now, unix));
+        // The policy in force comes first, as the other events are decided under it.
+        let mut events =
+            self.policy_lease.as_mut().map_or(vec![], |policy_lease| policy_lease.events(now, unix));
         events.append(&mut self.events);
         self.counters.batches.one();
         self.counters.events.more(events.len());
         if let Some(guard) = &mut self.guard {
             guard.see(now, &events);
         }
-        let steward = &mut self.steward;
-        match catch_unwind(AssertUnwindSafe(|| steward.decide(now, &events))) {
+        let controller = &mut self.controller;
+        match catch_unwind(AssertUnwindSafe(|| controller.decide(now, &events))) {
             Ok(orders) => self.hand_out(orders),
             Err(_) => {
                 self.counters.panics.one();
@@ -475,21 +480,21 @@
         }
     }
 
-    /// A new module from the facts, the list and the joined proxies, which keep what they hold. It knows
-    /// of no host that is shut out: its first call lets them in, ahead of its own orders and in one message
-    /// with them. One that fails again and again starts once a second.
+    /// Replaces the controller by a new one that is given the settings, the list and the joined proxies, which keep
+    /// their tables. The new one does not know which hosts are withdrawn, so its first call restores all of them, ahead
+    /// of its own orders and in the same message. A controller that fails repeatedly is restarted once a second.
     fn start_anew(&mut self) {
         self.resume = Instant::now().max(self.resume + Duration::from_secs(1));
-        self.let_in.append(&mut self.shut_out);
-        self.life += 1;
-        self.first_mark = self.first_mark.wrapping_add(MARKS_OF_A_LIFE);
-        if let Some(ward) = &mut self.ward {
-            ward.anew();
-            self.mends = true;
+        self.to_restore.append(&mut self.withdrawn_hosts);
+        self.incarnation += 1;
+        self.first_mark = self.first_mark.wrapping_add(MARKS_PER_INCARNATION);
+        if let Some(policy_lease) = &mut self.policy_lease {
+            policy_lease.anew();
+            self.repairs_due = true;
         }
         self.guard.iter_mut().for_each(Keeper::anew);
         self.seed = self.seed.wrapping_add(1);
-        self.steward = (self.make)(self.seed);
+        self.controller = (self.make)(self.seed);
         self.timers.clear();
         let entries = self.hosts.values().map(|known| known.listed.clone()).collect();
         self.events.push(Event::List { update: ListUpdate::FromSnapshot, entries });
@@ -499,28 +504,30 @@
         }
     }
 
-    /// A mark by the number that these decisions gave it; none: it is of those before them.
+    /// The number that the current incarnation gave a mark; `None` if a former incarnation ordered it.
     fn own(&self, mark: MarkId) -> Option<MarkId> {
         let number = mark.0.wrapping_sub(self.first_mark);
         (number < u16::MAX / 2).then_some(MarkId(number))
     }
 }
 
-/// What the hosts of each zone that are let in carry, in listed weights.
-fn open(
-    hosts: &BTreeMap<HostId, Known>,
-    shut_out: &BTreeSet<HostId>,
-    parts: &BTreeMap<HostId, f64>,
+/// The weight that the hosts of each zone carry that are in service and not withdrawn, in listed weights.
+fn in_service_weights(
+    hosts: &BTreeMap<HostId, KnownHost>,
+    withdrawn_hosts: &BTreeSet<HostId>,
+    weight_fractions: &BTreeMap<HostId, f64>,
 ) -> BTreeMap<ZoneId, f64> {
     let mut zones = BTreeMap::new();
-    for Known { listed, .. } in hosts.values() {
-        let open = listed.availability == Availability::InService && !shut_out.contains(&listed.host);
-        let carries = listed.weight * parts.get(&listed.host).copied().unwrap_or(1.0);
-        *zones.entry(listed.zone).or_default() += if open { carries } else { 0.0 };
+    for KnownHost { listed, .. } in hosts.values() {
+        let in_service =
+            listed.availability == Availability::InService && !withdrawn_hosts.contains(&listed.host);
+        let carried = listed.weight * weight_fractions.get(&listed.host).copied().unwrap_or(1.0);
+        *zones.entry(listed.zone).or_default() += if in_service { carried } else { 0.0 };
     }
     zones
 }
 
+/// The position of a name in the settings.
 fn place(labels: &[String], label: &str) -> Option<u16> {
     labels.iter().position(|known| known == label).map(|place| place as u16)
 }
--- a/crates/steward/src/desk/hosts.rs
+++ b/crates/steward/src/desk/hosts.rs
@@ -1,4 +1,5 @@
-//! Which hosts there are: the list and the roster turned into entries, and what each host's name stands for.
+//! Host membership in the event loop: turns rows of the list and the membership into host entries, and maps host names to
+//! numbers.
 
 use std::time::Duration;
 
@@ -10,30 +11,30 @@
 use slog::info;
 use tokio::time::Instant;
 
-use super::{place, Desk, Known};
+use super::{place, Desk, KnownHost};
 use crate::heard::{Entry, Health, Listing, Probe, Row};
 use crate::state;
 
-/// The protocol page: what discovery has to tell counts as told 6 s later at the latest.
-const LIST_LATE: f64 = 6_000.0;
+/// After this time, ms, whatever discovery has to report counts as reported, by the protocol page.
+const MAX_LIST_DELAY: f64 = 6_000.0;
 
 impl Desk {
-    /// Tells what holds which hosts there are.
-    pub(super) fn tell_zones(&mut self) {
+    /// Gives the policy lease the listed hosts of each zone.
+    pub(super) fn update_zones(&mut self) {
         let now = self.now();
-        let Some(ward) = &mut self.ward else { return };
+        let Some(policy_lease) = &mut self.policy_lease else { return };
         let mut zones = crate::fleet::Listed::default();
-        for Known { listed, lost, .. } in self.hosts.values() {
+        for KnownHost { listed, lost, .. } in self.hosts.values() {
             if *lost {
-                ward.judge().lost(now, listed.host);
+                policy_lease.judge().lost(now, listed.host);
             } else {
-                ward.judge().listed(now, listed.host, listed.zone, listed.availability);
+                policy_lease.judge().listed(now, listed.host, listed.zone, listed.availability);
             }
-            let on = listed.availability == Availability::InService;
-            *zones.hosts.entry(listed.zone).or_default() += u32::from(on);
-            *zones.weights.entry(listed.zone).or_default() += if on { listed.weight } else { 0.0 };
+            let in_service = listed.availability == Availability::InService;
+            *zones.hosts.entry(listed.zone).or_default() += u32::from(in_service);
+            *zones.weights.entry(listed.zone).or_default() += if in_service { listed.weight } else { 0.0 };
         }
-        ward.listed(zones);
+        policy_lease.listed(zones);
     }
 
     pub(super) fn listed(&mut self, listing: Listing, update: ListUpdate) {
@@ -46,43 +47,44 @@
                 self.counters.list_skipped.one();
                 match self.lost(row) {
                     Some(entry) => {
-                        self.skip("a host that moved to a zone that is not known: it counts as gone".into());
+                        self.skip("host moved to an unknown zone; it counts as removed".into());
                         entries.push(entry);
                     }
-                    None => self.skip("a host of a zone that is not known".into()),
+                    None => self.skip("host of an unknown zone".into()),
                 }
                 continue;
             };
             let (born_ms, dial) = (row.born_ms, row.dial.parse().ok());
-            let known = Known { listed: entry.clone(), born_ms, dial, lost: false };
+            let known = KnownHost { listed: entry.clone(), born_ms, dial, lost: false };
             self.hosts.insert(entry.host, known);
             entries.push(entry);
         }
-        self.list_heard_at = self.now();
+        self.list_confirmed_at = self.now();
         amberarch_residency::last_rows(&mut entries);
         let leaving = entries.iter().filter(|entry| entry.availability != Availability::InService).count();
         info!(self.log, "the list"; "seq" => listing.seq, "how" => ?update, "entries" => entries.len(),
             "leaving" => leaving);
         let list = Event::List { update, entries };
-        self.guard_hears(&list);
+        self.notify_guard(&list);
         self.events.push(list);
-        self.tell_list();
-        self.tell_zones();
+        self.publish_list();
+        self.update_zones();
     }
 
-    /// What the roster trusts and the decisions do not know yet, with hints of what was learnt before this run.
-    pub(super) fn roll_out(&mut self, news: ListUpdate, always: bool) {
+    /// Passes on hosts that the membership trusts and the controller does not know yet, with warm-start hints from former
+    /// runs. With `always`, an empty list is passed on too.
+    pub(super) fn emit_trusted(&mut self, update: ListUpdate, always: bool) {
         let now = self.unix.now_ms();
-        let Some(rolls) = &mut self.rolls else { return };
-        let rows = rolls.roster.emit(now);
+        let Some(host_state) = &mut self.host_state else { return };
+        let rows = host_state.roster.emit(now);
         if rows.is_empty() && !always {
             return;
         }
-        let hint = |(host, _): &(String, _)| Some((host.clone(), rolls.roster.hint(now, host)?));
+        let hint = |(host, _): &(String, _)| Some((host.clone(), host_state.roster.hint(now, host)?));
         let hints: Vec<(String, Hint)> = rows.iter().filter_map(hint).collect();
-        let seq = rolls.roster.seq();
+        let seq = host_state.roster.seq();
         let hosts = rows.into_iter().map(|(host, row)| state::listed(host, row)).collect();
-        self.listed(Listing { seq, whole: false, hosts }, news);
+        self.listed(Listing { seq, whole: false, hosts }, update);
         for (host, Hint { part: latency_factor, shut: gated }) in hints {
             if let Some(host) = self.names.find(&host) {
                 self.events.push(Event::WarmStartHint { host, latency_factor, gated });
@@ -90,35 +92,35 @@
         }
     }
 
-    /// Probes what is not trusted yet, lets in what has come to be, and hands on what the disk does not hold.
-    pub(super) fn tend(&mut self) {
-        /// The writer's own period is no shorter than a tenth of this.
+    /// Probes hosts that are not trusted yet, passes on those that are now, and hands changes to the writer of the state.
+    pub(super) fn maintain_membership(&mut self) {
+        /// The writer's own period is at least a tenth of this.
         const HAND_ON: Duration = Duration::from_millis(500);
         let now = self.unix.now_ms();
-        let Some(rolls) = &mut self.rolls else { return };
-        for (name, dial) in rolls.roster.to_probe(now) {
+        let Some(host_state) = &mut self.host_state else { return };
+        for (name, dial) in host_state.roster.to_probe(now) {
             let host = self.names.id(&name);
             let entry = dial.parse().ok().map(|dial| Entry { dial, born_ms: 0.0 });
             if entry.is_none_or(|entry| self.out.probes.try_send(Probe { host, entry }).is_err()) {
                 self.counters.probes_unsent.one();
-                rolls.roster.probed(now, &name, None);
+                host_state.roster.probed(now, &name, None);
             }
         }
-        if self.kept_at.elapsed() >= HAND_ON {
-            self.kept_at = Instant::now();
-            rolls.writer.keep(rolls.roster.to_keep(), rolls.roster.stand());
+        if self.handed_on_at.elapsed() >= HAND_ON {
+            self.handed_on_at = Instant::now();
+            host_state.writer.keep(host_state.roster.to_keep(), host_state.roster.stand());
         }
-        self.roll_out(ListUpdate::Changes, false);
+        self.emit_trusted(ListUpdate::Changes, false);
     }
 
-    /// Whether the list has another process under that name by now. Guards against gating a host that has just come, or
-    /// letting it in, for what a probe of the one before it found.
+    /// Whether the list has another process under that name by now. Otherwise a host that has just started could be gated
+    /// or restored because of a probe of its predecessor.
     pub(super) fn replaced(&self, host: HostId, entry: Entry) -> bool {
         let known = self.hosts.get(&host);
         known.is_some_and(|known| known.entry().is_some_and(|now| now != entry))
     }
 
-    pub(super) fn proved(&mut self, host: HostId, outcome: ProbeOutcome) {
+    pub(super) fn record_probe(&mut self, host: HostId, outcome: ProbeOutcome) {
         let now = self.unix.now_ms();
         let pass = match outcome {
             ProbeOutcome::Answered => Some(true),
@@ -128,29 +130,31 @@
             | ProbeOutcome::Unreachable
             | ProbeOutcome::Reset => Some(false),
         };
-        if let Some((rolls, name)) = self.rolls.as_mut().zip(self.names.name(host)) {
-            rolls.roster.probed(now, name, pass);
+        if let Some((host_state, name)) = self.host_state.as_mut().zip(self.names.name(host)) {
+            host_state.roster.probed(now, name, pass);
         }
     }
 
-    pub(super) fn served(&mut self, event: &Event) {
+    pub(super) fn record_success(&mut self, event: &Event) {
         let now = self.unix.now_ms();
-        if let (Some(rolls), Event::HostReport { host, tries, failed, .. }) = (&mut self.rolls, event) {
+        if let (Some(host_state), Event::HostReport { host, tries, failed, .. }) =
+            (&mut self.host_state, event)
+        {
             if let Some(name) = self.names.name(*host).filter(|_| tries > failed) {
-                rolls.roster.met(now, name);
+                host_state.roster.met(now, name);
             }
         }
     }
 
-    pub(super) fn learnt(&mut self, host: HostId, part: Option<f64>, shut: Option<bool>) {
+    pub(super) fn learnt(&mut self, host: HostId, latency_factor: Option<f64>, gated: Option<bool>) {
         let now = self.unix.now_ms();
-        if let Some((rolls, name)) = self.rolls.as_mut().zip(self.names.name(host)) {
-            rolls.roster.learnt(now, name, part, shut);
+        if let Some((host_state, name)) = self.host_state.as_mut().zip(self.names.name(host)) {
+            host_state.roster.learnt(now, name, latency_factor, gated);
         }
     }
 
-    /// Tells the intake, where there is one, which hosts are listed.
-    pub(super) fn tell_list(&self) {
+    /// Gives the intake, where there is one, the listed hosts.
+    pub(super) fn publish_list(&self) {
         let Some(witness) = &self.out.witness else { return };
         let listed = self.hosts.values().map(|known| &known.listed);
         let named = |listed: &HostEntry| {
@@ -172,8 +176,8 @@
         let zone = ZoneId(place(&self.labels.zones, &row.site)?);
         let kind = place(&self.labels.kinds, &row.class).unwrap_or(self.labels.kinds.len() as u16);
         let host = self.names.id(&row.host);
-        // One clock is read by all machines; here its times become the module's. Once for each start:
-        // two clocks read twice differ by a little, and a later time would be one more start.
+        // Converts the start from Unix time to the controller's clock, once for each start: two conversions differ
+        // slightly, and a later time would count as another start.
         let known = self.hosts.get(&host);
         let started_at = match known {
             Some(known) if known.born_ms == row.born_ms => known.listed.started_at,
@@ -194,12 +198,12 @@
         })
     }
 
-    /// How long ago a host started, ms. No start lies ahead, and one of a host that was listed with another start is no
-    /// older than the last list that did not have it, and what a list may be late by: so far a wrong clock can't make a
-    /// cold host warm, nor keep it cold for longer than it warms.
+    /// How long ago a host started, ms, never negative. If the host was listed with another start before, the new start
+    /// can't be older than the last list without it plus the maximum delay of a list. These bounds keep a wrong clock
+    /// from making a cold host count as warm, or from keeping it cold for longer than its warm-up.
     fn age(&self, row: &Row, restarted: bool) -> f64 {
         let by_clock = (self.unix.now_ms() - row.born_ms).max(0.0);
-        let unlisted = self.now() - self.list_heard_at + LIST_LATE;
+        let unlisted = self.now() - self.list_confirmed_at + MAX_LIST_DELAY;
         if restarted {
             by_clock.min(unlisted)
         } else {
@@ -207,12 +211,12 @@
         }
     }
 
-    /// A known host that a row has in a zone nobody knows, where a policy of the fleet governs: left where it was, it
-    /// would go on serving what only that zone may. Where none governs the row is skipped like any that can't be read:
-    /// a spoilt word, alone in a good list of changes, must not take a host out of service. (A whole list without a
-    /// host that can be read has it gone either way.)
+    /// Removes a known host whose row names an unknown zone, if a fleet policy is in force: left in its former zone, it
+    /// would go on serving requests that only hosts of that zone may serve. Without a fleet policy the row is skipped
+    /// like any unreadable one: one corrupted word in an otherwise valid list of changes must not take a host out of
+    /// service. (A whole list that lacks a readable row for a host removes it in any case.)
     pub(super) fn lost(&mut self, row: &Row) -> Option<HostEntry> {
-        self.ward.as_ref()?;
+        self.policy_lease.as_ref()?;
         let known = self.hosts.get_mut(&self.names.find(&row.host)?)?;
         known.lost = true;
         known.listed.availability = Availability::Removed;
--- a/crates/steward/src/desk/replies.rs
+++ b/crates/steward/src/desk/replies.rs
@@ -1,4 +1,4 @@
-//! What the decisions order, handed on: replies to the relay, calls for the list, probes and timers.
+//! Dispatches the controller's orders: replies to the relay, requests for the list, probes and timers.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 use slog::{error, info, warn};
 use tokio::time::Instant;
 
-use super::{Desk, Known, MARKS_OF_A_LIFE};
+use super::{Desk, KnownHost, MARKS_PER_INCARNATION};
 use crate::guard::Keeper;
-use crate::heard::{Ask, Encoded, Probe, Reply, Ruled};
+use crate::heard::{Ask, DecidedUnder, Encoded, Probe, Reply};
 use crate::orders;
 
 impl Desk {
     pub(super) fn hand_out(&mut self, mut decided: Vec<Order>) {
-        /// The wire page: 71 minutes at most.
+        /// The wire page allows 71 minutes at most.
         const LONGEST_TIMER: Duration = Duration::from_secs(71 * 60);
-        let (mut calls, mut mark, mut gone) = (Vec::new(), None, Vec::new());
+        let (mut calls, mut mark, mut forgotten_hosts) = (Vec::new(), None, Vec::new());
         for order in &mut decided {
             if let Order::Mark { mark, .. } = order {
                 mark.0 = mark.0.wrapping_add(self.first_mark);
@@ -32,16 +32,16 @@
                 Order::Probe { host } => self.probe(*host),
                 Order::WatchList { on } => self.ask(if *on { Ask::Watch } else { Ask::Unwatch }),
                 Order::FetchList => self.ask(Ask::Whole),
-                Order::ForgetHost { host } => gone.push(*host),
+                Order::ForgetHost { host } => forgotten_hosts.push(*host),
                 Order::StoreHint { host, latency_factor } => {
-                    if self.ward.is_some() {
-                        self.parts.insert(*host, *latency_factor);
+                    if self.policy_lease.is_some() {
+                        self.weight_fractions.insert(*host, *latency_factor);
                     }
                     self.learnt(*host, Some(*latency_factor), None);
                 }
-                Order::Log { text } => info!(self.log, "the decisions say"; "text" => text),
+                Order::Log { text } => info!(self.log, "message of the controller"; "text" => text),
                 Order::SendToPeer { .. } => {
-                    warn!(self.log, "stewards do not speak with each other on sockets")
+                    warn!(self.log, "messages between controllers are not supported on sockets")
                 }
                 order => {
                     if let Order::Withdraw { host, withdrawn } = order {
@@ -49,70 +49,75 @@
                     }
                     match order {
                         Order::Mark { mark: number, .. } => mark = Some(*number),
-                        Order::Withdraw { host, withdrawn: true } => drop(self.shut_out.insert(*host)),
-                        Order::Withdraw { host, withdrawn: false } => drop(self.shut_out.remove(host)),
+                        Order::Withdraw { host, withdrawn: true } => drop(self.withdrawn_hosts.insert(*host)),
+                        Order::Withdraw { host, withdrawn: false } => drop(self.withdrawn_hosts.remove(host)),
                         _ => {}
                     }
                     calls.push(order);
                 }
             }
         }
-        let owes = self.guard.as_ref().is_some_and(Keeper::waits);
-        if (!calls.is_empty() || owes) && !self.call(calls, mark) {
+        let guard_holds_back = self.guard.as_ref().is_some_and(Keeper::waits);
+        if (!calls.is_empty() || guard_holds_back) && !self.call(calls, mark) {
             return;
         }
-        for host in gone {
-            self.judged(|judge, _| judge.forgotten(host));
+        for host in forgotten_hosts {
+            self.with_judge(|judge, _| judge.forgotten(host));
             self.names.forget(host);
             self.hosts.remove(&host);
-            self.shut_out.remove(&host);
-            self.parts.remove(&host);
+            self.withdrawn_hosts.remove(&host);
+            self.weight_fractions.remove(&host);
         }
     }
 
-    /// Orders a mark and nothing else, whose answers say what proxies hold. Its number is none that the decisions give:
-    /// theirs count up from the first of their life, these down from it.
+    /// Orders a mark alone, whose answers show what proxies hold. Its number can't be one of the controller's: those count
+    /// up from the first of the incarnation, these count down from it.
     pub(super) fn ask_proxies(&mut self) {
-        self.own_marks = (self.own_marks + 1) % (MARKS_OF_A_LIFE / 4);
-        let mark = MarkId(self.first_mark.wrapping_sub(1 + self.own_marks));
+        self.poll_marks = (self.poll_marks + 1) % (MARKS_PER_INCARNATION / 4);
+        let mark = MarkId(self.first_mark.wrapping_sub(1 + self.poll_marks));
         self.call(vec![&Order::Mark { mark, all_proxies: true }], Some(mark));
     }
 
-    /// Hands a reply to the relay, after it was judged. False where the decisions start anew for it.
+    /// Checks a reply against the policy and hands it to the relay. False if the controller was restarted because of it.
     pub(super) fn call(&mut self, calls: Vec<&Order>, mark: Option<MarkId>) -> bool {
-        let let_in = std::mem::take(&mut self.let_in).into_iter();
-        let ahead: Vec<Order> = let_in.map(|host| Order::Withdraw { host, withdrawn: false }).collect();
+        let to_restore = std::mem::take(&mut self.to_restore).into_iter();
+        let ahead: Vec<Order> = to_restore.map(|host| Order::Withdraw { host, withdrawn: false }).collect();
         let now = self.now();
-        // What an earlier start of the decisions left in tables, and this one knows nothing of, goes first.
-        let mends = match &mut self.ward {
-            Some(ward) if std::mem::take(&mut self.mends) => ward.judge().mends(now),
+        // First repairs what an earlier incarnation left in tables and this one does not know of.
+        let repairs = match &mut self.policy_lease {
+            Some(policy_lease) if std::mem::take(&mut self.repairs_due) => policy_lease.judge().mends(now),
             _ => vec![],
         };
         let mut orders: Vec<Order> =
-            mends.into_iter().chain(ahead).chain(calls.into_iter().cloned()).collect();
-        let (mut place, mut anew) = (0, false);
+            repairs.into_iter().chain(ahead).chain(calls.into_iter().cloned()).collect();
+        let (mut place, mut restart) = (0, false);
         if let Some(guard) = &mut self.guard {
-            (orders, place, anew) = guard.pass(now, orders);
+            (orders, place, restart) = guard.pass(now, orders);
         }
-        let Some(ward) = &mut self.ward else {
-            let ruled = Ruled { life: self.life, place, ..Ruled::default() };
+        let Some(policy_lease) = &mut self.policy_lease else {
+            let ruled = DecidedUnder { incarnation: self.incarnation, place, ..DecidedUnder::default() };
             let sent = orders.is_empty() || self.send(orders.iter(), mark, ruled);
-            if sent && anew {
+            if sent && restart {
                 self.start_anew();
             }
-            return sent && !anew;
+            return sent && !restart;
+        };
+        let sifted = policy_lease.sift(now, orders);
+        let judged_up_to = policy_lease.judge().place();
+        let ruled = DecidedUnder {
+            under: policy_lease.under(),
+            stage: policy_lease.stage(),
+            incarnation: self.incarnation,
+            place: judged_up_to,
         };
-        let sifted = ward.sift(now, orders);
-        let judged = ward.judge().place();
-        let ruled = Ruled { under: ward.under(), stage: ward.stage(), life: self.life, place: judged };
         if let Some(guard) = &mut self.guard {
             let refused: Vec<Order> = sifted.refused.iter().map(|refused| refused.0.clone()).collect();
-            guard.sifted(judged, &refused);
+            guard.sifted(judged_up_to, &refused);
         }
         if !self.send(sifted.orders.iter(), mark, ruled) {
             return false;
         }
-        if anew {
+        if restart {
             self.start_anew();
             return false;
         }
@@ -128,10 +133,10 @@
         &mut self,
         orders: impl Iterator<Item = &'a Order>,
         mark: Option<MarkId>,
-        ruled: Ruled,
+        ruled: DecidedUnder,
     ) -> bool {
         let name = |host| self.names.name(host).map(String::from);
-        let ward = self.ward.is_some() || self.guard.is_some();
+        let keep_order = self.policy_lease.is_some() || self.guard.is_some();
         let encoded = |order: &Order| {
             let binds = match order {
                 &Order::Bind { proxy, .. } => Some(proxy),
@@ -142,12 +147,12 @@
                 _ => None,
             };
             let bytes = orders::encode(order, name, &self.labels.products)?;
-            Some(Encoded { bytes, binds, mark, order: ward.then(|| order.clone()) })
+            Some(Encoded { bytes, binds, mark, order: keep_order.then(|| order.clone()) })
         };
         let orders = orders.filter_map(encoded).collect();
         self.counters.replies.one();
-        // The module's own count of what waits bounds this queue far below its size. The desk waits
-        // for nobody: should it be full all the same, what is lost is made good by starting anew.
+        // The controller's own count of waiting messages keeps this queue far below its size. The event loop never
+        // blocks: should the queue be full nevertheless, a restart of the controller replaces the lost reply.
         if let Err(lost) = self.out.relay.try_send(Reply { orders, mark, ruled }) {
             self.counters.replies_lost.one();
             if let Some(hidden) = self.full.pass() {
@@ -170,7 +175,7 @@
     }
 
     pub(super) fn probe(&mut self, host: HostId) {
-        let entry = self.hosts.get(&host).and_then(Known::entry);
+        let entry = self.hosts.get(&host).and_then(KnownHost::entry);
         let sent = entry.is_some_and(|entry| self.out.probes.try_send(Probe { host, entry }).is_ok());
         if !sent {
             self.counters.probes_unsent.one();
--- a/crates/steward/src/fleet.rs
+++ b/crates/steward/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleet policy in the daemon: the agreement's thread is told of compiled policies, the desk of what holds, and each
-//! reply of orders is judged by it before it goes to the relay. No choice here.
+//! Fleet policy in the daemon: compiles policies for the consensus thread, gives the event loop the policy in force, and
+//! checks each reply against it before it goes to the relay. It makes no decisions itself.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,38 +28,39 @@
 use crate::policy::Policy;
 use crate::relay::Gate;
 
-/// What one revision comes to: its rules, whose reach changes with time, and its plan of fair shares.
+/// A compiled policy revision: its residency rules, whose reach changes with time, and its plan of quotas.
 #[derive(Clone, Debug)]
 pub struct Rules {
     residency: Arc<amberarch_residency::Section>,
     plan: Planned,
-    /// Tenants of the plan, for histories.
+    /// Names of the plan's tenants, for recorded histories.
     tenants: Arc<[String]>,
 }
 
-/// What a policy is compiled for.
+/// The deployment and fleet that a policy is compiled for.
 #[derive(Clone, Debug)]
-pub struct Ground {
+pub struct CompileContext {
     pub facts: Facts,
     pub proxies: u32,
-    /// Levels of service, from full service down.
+    /// Service levels, from full service down.
     pub levels: Vec<String>,
-    /// How many members there are, and how long a grant counts; grants that can't be dealt say why.
+    /// How many members the fleet has.
     pub members: usize,
+    /// How long a grant is valid at most, ms, or why grants can't be issued.
     pub longest: Result<f64, amberarch_shares::Wrong>,
-    /// Txns a second that a host of weight 1 does.
+    /// Requests a second that a host of weight 1 can serve.
     pub per_weight: Option<f64>,
 }
 
-impl Ground {
-    /// Where nothing is known of a fleet, for a check of a policy alone.
-    pub fn alone(facts: Facts, proxies: u32) -> Ground {
-        Ground { facts, proxies, levels: vec![], members: 0, longest: Ok(0.0), per_weight: Some(1.0) }
+impl CompileContext {
+    /// For checking a policy without knowledge of a fleet.
+    pub fn alone(facts: Facts, proxies: u32) -> CompileContext {
+        CompileContext { facts, proxies, levels: vec![], members: 0, longest: Ok(0.0), per_weight: Some(1.0) }
     }
 
     /// For the section's fleet.
-    pub fn of(section: &Section, facts: Facts, proxies: u32, levels: Vec<String>) -> Ground {
-        Ground {
+    pub fn of(section: &Section, facts: Facts, proxies: u32, levels: Vec<String>) -> CompileContext {
+        CompileContext {
             facts,
             proxies,
             levels,
@@ -70,32 +71,38 @@
     }
 }
 
-/// What the desk goes by until it hears otherwise.
+/// The policy that the event loop applies until it receives another.
 #[derive(Clone, Debug)]
 pub struct Holds {
     pub under: Under,
-    /// None: it can't be known what holds.
+    /// `None`: the policy in force is unknown.
     pub stage: Option<StageNo>,
-    /// All of these have to be satisfied at once.
+    /// All of these have to be satisfied at the same time.
     pub rules: Vec<Rules>,
-    /// Governed in the fleet beside what the operator's file here names: declined while it can't be known what holds.
+    /// Request classes that are governed in the fleet but not named in the operator's file here. They are rejected while
+    /// the policy in force is unknown.
     pub also: BTreeSet<ClassId>,
 }
 
-/// A policy that was read and fits the deployment.
+/// A policy that was parsed and compiled for the deployment.
 #[derive(Clone, Debug)]
-pub struct Fit {
+pub struct CompiledPolicy {
     pub no: u64,
     pub rules: Rules,
     pub compiled: Compiled,
 }
 
-/// Reads a policy and compiles it for the deployment. `capacity` is what hosts of each zone can do, txns a second;
-/// where it is not known, nothing is refused for want of it.
+/// Parses a policy and compiles it for the deployment. `capacity` is the capacity of the hosts of each zone in requests a
+/// second; if it is unknown, no policy is refused for lack of capacity.
 ///
 /// # Errors
-/// The first fault, with its place.
-pub fn fit(text: &str, ground: &Ground, capacity: Option<&[f64]>, unix_ms: f64) -> Result<Fit, Fault> {
+/// The first fault, with its position.
+pub fn fit(
+    text: &str,
+    ground: &CompileContext,
+    capacity: Option<&[f64]>,
+    unix_ms: f64,
+) -> Result<CompiledPolicy, Fault> {
     let policy = Policy::parse(text)?;
     let residency = Arc::new(policy.residency.clone().unwrap_or_default());
     let compiled = amberarch_residency::compile(&residency, &ground.facts, unix_ms)
@@ -105,22 +112,22 @@
         Some(section) => Some((no, Arc::new(plan(section, text, ground, &compiled.reach, capacity)?))),
         None => None,
     };
-    Ok(Fit { no, rules: Rules { residency, plan, tenants: tenants(&policy) }, compiled })
+    Ok(CompiledPolicy { no, rules: Rules { residency, plan, tenants: tenants(&policy) }, compiled })
 }
 
 fn tenants(policy: &Policy) -> Arc<[String]> {
     policy.shares.as_ref().map_or_else(Vec::new, |section| section.names().0).into()
 }
 
-/// The plan of fair shares, proven for what there is.
+/// Compiles the plan of quotas and verifies that it is feasible for the deployment.
 fn plan(
     section: &amberarch_shares::Section,
     text: &str,
-    ground: &Ground,
+    ground: &CompileContext,
     reach: &Reach,
     capacity: Option<&[f64]>,
 ) -> Result<Plan, Fault> {
-    /// Where nothing is known of what hosts can do: more than any guarantee, and still a number to add up.
+    /// Stands for an unknown capacity: more than any guarantee, but finite, so that it can be summed.
     const PLENTY: f64 = 1e12;
     let whole = |what: String| Fault::at(text, section.floor.part.span().start, what);
     let longest = ground.longest.map_err(|wrong| whole(format!("{wrong}; {}", wrong.advice())))?;
@@ -138,7 +145,7 @@
         permits: reach.permits.iter().map(|(pair, permit)| (*pair, permit.all())).collect(),
         levels: ground.levels.clone(),
     };
-    // A contradiction among several rules has several places: the first is the fault's, the others stand under it.
+    // A contradiction among several rules has several positions: the first is the fault's, the others are listed below it.
     let unfit = |unfit: amberarch_shares::Unfit| {
         let faults = unfit.faults(text).into_iter();
         let joined = faults.reduce(|all, more| Fault { what: format!("{}\n  {more}", all.what), ..all });
@@ -146,8 +153,8 @@
     };
     let plan = amberarch_shares::compile(section, &facts).map_err(unfit)?;
     plan.fits(section, longest).map_err(unfit)?;
-    // A steward that can't know what holds has no grants and declines what is governed; of any other product it would let
-    // in all, on top of what the rest of the fleet was dealt.
+    // A controller that does not know the policy in force has no grants and rejects governed request classes. It would
+    // admit all of any other class, on top of the grants of the rest of the fleet.
     let owned: BTreeSet<ClassId> = plan.owned().map(|(_, product, _)| product).collect();
     if let Some(product) = owned.difference(&ground.facts.govern).next() {
         let product = name(&ground.facts.products, product.0);
@@ -166,8 +173,8 @@
     }
 }
 
-/// The reach of rules that hold already. An exception that is over is as if it had never been there; when the next
-/// one ends is told too, in Unix ms.
+/// The reach of rules that are already in force, and when the next exception ends, in Unix ms. Exceptions that have ended
+/// are ignored.
 fn reach(rules: &Rules, facts: &Facts, unix_ms: f64) -> Result<(Reach, Option<f64>), Unfit> {
     let mut left = amberarch_residency::Section::clone(&rules.residency);
     loop {
@@ -179,10 +186,10 @@
     }
 }
 
-/// What residency needs to know of the deployment.
+/// The deployment settings that residency needs.
 ///
 /// # Errors
-/// The place of a product in `govern` that is not known.
+/// The position of an unknown request class in `govern`.
 pub fn facts(section: &Section, zones: &[String], products: &[String], text: &str) -> Result<Facts, Fault> {
     let mut govern = BTreeSet::new();
     for name in section.govern.get_ref() {
@@ -199,24 +206,24 @@
     Ok(Facts { zones: zones.to_vec(), products: products.to_vec(), govern })
 }
 
-/// All pairs of these products.
+/// All pairs of these request classes and the zones.
 fn pairs(products: &BTreeSet<ClassId>, zones: usize) -> Vec<Governed> {
     let zones = 0..zones as u16;
     products.iter().flat_map(|product| zones.clone().map(|zone| (*product, ZoneId(zone)))).collect()
 }
 
-/// What the daemon's thread and the agreement's know of each other.
-pub type Shared = Arc<Mutex<Common>>;
+/// State shared by the daemon's thread and the consensus thread.
+pub type Shared = Arc<Mutex<SharedState>>;
 
 #[derive(Clone, Debug, Default)]
-pub struct Common {
-    /// What the list has in service.
+pub struct SharedState {
+    /// The hosts that the list has in service.
     pub listed: Listed,
-    /// What came and what open hosts can do, as the desk saw it last; none: it can't be known.
+    /// Arriving traffic and the capacity of hosts that are not withdrawn, as last seen by the event loop; `None` if unknown.
     pub sight: Option<Sight>,
-    /// How many members the operator's file names now; none: as many as at the start.
+    /// How many members the operator's file names now; `None`: as many as at the start.
     pub members: Option<usize>,
-    /// Plans of fair shares that hold.
+    /// Plans of quotas that are in force.
     pub plans: Vec<Arc<Plan>>,
 }
 
@@ -227,7 +234,7 @@
     pub weights: BTreeMap<ZoneId, f64>,
 }
 
-fn lock(common: &Shared) -> MutexGuard<'_, Common> {
+fn lock(common: &Shared) -> MutexGuard<'_, SharedState> {
     common.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -235,40 +242,50 @@
     (0..members as u16).map(amberarch_shares::Holder).collect()
 }
 
-/// On the agreement's thread: compiles what is staged and what holds.
-pub struct Clerk {
-    ground: Ground,
+/// Runs on the consensus thread and compiles the staged policies and those in force.
+pub struct PolicyCompiler {
+    ground: CompileContext,
     common: Shared,
     clock: UnixClock,
-    /// By digest; those of the last stages.
+    /// Compiled rules of recent stages, by digest.
     read: BTreeMap<Digest, Rules>,
-    /// What holds now, to be joined with what is to come.
+    /// The rules in force, with which a staged revision is combined for its check.
     holding: Vec<Rules>,
-    /// Products that what holds in the fleet governs, and that the operator's file here does not name.
+    /// Request classes that the policy in force in the fleet governs and the operator's file here does not name.
     also: BTreeSet<ClassId>,
-    /// What was told last: under which number, and whether it could be known what holds.
+    /// What was reported last: the lease number, and whether the policy in force was known.
     told: (Under, bool),
-    tell: mpsc::UnboundedSender<Told>,
+    tell: mpsc::UnboundedSender<ConsensusMessage>,
     log: Logger,
 }
 
-/// What the agreement's thread tells the daemon's.
-pub enum Told {
+/// Messages of the consensus thread to the daemon's thread.
+pub enum ConsensusMessage {
     Holds(Holds),
     Bound(Option<Bound>),
     Answer(Revision, Result<StageNo, Refusal>),
 }
 
-impl Clerk {
+impl PolicyCompiler {
     pub fn new(
-        ground: Ground,
+        ground: CompileContext,
         common: Shared,
         clock: UnixClock,
-        tell: mpsc::UnboundedSender<Told>,
+        tell: mpsc::UnboundedSender<ConsensusMessage>,
         log: Logger,
-    ) -> Clerk {
+    ) -> PolicyCompiler {
         let (read, holding, also) = (BTreeMap::new(), vec![], BTreeSet::new());
-        Clerk { ground, common, clock, read, holding, also, told: (Under::default(), false), tell, log }
+        PolicyCompiler {
+            ground,
+            common,
+            clock,
+            read,
+            holding,
+            also,
+            told: (Under::default(), false),
+            tell,
+            log,
+        }
     }
 
     fn rules(&mut self, revision: &Revision) -> Result<Rules, String> {
@@ -285,7 +302,7 @@
                 plan(section, &revision.text, &self.ground, &now, None).map_err(|fault| fault.to_string())?;
             rules.plan = Some((revision.no.0, Arc::new(plan)));
         }
-        // A few stages' texts; what is needed again is read again.
+        // Keeps the rules of a few stages; others are compiled again when they are needed.
         if self.read.len() >= 8 {
             self.read.clear();
         }
@@ -303,7 +320,7 @@
     }
 }
 
-impl Steward for Clerk {
+impl Steward for PolicyCompiler {
     fn check(&mut self, revision: &Revision, staged: bool) -> Result<(), Arc<str>> {
         if !staged {
             let read = self.rules(revision).map(|_| ());
@@ -312,8 +329,8 @@
             }
             return Ok(read?);
         }
-        // The operator's file may name other members by now than at the start.
-        let Common { listed, sight, members, .. } = lock(&self.common).clone();
+        // The operator's file may name other members now than at the start.
+        let SharedState { listed, sight, members, .. } = lock(&self.common).clone();
         self.ground.members = members.unwrap_or(self.ground.members);
         let known = listed.hosts.values().any(|count| *count > 0);
         let per_weight = self.ground.per_weight.unwrap_or_default();
@@ -325,7 +342,7 @@
         if fit.no != revision.no.0 {
             return Err(format!("its text says revision {}", fit.no).into());
         }
-        // A change is looked at as it would be under way: what both leave has to have hosts, here as the list stands.
+        // A change is checked in its joint state: whatever both policies permit needs hosts, by the current list here.
         let rules: Vec<Rules> = self.holding.iter().cloned().chain([fit.rules]).collect();
         let joint = self.joint(&rules).map_err(|unfit| unfit.to_string())?;
         if known {
@@ -350,9 +367,9 @@
         };
         let holds = stage.and_then(|(stage, holds)| match self.all(holds, texts) {
             Ok(rules) => Some((stage, rules)),
-            // It said that it can use each of them before; an operator's file may have changed since.
+            // This member accepted each of them before, but the operator's file may have changed since.
             Err(why) => {
-                error!(self.log, "what holds can't be used here: what is governed is declined"; "why" => why);
+                error!(self.log, "the policy in force can't be used here: governed request classes are rejected"; "why" => why);
                 texts.iter().for_each(|revision| self.governs(&revision.text));
                 None
             }
@@ -362,7 +379,7 @@
         self.told = (under, stage.is_some());
         let plans = rules.iter().filter_map(|rules| rules.plan.as_ref());
         lock(&self.common).plans = plans.map(|(_, plan)| plan.clone()).collect();
-        drop(self.tell.send(Told::Holds(Holds { under, stage, rules, also: self.also.clone() })));
+        drop(self.tell.send(ConsensusMessage::Holds(Holds { under, stage, rules, also: self.also.clone() })));
     }
 
     fn plans(&mut self) -> Vec<Planned> {
@@ -375,15 +392,15 @@
     }
 
     fn bound(&mut self, bound: Option<Bound>) {
-        drop(self.tell.send(Told::Bound(bound)));
+        drop(self.tell.send(ConsensusMessage::Bound(bound)));
     }
 
     fn answer(&mut self, _id: u64, revision: &Revision, outcome: &Result<StageNo, Refusal>) {
-        drop(self.tell.send(Told::Answer(revision.clone(), outcome.clone())));
+        drop(self.tell.send(ConsensusMessage::Answer(revision.clone(), outcome.clone())));
     }
 }
 
-impl Clerk {
+impl PolicyCompiler {
     fn all(&mut self, holds: On, texts: &[Revision]) -> Result<Vec<Rules>, String> {
         let numbers: Vec<RevisionNo> = match holds {
             On::Nothing => vec![],
@@ -396,16 +413,16 @@
         numbers.into_iter().map(|no| self.rules(text(no)?)).collect()
     }
 
-    /// Something that holds in the fleet can't be used here. What it governs is declined from here on, whatever this
-    /// steward's own file names: others serve it only where it is permitted.
+    /// Handles a policy that is in force in the fleet and can't be used here: what it governs is rejected from now on,
+    /// whatever the operator's file here names, because other members serve it only where it is permitted.
     fn governs_too(&mut self, text: &str) {
         let before = self.also.len();
         self.governs(text);
         let (under, known) = self.told;
-        // While something older holds, that is what this steward goes by until its lease is over.
+        // While an older policy is in force, this controller uses that one until its lease is over.
         if self.also.len() > before && !known {
             let holds = Holds { under, stage: None, rules: vec![], also: self.also.clone() };
-            drop(self.tell.send(Told::Holds(holds)));
+            drop(self.tell.send(ConsensusMessage::Holds(holds)));
         }
     }
 
@@ -423,7 +440,7 @@
             Some(ClassId(place as u16))
         });
         self.also.extend(named.filter(|product| !govern.contains(product)));
-        // A tenant that names none, and has no others under it, is told by all.
+        // A tenant that names no request classes, and has no sub-tenants, is identified by all of them.
         let above = |name: &str| {
             tenants.iter().filter_map(|tenant| tenant.parent.as_ref()).any(|above| above.get_ref() == name)
         };
@@ -433,8 +450,8 @@
         }
     }
 
-    /// Whether hosts carry what comes to this steward's own proxies while both hold. Where they don't carry it now
-    /// either, a change is refused only if it makes that worse: it may be the very one that mends it.
+    /// Checks whether hosts can carry the traffic of this controller's own proxies while both policies are in force. If they
+    /// can't carry it now either, a change is refused only if it increases the excess: it may be the change that fixes it.
     fn carried(
         &self,
         sight: &Sight,
@@ -442,12 +459,12 @@
         joint: &InUse,
         meanwhile: &BTreeSet<Governed>,
     ) -> Result<(), String> {
-        /// Less than this part more is rounding.
+        /// A smaller increase than this factor is rounding.
         const MORE: f64 = 1.0 + 1e-9;
         let came = sight.came.iter().map(|(zone, product, per_s)| ((*product, *zone), *per_s));
         let demand: BTreeMap<Governed, f64> = came.filter(|(pair, _)| !meanwhile.contains(pair)).collect();
         let capacity: BTreeMap<ZoneId, f64> = sight.capacity.iter().copied().collect();
-        // All that is let in nowhere: a flow tells it whole, and a cut where it is.
+        // The traffic that no host can carry: the flow gives its amount, and the cut where it arises.
         let short = |over: &Over| over.demand - over.carries;
         let now = over(holds, &demand, &capacity).err().map_or(0.0, |over| short(&over));
         let Err(over) = over(joint, &demand, &capacity) else { return Ok(()) };
@@ -469,24 +486,25 @@
     names.get(usize::from(place)).map_or("?", String::as_str)
 }
 
-/// Shares that the policy lets in, beside those of levels; the lesser of both is told.
-pub type Caps = Rc<RefCell<BTreeMap<(ZoneId, ClassId), f64>>>;
+/// Shares that the policy admits, in addition to the limits of service levels; the minimum of both applies.
+pub type ShareLimits = Rc<RefCell<BTreeMap<(ZoneId, ClassId), f64>>>;
 
-/// Decisions that hear of the lesser of two bounds for each product of a zone: the levels' and the policy's.
-pub struct Capped<D> {
+/// Wraps a controller that is given the minimum of two limits for each request class of a zone: that of the service levels
+/// and that of the policy.
+pub struct LimitedByPolicy<D> {
     inner: D,
-    caps: Caps,
+    caps: ShareLimits,
     known: BTreeMap<(ZoneId, ClassId), f64>,
     lesser: Lesser,
 }
 
-impl<D: Decide> Capped<D> {
-    pub fn new(inner: D, caps: Caps) -> Capped<D> {
-        Capped { inner, caps, known: BTreeMap::new(), lesser: Lesser::default() }
+impl<D: Decide> LimitedByPolicy<D> {
+    pub fn new(inner: D, caps: ShareLimits) -> LimitedByPolicy<D> {
+        LimitedByPolicy { inner, caps, known: BTreeMap::new(), lesser: Lesser::default() }
     }
 }
 
-impl<D: Decide> Decide for Capped<D> {
+impl<D: Decide> Decide for LimitedByPolicy<D> {
     fn decide(&mut self, now: f64, events: &[Event]) -> Vec<Order> {
         let caps = self.caps.borrow();
         let keys: BTreeSet<(ZoneId, ClassId)> = self.known.keys().chain(caps.keys()).copied().collect();
@@ -503,33 +521,36 @@
     }
 }
 
-/// The desk's part: what the decisions have to hear of what holds, and whether a reply may be written under it.
-pub struct Ward {
+/// Policy lease adapter of the event loop: passes the policy in force to the controller as events, and checks whether a reply
+/// may be written under it.
+pub struct PolicyLease {
     facts: Arc<Facts>,
     pairs: Vec<Governed>,
     holds: Holds,
     reach: Reach,
-    /// Unix ms at which an exception ends.
+    /// When the next exception ends, Unix ms.
     until: Option<f64>,
     told: InUse,
-    /// Something that may change what is told has happened since it was looked at.
+    /// Something has changed since the events for the controller were last computed.
     stale: bool,
     common: Shared,
-    caps: Caps,
-    /// What grants let in of a product in a zone.
+    caps: ShareLimits,
+    /// The share of a request class in a zone that grants admit.
     granted: BTreeMap<(ZoneId, ClassId), f64>,
-    /// What came of late, by proxy: from which zone, txns a second, and until when it stands.
+    /// Recent arrivals by proxy and class: the proxy's zone, requests a second, and until when the figure is valid.
     came: BTreeMap<(ProxyId, ClassId), (ZoneId, f64, f64)>,
-    /// When it was told on, and what a host of weight 1 does; none: nothing is dealt.
+    /// When the fleet view was last published.
     told_sight: f64,
+    /// Requests a second that a host of weight 1 can serve; `None`: no grants are issued.
     per_weight: Option<f64>,
-    /// The levels of service here, and which of them the dealing was told; none: full service.
+    /// The service levels here.
     levels: Option<levels::Shared>,
+    /// The level that was last reported for issuing grants; `None`: full service.
     told_level: Option<usize>,
     judge: Judge,
     linger: f64,
     settled: Option<(StageNo, bool)>,
-    /// While not settled: when proxies are asked anew, and how long after that once more.
+    /// While not settled: when proxies are asked again, and the pause after that.
     asks: Option<(f64, f64)>,
     seldom: Seldom,
     tell: Box<dyn Tell>,
@@ -537,7 +558,7 @@
     log: Logger,
 }
 
-/// Where the desk's news for the agreement goes.
+/// Receives the event loop's reports for the consensus thread.
 pub trait Tell {
     fn settled(&self, stage: StageNo, settled: bool);
     fn sees(&self, sight: Sight);
@@ -556,20 +577,20 @@
     }
 }
 
-impl Ward {
+impl PolicyLease {
     pub fn new(
         facts: Arc<Facts>,
         judge: Judge,
         linger: f64,
         tell: Box<dyn Tell>,
-        caps: Caps,
+        caps: ShareLimits,
         counters: Rc<Counters>,
         log: Logger,
-    ) -> Ward {
+    ) -> PolicyLease {
         let pairs = pairs(&facts.govern, facts.zones.len());
-        // Until it hears otherwise nothing is known.
+        // Until a policy is received, none is known.
         let holds = Holds { under: Under::default(), stage: None, rules: vec![], also: BTreeSet::new() };
-        Ward {
+        PolicyLease {
             reach: Reach::declining(pairs.iter().copied()),
             facts,
             pairs,
@@ -596,8 +617,8 @@
         }
     }
 
-    /// What tenants are promised follows the level in force here.
-    pub fn follows(mut self, levels: levels::Shared) -> Ward {
+    /// Makes the guarantees of tenants follow the service level in force here.
+    pub fn follows(mut self, levels: levels::Shared) -> PolicyLease {
         self.levels = Some(levels);
         self
     }
@@ -610,11 +631,11 @@
         self.holds.stage
     }
 
-    /// Something else holds.
+    /// Applies another policy.
     pub fn hold(&mut self, unix_ms: f64, holds: Holds) {
         if holds.stage.is_none() {
             self.counters.declined_unknown.one();
-            warn!(self.log, "it can't be known what holds: governed products are declined";
+            warn!(self.log, "the policy in force is unknown: governed request classes are rejected";
                 "products" => self.facts.govern.len() + holds.also.len());
         }
         self.holds = holds;
@@ -632,7 +653,7 @@
                     self.until = [self.until, until].into_iter().flatten().reduce(f64::min);
                 }
                 Err(why) => {
-                    error!(self.log, "what holds can't be used any more: what is governed is declined";
+                    error!(self.log, "the policy in force can't be used any more: governed request classes are rejected";
                         "why" => %why);
                     self.reach = self.declining();
                     return;
@@ -650,14 +671,14 @@
         Reach::declining(self.pairs.iter().copied().chain(also))
     }
 
-    /// Which hosts of which zones the list has in service.
+    /// Updates the hosts in service of each zone.
     pub fn listed(&mut self, listed: Listed) {
         let mut common = lock(&self.common);
         self.stale |= common.listed.hosts != listed.hosts;
         common.listed = listed;
     }
 
-    /// What grants let in from here on; none: all of everything.
+    /// Updates what grants admit; `None`: all of every class.
     pub fn bound(&mut self, bound: Option<Bound>) {
         match bound {
             Some(Bound { zone, product, share }) => drop(self.granted.insert((zone, product), share)),
@@ -666,9 +687,9 @@
         self.stale = true;
     }
 
-    /// A sum of what came to a proxy of the zone.
+    /// Records a report of the traffic that arrived at a proxy of the zone.
     pub fn came(&mut self, now: f64, zone: ZoneId, event: &Event) {
-        /// A sum stands until the next two of its kind could have come.
+        /// A report is valid until the next two of its kind could have arrived.
         const STANDS: f64 = 3.0;
         if let (Event::ProxyReport { proxy, class, txns, covered, .. }, true) =
             (event, self.per_weight.is_some())
@@ -680,10 +701,10 @@
         }
     }
 
-    /// Tells what came of late and what hosts can do. `open` are the weights of hosts that are let in, by what each was
-    /// seen to carry.
+    /// Publishes recent arrivals and the capacity of hosts. `open` returns the weights of hosts that are not withdrawn, by
+    /// what each was observed to carry.
     pub fn sees(&mut self, now: f64, open: impl FnOnce() -> BTreeMap<ZoneId, f64>) {
-        /// As often as a steward speaks with the chair.
+        /// The interval at which a member contacts the leader, ms.
         const EVERY: f64 = 200.0;
         let level = self.levels.as_ref().and_then(|levels| levels.borrow().level());
         if std::mem::replace(&mut self.told_level, level) != level {
@@ -703,12 +724,12 @@
         self.tell.sees(sight);
     }
 
-    /// Whether there is something to decide without any other news.
+    /// Whether the controller has to be called even without other events.
     pub fn calls(&self, unix_ms: f64) -> bool {
         self.stale || self.until.is_some_and(|until| until <= unix_ms)
     }
 
-    /// The one place where what holds goes out to the decisions: what differs from what they know.
+    /// The events that update the controller to the policy in force. No other place passes the policy to it.
     pub fn events(&mut self, now: f64, unix_ms: f64) -> Vec<Event> {
         if self.until.is_some_and(|until| until <= unix_ms) {
             self.compile(unix_ms);
@@ -718,7 +739,7 @@
         }
         let there = there(&lock(&self.common).listed.hosts);
         let wanted = self.reach.in_use(there);
-        // Where no permitted zone has a host nothing may be let in: it is declined at once, not tried.
+        // Where no permitted zone has a host, requests are rejected at once instead of being tried.
         let bare = wanted.iter().filter(|(_, zones)| zones.intersection(there).is_empty());
         let mut caps = self.granted.clone();
         caps.extend(bare.map(|((product, zone), _)| ((*zone, *product), 0.0)));
@@ -729,7 +750,7 @@
         events
     }
 
-    /// The decisions start anew and know of nothing.
+    /// Records a restart of the controller, which then knows of no policy.
     pub fn anew(&mut self) {
         self.told = InUse::new();
         self.stale = true;
@@ -739,18 +760,18 @@
         &mut self.judge
     }
 
-    /// What of a reply may be written. What may not is counted and logged with its witness.
+    /// Removes orders from a reply that may not be written; each is counted and logged with its reason.
     pub fn sift(&mut self, now: f64, orders: Vec<Order>) -> Sifted {
         let sifted = self.judge.sift(now, orders);
         for (order, breach) in &sifted.refused {
             self.counters.breaches.one();
-            error!(self.log, "an order is not sent"; "order" => ?order, "why" => %breach,
+            error!(self.log, "an order that would break residency is not sent"; "order" => ?order, "why" => %breach,
                 "advice" => breach.advice(), "under" => self.holds.under.0);
         }
         sifted
     }
 
-    /// Tells the agreement whether no proxy can hold anything outside the stage, when that changes.
+    /// Reports, when it changes, whether no proxy can hold anything that the stage does not permit.
     pub fn settle(&mut self, now: f64) {
         let Some(stage) = self.holds.stage.filter(|_| !self.stale) else { return };
         let settled = self.judge.settled(now, self.linger);
@@ -764,7 +785,7 @@
                 }
             }
             Err(witness) => {
-                self.asks.get_or_insert((now + ASK_AFTER, ASK_AFTER));
+                self.asks.get_or_insert((now + FIRST_ASK_PAUSE, FIRST_ASK_PAUSE));
                 if let Some(hidden) = self.seldom.pass() {
                     info!(self.log, "not settled yet"; "stage" => stage.0, "waits_for" => %witness, "hidden" => hidden);
                 }
@@ -775,23 +796,23 @@
         }
     }
 
-    /// Whether proxies are to be asked anew what they hold: an answer to a mark may be lost, and where nothing else is
-    /// ordered no other mark would ever be answered.
+    /// Whether a mark has to be ordered to find out what proxies hold: an answer to a mark may be lost, and without other
+    /// orders there would be no further mark to answer.
     pub fn asks(&mut self, now: f64) -> bool {
         let Some((at, pause)) = &mut self.asks else { return false };
         let due = now >= *at;
         if due {
-            *pause = (2.0 * *pause).min(ASK_MOST);
+            *pause = (2.0 * *pause).min(MAX_ASK_PAUSE);
             *at = now + *pause;
         }
         due
     }
 }
 
-/// An answer that is on its way takes a fraction of this; a mark of its own costs each proxy a message, so further ones
-/// come ever more seldom.
-const ASK_AFTER: f64 = 1_000.0;
-const ASK_MOST: f64 = 8_000.0;
+/// First and longest pause before a mark is ordered alone, ms. An answer in transit takes a fraction of the first pause. Such
+/// a mark costs each proxy a message, so the pause doubles each time.
+const FIRST_ASK_PAUSE: f64 = 1_000.0;
+const MAX_ASK_PAUSE: f64 = 8_000.0;
 
 /// The members that a section names.
 pub fn members(section: &Section) -> Vec<Member> {
@@ -817,48 +838,48 @@
     }
 }
 
-/// Bounds of the policy's go before the decisions, inside those of levels.
-pub fn capped(make: Make, caps: Caps) -> Make {
-    Box::new(move |seed| Box::new(Capped::new(make(seed), caps.clone())))
+/// Wraps a controller factory so that the policy's limits apply, inside those of service levels.
+pub fn limited_by_policy(make: Make, caps: ShareLimits) -> Make {
+    Box::new(move |seed| Box::new(LimitedByPolicy::new(make(seed), caps.clone())))
 }
 
-/// Everything that the daemon has of a fleet.
+/// The parts of a started fleet membership.
 pub struct Started {
-    pub front: Rc<Front>,
-    pub ward: Ward,
+    pub front: Rc<FleetHandle>,
+    pub policy_lease: PolicyLease,
     pub gate: Gate,
     /// For [`Front::run`].
-    pub told: mpsc::UnboundedReceiver<Told>,
+    pub told: mpsc::UnboundedReceiver<ConsensusMessage>,
 }
 
-/// What the daemon is, for its fleet.
-pub struct Own {
+/// The daemon's identity and settings in its fleet.
+pub struct Identity {
     pub name: String,
-    pub ground: Ground,
-    /// ms that a host counts for the zone that it was listed in before.
+    pub ground: CompileContext,
+    /// How long a host still counts for the zone that it was listed in before, ms.
     pub drain_grace: f64,
     pub seed: u64,
     pub clock: UnixClock,
 }
 
-/// Starts the talk.
+/// Starts the communication with the fleet.
 ///
 /// # Errors
-/// What the talk needs can't be had, with advice.
+/// A resource is missing, such as the address or the folder, with advice.
 pub fn start(
     section: &Section,
-    own: Own,
-    caps: Caps,
+    own: Identity,
+    caps: ShareLimits,
     counters: Rc<Counters>,
     log: &Logger,
 ) -> Result<Started, String> {
     let log = log.new(o!("part" => "fleet"));
-    let Own { name, ground, drain_grace, seed, clock } = own;
+    let Identity { name, ground, drain_grace, seed, clock } = own;
     let name = Name::from(section.name.as_ref().map_or(name.as_str(), |name| name.get_ref().as_str()));
     let common = Shared::default();
     let products = ground.facts.products.len() as u16;
     let (tell, told) = mpsc::unbounded_channel();
-    let clerk = Clerk::new(ground.clone(), common.clone(), clock, tell, log.clone());
+    let compiler = PolicyCompiler::new(ground.clone(), common.clone(), clock, tell, log.clone());
     let post = Post {
         fleet: FleetId(section.id.get_ref().as_str().into()),
         name: name.clone(),
@@ -870,11 +891,11 @@
         history: section.history.clone(),
         seed,
     };
-    let talk = fleet::start(post, clerk, log.clone()).map_err(|why| format!("{why}; {}", why.advice()))?;
-    info!(log, "this steward belongs to a fleet"; "as" => %name, "listen" => %talk.at,
+    let talk = fleet::start(post, compiler, log.clone()).map_err(|why| format!("{why}; {}", why.advice()))?;
+    info!(log, "this controller belongs to a fleet"; "as" => %name, "listen" => %talk.at,
         "fleet" => section.id.get_ref());
     let linger = section.linger.get_ref().0.as_secs_f64() * 1e3;
-    let mut ward = Ward::new(
+    let mut policy_lease = PolicyLease::new(
         Arc::new(ground.facts.clone()),
         Judge::new(products, drain_grace),
         linger,
@@ -883,9 +904,9 @@
         counters,
         log.clone(),
     );
-    (ward.common, ward.per_weight) = (common.clone(), ground.per_weight);
+    (policy_lease.common, policy_lease.per_weight) = (common.clone(), ground.per_weight);
     let gate = Gate::new(talk.fence.clone(), talk.history.clone());
-    let front = Front {
+    let front = FleetHandle {
         talk,
         policy: section.policy.get_ref().clone(),
         facts: ground.facts.clone(),
@@ -896,39 +917,41 @@
         proposed: RefCell::default(),
         log,
     };
-    Ok(Started { front: Rc::new(front), ward, gate, told })
+    Ok(Started { front: Rc::new(front), policy_lease, gate, told })
 }
 
-/// Of the 0.7 s that the platform gives between SIGTERM and SIGKILL; the rest is for state, counters and the log.
-const LETS_GO_WITHIN: Duration = Duration::from_millis(450);
+/// Time for leaving the fleet, of the 0.7 s that the platform allows between SIGTERM and SIGKILL; the rest is for state,
+/// counters and the log.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// What main holds on to.
-pub struct Front {
+/// Handle of `main` to the fleet: proposals, reloads and shutdown.
+pub struct FleetHandle {
     talk: Talk,
     policy: PathBuf,
-    ground: RefCell<Ground>,
+    ground: RefCell<CompileContext>,
     facts: Facts,
     common: Shared,
     clock: UnixClock,
     members: RefCell<Vec<Member>>,
-    /// What of the file was proposed last.
+    /// The revision that was last proposed from the file.
     proposed: RefCell<Option<(RevisionNo, Digest)>>,
     log: Logger,
 }
 
-impl Front {
-    /// Passes on to the desk what holds, and says what became of proposals; for good.
-    pub async fn run(self: Rc<Front>, mut told: mpsc::UnboundedReceiver<Told>, ties: Ties) {
+impl FleetHandle {
+    /// Passes messages of the consensus thread to the event loop, and logs the outcome of proposals; never returns while that
+    /// thread runs.
+    pub async fn run(self: Rc<FleetHandle>, mut told: mpsc::UnboundedReceiver<ConsensusMessage>, ties: Ties) {
         while let Some(told) = told.recv().await {
             match told {
-                Told::Holds(holds) => drop(ties.desk.send(Heard::Holds(holds)).await),
-                Told::Bound(bound) => drop(ties.desk.send(Heard::Bound(bound)).await),
-                Told::Answer(revision, outcome) => self.answered(revision, outcome),
+                ConsensusMessage::Holds(holds) => drop(ties.desk.send(Heard::Holds(holds)).await),
+                ConsensusMessage::Bound(bound) => drop(ties.desk.send(Heard::Bound(bound)).await),
+                ConsensusMessage::Answer(revision, outcome) => self.answered(revision, outcome),
             }
         }
     }
 
-    /// Proposes what the policy file says now. What holds goes on whatever is wrong with it.
+    /// Proposes the current policy file. If it is invalid, the policy in force stays.
     pub fn propose(&self) {
         match self.read() {
             Ok(revision) => {
@@ -936,9 +959,9 @@
                 *self.proposed.borrow_mut() = Some((revision.no, revision.digest));
                 self.talk.propose(revision);
             }
-            Err(why) => error!(self.log, "the policy file can't be used, what holds goes on";
+            Err(why) => error!(self.log, "the policy file can't be used; the policy in force stays";
                 "file" => %self.policy.display(), "why" => why,
-                "advice" => "mend it, try it with `amberarch check`, and send SIGHUP"),
+                "advice" => "fix it, check it with `amberarch check`, and send SIGHUP"),
         }
     }
 
@@ -950,32 +973,32 @@
         Ok(Revision { no, digest: Digest::of(&text), text: text.into() })
     }
 
-    /// The file says what is wanted, so one of which nobody can say what became is proposed again, unless the file
-    /// says something else by now.
+    /// Handles the outcome of a proposal. The file is the desired state, so a proposal of unknown outcome is repeated unless
+    /// the file has changed since.
     fn answered(&self, revision: Revision, outcome: Result<StageNo, Refusal>) {
         let (no, digest) = (revision.no, revision.digest);
         let log = &self.log;
         match outcome {
             Ok(stage) => info!(log, "in force"; "revision" => no.0, "digest" => %digest, "stage" => stage.0),
             Err(Refusal::Unsure) if *self.proposed.borrow() == Some((no, digest)) => {
-                info!(log, "it is not known what became of a proposal; proposed again"; "revision" => no.0);
+                info!(log, "the outcome of a proposal is unknown; proposing it again"; "revision" => no.0);
                 self.talk.propose(revision);
             }
-            // Each member that starts proposes the same file.
+            // Normal: each member proposes the same file when it starts.
             Err(Refusal::NotAbove { known, .. }) if known == no => {
-                info!(log, "known already"; "revision" => no.0);
+                info!(log, "the revision is already known"; "revision" => no.0);
             }
             Err(why) => warn!(log, "a proposal was refused"; "revision" => no.0, "digest" => %digest,
                 "why" => %why, "advice" => why.advice()),
         }
     }
 
-    /// The operator's file was read again: where it names other members, the fleet is told.
+    /// Applies a reloaded operator's file: if it names other members, the fleet is informed.
     pub fn reread(&self, section: Option<&Section>) {
         let Some(section) = section else {
             return warn!(
                 self.log,
-                "the operator's file has no [fleet] any more; that holds from the next start on"
+                "the operator's file has no [fleet] any more; this takes effect at the next start"
             );
         };
         let govern: BTreeSet<&str> =
@@ -985,17 +1008,17 @@
             govern.iter().map(|product| name(products, product.0)).collect()
         };
         if govern != started {
-            warn!(self.log, "the operator's file governs other products; that holds from the next start on";
+            warn!(self.log, "the operator's file governs other products; this takes effect at the next start";
                 "file" => ?govern, "here" => ?started, "advice" => "start the members anew one after the other, and \
                 only then propose a revision that names a product more");
         }
         let named = members(section);
         if *self.members.borrow() != named {
-            // Floors are let in without any grant, so they have to be dealt over all members beforehand.
+            // Floors are admitted without a grant, so they have to be divided among all members beforehand.
             let mut common = lock(&self.common);
             if !common.plans.iter().all(|plan| plan.holds_for(&holders(named.len()))) {
                 return error!(self.log, "the operator's file names more members than the plan that holds has floors \
-                    for; the members stay as they are"; "members" => named.len(),
+                    for; the members are unchanged"; "members" => named.len(),
                     "advice" => "raise `floor.stewards` by a revision first, then send SIGHUP again");
             }
             common.members = Some(named.len());
@@ -1007,26 +1030,26 @@
         }
     }
 
-    /// SIGTERM: no order leaves from here on, the fleet is told so, and whoever waits for this steward need not. Ends
-    /// as soon as the chair has heard, and another is chair if this steward was; or when its time is over, and then
-    /// the fleet waits for the lease as if it had been killed.
+    /// Leaves the fleet on SIGTERM: no order is sent from here on, and the fleet is told, so nothing has to wait for this
+    /// member. Returns once the leader has confirmed, and another leader is elected if this member was the leader; or when
+    /// the time is over, and then the fleet waits for the lease to expire as if the process had been killed.
     pub async fn let_go(&self) {
         let begun = tokio::time::Instant::now();
-        let heard = matches!(tokio::time::timeout(LETS_GO_WITHIN, self.talk.let_go()).await, Ok(Ok(())));
+        let heard = matches!(tokio::time::timeout(LEAVE_TIMEOUT, self.talk.let_go()).await, Ok(Ok(())));
         let ms = begun.elapsed().as_secs_f64() * 1e3;
         match heard {
             true => info!(self.log, "let go"; "ms" => ms),
             false => warn!(self.log, "ends unheard: changes wait for this steward's lease"; "ms" => ms,
-                "advice" => "see whether a majority of voters is up and hears this steward"),
+                "advice" => "check that a majority of voters is up and reaches this controller"),
         }
     }
 
-    /// Ends the talk.
+    /// Ends the communication with the fleet.
     pub fn end(&self) {
         self.talk.end();
     }
 
-    /// Has it written to the log where the change stands.
+    /// Writes the state of the current policy change to the log.
     pub fn show(&self) {
         self.talk.show();
     }
--- a/crates/steward/src/guard.rs
+++ b/crates/steward/src/guard.rs
@@ -1,5 +1,5 @@
-//! The guard in the daemon: it hears what the desk hears, and looks at each reply before it goes to the relay. No
-//! choice here.
+//! Guard adapter: passes the event loop's events to the guard and has it check each reply before it goes to the relay. It
+//! makes no decisions itself.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 
 use crate::counters::Seldom;
 
-/// What is told on SIGUSR1: counts, and the last that was held back.
+/// Shown on SIGUSR1: counters, and the latest orders that were held back.
 #[derive(Default)]
 pub struct Shown {
     counts: Cell<Counts>,
@@ -36,12 +36,12 @@
     }
 }
 
-/// The door of this run, where the section has one.
+/// The guard of this daemon.
 pub struct Keeper {
     door: Door,
-    /// How far the guard's line of calls went when residency's was so far.
+    /// Positions in the residency judge's sequence of calls, each with the guard's own position at that time.
     places: VecDeque<(u64, u64)>,
-    /// Residency's judge is there too, and the relay answers by its places.
+    /// The residency judge is in use too, and the relay's answers count by its positions.
     beside: bool,
     seldom: Seldom,
     shown: Rc<Shown>,
@@ -49,7 +49,7 @@
 }
 
 impl Keeper {
-    /// None where it is off.
+    /// `None` if the guard is off.
     pub fn new(section: &Section, facts: Facts, log: &Logger) -> Option<Keeper> {
         let mode = match section.mode {
             GuardMode::Off => return None,
@@ -66,13 +66,14 @@
         self.shown.clone()
     }
 
-    /// What happened, as it happened.
+    /// Passes on an event when it happens.
     pub fn hear(&mut self, now: f64, event: &Event) {
         self.door.hear(now, event);
     }
 
-    /// Of what the decisions are about to hear, that of which they hear alone. Who joined or left, the list and marks
-    /// were told when they came: decisions that start anew hear of those again.
+    /// Passes on those events of a decision that [`hear`](Self::hear) did not receive: reports, probe results and reach
+    /// rules. Joins, leaves, the list and marks were passed on when they arrived; a restarted controller receives them
+    /// again.
     pub fn see(&mut self, now: f64, events: &[Event]) {
         let seen = |event: &&Event| {
             matches!(
@@ -86,7 +87,8 @@
         events.iter().filter(seen).for_each(|event| self.door.hear(now, event));
     }
 
-    /// What of a reply goes out, how far the line of calls goes with it, and whether the decisions have to plan anew.
+    /// Checks a reply. Returns the orders to send, the position in the sequence of calls after them, and whether the
+    /// controller has to be restarted.
     pub fn pass(&mut self, now: f64, orders: Vec<Order>) -> (Vec<Order>, u64, bool) {
         let passed = self.door.pass(now, orders);
         let enforced = self.door.mode() == Mode::Enforce;
@@ -98,7 +100,7 @@
         }
         for finding in &passed.findings {
             if let Some(hidden) = self.seldom.pass() {
-                warn!(self.log, "the guard's picture was wrong"; "what" => %finding, "hidden" => hidden);
+                warn!(self.log, "the guard's model was wrong"; "what" => %finding, "hidden" => hidden);
             }
         }
         if passed.anew {
@@ -111,14 +113,14 @@
         (passed.orders, self.door.guard().place(), passed.anew)
     }
 
-    /// Residency's judge took that reply in up to that place of its own, and left these out.
+    /// Records the residency judge's position after a reply, and the orders that it refused.
     pub fn sifted(&mut self, judged: u64, refused: &[Order]) {
         self.beside = true;
         self.door.guard().gave_up(refused);
         self.places.push_back((judged, self.door.guard().place()));
     }
 
-    /// The relay has answered for all up to that place.
+    /// Records that the relay has answered everything up to this position.
     pub fn answered(&mut self, now: f64, place: u64) {
         let mut own = if self.beside { 0 } else { place };
         while let Some((_, here)) = self.places.front().copied().filter(|judged| judged.0 <= place) {
@@ -136,7 +138,7 @@
         self.door.waits()
     }
 
-    /// The decisions start anew.
+    /// Records a restart of the controller.
     pub fn anew(&mut self) {
         self.door.anew();
     }
--- a/crates/steward/src/heard.rs
+++ b/crates/steward/src/heard.rs
@@ -1,5 +1,5 @@
-//! What the steward's parts say to each other: what they bring to the desk, and what the desk hands to them.
-//! Stands below both, so that no part needs another.
+//! Messages between the event loop and the other tasks, in both directions. The modules of the tasks depend on this one
+//! and not on each other.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,25 +17,25 @@
 
 use crate::counters::Counters;
 use crate::fleet::Holds;
-use crate::lines::Said;
+use crate::lines::Message;
 use crate::relay::RelaySigns;
 
-/// What the other tasks bring.
+/// Messages to the event loop.
 #[derive(Debug)]
 pub enum Heard {
-    Sum(Said),
-    /// What stands follows: who was known and is not in it has left. With `anew`, who is in it may have
-    /// left and come back.
-    Standing {
-        anew: bool,
+    Report(Message),
+    /// A snapshot of the relay's proxies follows: known proxies that it does not name have left. With `rebind`, proxies
+    /// that it names may have left and returned.
+    SnapshotBegins {
+        rebind: bool,
     },
-    Stood,
+    SnapshotEnds,
     News(News),
     Listed(Listing),
-    /// Discovery answered and had nothing new: what it told stands.
-    ListStands,
+    /// Discovery answered without changes, which confirms the list.
+    ListUnchanged,
     ListFailed,
-    /// What is believed of hosts' own loads now.
+    /// Current estimates of hosts' load.
     Loads(Vec<Believed>),
     Probed {
         host: HostId,
@@ -44,60 +44,60 @@
         took: f64,
         report: LoadReport,
     },
-    /// Replies with these marks, in their order, go as one call; told before it is written.
+    /// The replies with these marks, in this order, go as one call; sent before the call is written.
     Together {
         marks: Vec<MarkId>,
     },
-    /// The reply with this mark may have been carried out, and goes again whole.
-    Again {
+    /// The reply with this mark may have been carried out and is sent again whole.
+    CallDuplicated {
         mark: MarkId,
     },
-    /// A part of the reply with this mark was taken, and the rest goes as a call of its own.
-    Parted {
+    /// A part of the reply with this mark was taken, and the rest is sent as a call of its own.
+    CallSplit {
         mark: MarkId,
     },
-    /// Calls do not get through to the relay, or do again.
-    Behind {
+    /// Calls do not reach the relay, or (`on` is false) do so again.
+    RelayDelayed {
         on: bool,
     },
-    /// The relay refused an order for good; one that binds names its proxy.
-    NotTaken {
+    /// The relay refused orders for good; for orders that bind, their proxy is named.
+    OrdersRefused {
         binds: Option<ProxyId>,
         orders: Vec<Order>,
     },
-    /// These waited and were not written: what they were decided under holds no more. Those that went out already
-    /// may have been carried out.
+    /// These orders waited and were not written, as the lease or stage that they were decided under is no longer in force.
+    /// Orders that were sent before may have been carried out.
     Fenced {
-        /// Of which start of the decisions.
-        life: u64,
+        /// The incarnation of the controller that ordered them.
+        incarnation: u64,
         orders: Vec<Order>,
     },
-    /// The relay has answered for all that was judged up to there: none of it is written again.
+    /// The relay has answered everything that was checked up to this place: none of it is written again.
     Answered {
         place: u64,
     },
-    /// A policy holds, or none is known to.
+    /// The policy in force changed, or became unknown.
     Holds(Holds),
-    /// Grants let in that much of a product in a zone; none: all of everything.
+    /// The share of a request class in a zone that grants admit; `None`: all of every class.
     Bound(Option<Bound>),
 }
 
-/// What ties a part to the rest: the way to the desk, the counters and the log.
+/// What connects a task with the rest of the daemon: the channel to the event loop, the counters and the log.
 #[derive(Clone)]
 pub struct Ties {
     pub desk: mpsc::Sender<Heard>,
     pub counters: Rc<Counters>,
-    /// What the watch shows of the relay, for the calls.
+    /// What the watch reveals about the relay, for the task that sends calls.
     pub signs: Rc<RelaySigns>,
     pub log: Logger,
 }
 
-/// Where orders go.
+/// Channels from the event loop to the tasks that carry out orders.
 pub struct Out {
     pub relay: mpsc::Sender<Reply>,
     pub list: mpsc::Sender<Ask>,
     pub probes: mpsc::Sender<Probe>,
-    /// The intake's view of list, probes and sums, where an operator has switched the intake on.
+    /// The intake's view of list, probes and reports, where an operator has enabled the intake.
     pub witness: Option<Witness>,
 }
 
@@ -136,7 +136,7 @@
     pub born_ms: f64,
 }
 
-/// The list, or what changed in it.
+/// The whole host list, or changes in it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Listing {
     pub seq: u64,
@@ -151,11 +151,11 @@
     Whole,
 }
 
-/// Which process a host's name stood for: at another address, or with another start, it is another one.
+/// Identifies the process behind a host's name: another address or start means another process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
     pub dial: SocketAddr,
-    /// Its start in Unix time.
+    /// Its start, Unix time in ms.
     pub born_ms: f64,
 }
 
@@ -166,30 +166,30 @@
     pub entry: Entry,
 }
 
-/// What the module ordered at one time, and the number of the mark in it.
+/// The orders of one decision for the relay, and the number of the mark among them.
 pub struct Reply {
     pub orders: Vec<Encoded>,
     pub mark: Option<MarkId>,
-    pub ruled: Ruled,
+    pub ruled: DecidedUnder,
 }
 
-/// By what a reply was decided: it is written under nothing else.
+/// The lease and stage that a reply was decided under; it is written only while these are in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ruled {
+pub struct DecidedUnder {
     pub under: Under,
-    /// The stage that it is written under, where one is known.
+    /// The policy stage, where one is known.
     pub stage: Option<StageNo>,
-    /// Counts the starts of the decisions: what one of them ordered is of no use once a part of it was dropped.
-    pub life: u64,
-    /// How far the judge's line of orders goes with it; zero: nothing is judged.
+    /// Counts the restarts of the controller: once a part of an incarnation's orders was dropped, the rest is useless.
+    pub incarnation: u64,
+    /// The judge's position in its sequence of checked orders after this reply; zero if nothing is checked.
     pub place: u64,
 }
 
-/// An order as the relay reads it, and the proxy that it binds.
+/// An order encoded for the relay, and the proxy that it binds, if any.
 pub struct Encoded {
     pub bytes: Bytes,
     pub binds: Option<ProxyId>,
     pub mark: Option<MarkId>,
-    /// What it says, where somebody has to hear if it is not written.
+    /// The order itself, kept where a lease or guard has to be told if it is not written.
     pub order: Option<Order>,
 }
--- a/crates/steward/src/http.rs
+++ b/crates/steward/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 exchange at a time on a connection of ours, and how far it came when it failed.
+//! HTTP/1.1 client: one exchange at a time on a connection, and how far a failed exchange got.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -21,19 +21,19 @@
 use tokio::time::{timeout, Instant};
 use tokio_util::task::AbortOnDropHandle;
 
-/// An answer is read up to this size: far over the list of the largest fleet.
+/// The largest answer that is read, far larger than the host list of the largest fleet.
 const MOST_BYTES: usize = 8 << 20;
-/// A connection reads ahead of what is asked for, and keeps back of what it writes, so much at the most. Hundreds of
-/// probes are under way at once, and the peers may say whatever they like; a call of orders fits in.
+/// The most bytes that a connection buffers, in each direction. Hundreds of probes may be in progress at once, with peers
+/// that send any amount; a call of orders fits in.
 const MOST_AHEAD: usize = 64 << 10;
 
-/// Why an exchange failed whose peer fell silent, before the head of its answer or behind it.
+/// Error texts for a peer that fell silent, before the head of its answer and after it.
 const NO_ANSWER: &str = "no answer in time";
 const NO_END: &str = "the answer did not end in time";
 
-/// Waits for something within a time. Guards against a steward that stood still itself: then the time is
-/// over before what came meanwhile has been looked at, so a last look follows.
-pub async fn limited<T>(within: Duration, what: impl Future<Output = T>) -> Option<T> {
+/// Awaits a future for a limited time, and polls it once more for 5 ms after that. If this process itself was stopped, the
+/// time is over before anything that arrived meanwhile has been polled.
+pub async fn timeout_with_final_poll<T>(within: Duration, what: impl Future<Output = T>) -> Option<T> {
     const LAST_LOOK: Duration = Duration::from_millis(5);
     let mut what = std::pin::pin!(what);
     match timeout(within, &mut what).await {
@@ -42,31 +42,31 @@
     }
 }
 
-/// How far an attempt came.
+/// How far a failed exchange got.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("not sent: {0}")]
     NotSent(String),
-    /// This machine could not open a connection, whoever listens at the other end.
+    /// This machine could not open a connection, whatever the peer's state.
     #[error("not sent: {0}")]
-    NoMeans(io::Error),
+    LocalFailure(io::Error),
     #[error("sent in part: {0}")]
-    InPart(String),
-    /// All of it may have arrived; nothing readable came back.
+    PartlySent(String),
+    /// The whole request may have arrived; no readable answer came back.
     #[error("unsure: {0}")]
     Unsure(String),
-    /// All of it may have arrived; an answer began and broke off.
+    /// The whole request may have arrived; an answer began and broke off.
     #[error("unsure: the answer broke off: {0}")]
-    CutOff(String),
-    /// All of it may have arrived; the answer did not come, or not to its end, in time.
+    AnswerTruncated(String),
+    /// The whole request may have arrived; the answer did not come, or was not complete, in time.
     #[error("unsure: {0}")]
     Silent(&'static str),
 }
 
-/// Whether a failed dial says something of this machine and nothing of the peer: no descriptor, memory, buffer, port or
-/// route was to be had, or a signal came between (connect(2), socket(2)).
+/// Whether a failed dial is due to this machine and not to the peer: no descriptor, memory, buffer, port or route was
+/// available, or a signal interrupted the call (connect(2), socket(2)).
 fn is_own(error: &io::Error) -> bool {
-    /// Errors for which the standard library has no kind.
+    /// Errors for which the standard library has no `ErrorKind`.
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     const ENOBUFS: i32 = 105;
@@ -82,7 +82,7 @@
     by_kind || matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
 }
 
-/// Where connections come from: sockets in service, memory in tests.
+/// Opens connections: sockets in production, in-memory streams in tests.
 pub trait Dial {
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
     fn dial(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
@@ -99,25 +99,25 @@
     }
 }
 
-/// What stands between a connection and its bytes on their way out.
+/// Observes the reads and writes of a connection and can refuse writes.
 pub trait Watch {
-    /// Kept from the look before a write to the word after it.
-    type Look;
-    /// Directly before each write; an error keeps the bytes from leaving.
-    fn look(&self) -> io::Result<Self::Look>;
-    /// So many bytes, one or more, went out.
-    fn wrote(&self, look: Self::Look, bytes: usize);
-    /// So many bytes came in; none at the end.
+    /// Carried from the call before a write to the call after it.
+    type Token;
+    /// Called directly before each write; an error prevents the write.
+    fn look(&self) -> io::Result<Self::Token>;
+    /// Called after a write of one or more bytes.
+    fn wrote(&self, look: Self::Token, bytes: usize);
+    /// Called after each read with the number of bytes, zero at the end of the stream.
     fn read(&self, _bytes: usize) {}
 }
 
-/// A connection whose every write is watched.
-pub struct Watched<S, W> {
+/// A connection whose reads and writes are observed.
+pub struct Observed<S, W> {
     pub stream: S,
     pub watch: W,
 }
 
-impl<S: AsyncRead + Unpin, W: Watch + Unpin> AsyncRead for Watched<S, W> {
+impl<S: AsyncRead + Unpin, W: Watch + Unpin> AsyncRead for Observed<S, W> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -130,9 +130,9 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin, W: Watch + Unpin> AsyncWrite for Watched<S, W> {
+impl<S: AsyncWrite + Unpin, W: Watch + Unpin> AsyncWrite for Observed<S, W> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        // Nothing may stand between this look and the write.
+        // No other code may run between this check and the write.
         let look = match self.watch.look() {
             Ok(look) => look,
             Err(why) => return Poll::Ready(Err(why)),
@@ -151,7 +151,7 @@
     }
 }
 
-/// How many bytes the other side can have got at most, and how many came back.
+/// How many bytes the peer can have received at most, and how many came back.
 #[derive(Default)]
 struct Traffic {
     written: Cell<usize>,
@@ -159,7 +159,7 @@
 }
 
 impl Watch for Rc<Traffic> {
-    type Look = ();
+    type Token = ();
     fn look(&self) -> io::Result<()> {
         Ok(())
     }
@@ -171,7 +171,7 @@
     }
 }
 
-/// A connection; dropping it closes it, whatever is under way on it.
+/// An HTTP connection; dropping it closes it, even during an exchange.
 pub struct Line {
     sender: SendRequest<Full<Bytes>>,
     traffic: Rc<Traffic>,
@@ -181,20 +181,20 @@
 impl Line {
     pub async fn open(dial: &impl Dial, to: SocketAddr, within: Duration) -> Result<Line, Fault> {
         let not_sent = |why: &dyn ToString| Fault::NotSent(why.to_string());
-        let dialled = limited(within, dial.dial(to)).await;
+        let dialled = timeout_with_final_poll(within, dial.dial(to)).await;
         let dialled = dialled.ok_or_else(|| not_sent(&"the connection did not come up"))?;
         let stream = dialled.map_err(|error| match is_own(&error) {
-            true => Fault::NoMeans(error),
+            true => Fault::LocalFailure(error),
             false => not_sent(&error),
         })?;
         let traffic = Rc::new(Traffic::default());
-        let counted = Watched { stream, watch: traffic.clone() };
+        let counted = Observed { stream, watch: traffic.clone() };
         let (sender, pump) = http1::Builder::new()
             .max_buf_size(MOST_AHEAD)
             .handshake(TokioIo::new(counted))
             .await
             .map_err(|error| not_sent(&error))?;
-        // How the connection ended shows in the exchange that it carried.
+        // The result of the connection's task is not needed: the exchange in progress reports the error.
         let pump = tokio::task::spawn_local(async move { drop(pump.await) });
         Ok(Line { sender, traffic, _pump: AbortOnDropHandle::new(pump) })
     }
@@ -220,7 +220,7 @@
                 Err(error) => Err((true, error.to_string())),
             }
         };
-        let failed = match limited(within, sent).await {
+        let failed = match timeout_with_final_poll(within, sent).await {
             Some(Ok(response)) => return Ok(response),
             Some(Err(failed)) => Some(failed),
             None => None,
@@ -230,16 +230,16 @@
         Err(match failed {
             Some((true, why)) => Fault::NotSent(why),
             Some((false, why)) if written == 0 => Fault::NotSent(why),
-            Some((false, why)) if written < body => Fault::InPart(why),
-            Some((false, why)) if began => Fault::CutOff(why),
+            Some((false, why)) if written < body => Fault::PartlySent(why),
+            Some((false, why)) if began => Fault::AnswerTruncated(why),
             Some((false, why)) => Fault::Unsure(why),
             None if written == 0 => Fault::NotSent(NO_ANSWER.into()),
-            None if written < body => Fault::InPart(NO_ANSWER.into()),
+            None if written < body => Fault::PartlySent(NO_ANSWER.into()),
             None => Fault::Silent(NO_ANSWER),
         })
     }
 
-    /// An exchange of which only so many bytes of the answer's body are read, within the same time.
+    /// An exchange that reads only the first `most` bytes of the answer's body, within the same time.
     pub async fn glance(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -252,19 +252,19 @@
         let reading = async {
             while read.len() < most {
                 let Some(frame) = body.frame().await else { break };
-                let data = frame.map_err(|error| Fault::CutOff(error.to_string()))?.into_data();
+                let data = frame.map_err(|error| Fault::AnswerTruncated(error.to_string()))?.into_data();
                 let data = data.unwrap_or_default();
                 read.extend_from_slice(&data[..data.len().min(most - read.len())]);
             }
             Ok(())
         };
-        match limited(until - Instant::now(), reading).await {
+        match timeout_with_final_poll(until - Instant::now(), reading).await {
             Some(read_through) => read_through.map(|()| (status, read.freeze())),
             None => Err(Fault::Silent(NO_END)),
         }
     }
 
-    /// A whole exchange; the answer's body comes within the same time.
+    /// A whole exchange; head and body of the answer have to arrive within the time.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -274,42 +274,40 @@
         let response = self.ask(request, within).await?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MOST_BYTES).collect();
-        match limited(until - Instant::now(), body).await {
+        match timeout_with_final_poll(until - Instant::now(), body).await {
             Some(Ok(body)) => Ok((status, body.to_bytes())),
-            Some(Err(error)) => Err(Fault::CutOff(error.to_string())),
+            Some(Err(error)) => Err(Fault::AnswerTruncated(error.to_string())),
             None => Err(Fault::Silent(NO_END)),
         }
     }
 }
 
-/// Where a peer is now; a new configuration moves it.
-pub type Whereabouts = watch::Receiver<SocketAddr>;
+/// The current address of a peer; a new configuration may change it.
+pub type PeerAddress = watch::Receiver<SocketAddr>;
 
-/// A connection that is kept from one exchange to the next, and dialled anew when it has failed or the
-/// peer has moved.
+/// A persistent connection that is dialled again when it has failed or the peer's address has changed.
 pub struct Kept<D> {
     dial: D,
-    peer: Whereabouts,
+    peer: PeerAddress,
     connect_within: Duration,
     line: Option<(SocketAddr, Line)>,
 }
 
 impl<D: Dial> Kept<D> {
-    pub fn new(dial: D, peer: Whereabouts, connect_within: Duration) -> Kept<D> {
+    pub fn new(dial: D, peer: PeerAddress, connect_within: Duration) -> Kept<D> {
         Kept { dial, peer, connect_within, line: None }
     }
 
-    pub fn peer(&self) -> Whereabouts {
+    pub fn peer(&self) -> PeerAddress {
         self.peer.clone()
     }
 
-    /// After an answer that can't be read, what follows on its connection may not be either.
+    /// Closes the connection. Used after an unreadable answer, as what follows on the connection may be unreadable too.
     pub fn hang_up(&mut self) {
         self.line = None;
     }
 
-    /// One exchange. A connection that the peer closed while it stood idle is no fault of the peer:
-    /// what was not sent on it goes out on a new one.
+    /// One exchange. The peer may close an idle connection; a request that could not be sent on it is sent on a new one.
     pub async fn exchange(
         &mut self,
         request: impl Fn(SocketAddr) -> Request<Full<Bytes>>,
--- a/crates/steward/src/intake.rs
+++ b/crates/steward/src/intake.rs
@@ -1,4 +1,4 @@
-//! Switches the intake of load reports on, where an operator's file says so.
+//! Starts the intake of load reports, where the operator's file enables it.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 
 use crate::heard::{Heard, Ties};
 
-/// Starts it and passes on to the desk what is believed. Its numbers count up from `unix_ms`, in millionths, so
-/// that none meets one of a daemon before it.
+/// Starts the intake and passes its load estimates to the event loop. Its numbers count up from `unix_ms` in microseconds,
+/// so they differ from those of a former daemon.
 ///
 /// # Errors
-/// The address can't be had, or no thread.
+/// The address can't be bound, or no thread can be started.
 pub fn start(
     section: &Intake,
     start: Instant,
@@ -40,7 +40,7 @@
     let reports_per_s = f64::from(*section.reports_per_s.get_ref());
     let echo = Echo((unix_ms * 1e3) as u64);
     let basis = Basis { reports_per_s, line, start: start.into_std(), echo };
-    // One message waits for the desk at the most; what has no room is believed and told later.
+    // At most one message waits for the event loop; estimates without room in the channel are sent later.
     let (out, mut loads) = mpsc::channel(1);
     let log = ties.log.new(o!("part" => "intake"));
     let (at, counts) = grpc::start(section.listen, bounds, basis, witness, out, log)
--- a/crates/steward/src/levels.rs
+++ b/crates/steward/src/levels.rs
@@ -1,5 +1,5 @@
-//! Named levels in the daemon: the operator's words become a ladder, decisions get it before them, and a unix
-//! socket answers what is in force. No choice here.
+//! Service levels in the daemon: builds the ladder of levels from the operator's file, wraps the controller with it, and
+//! serves the current level on a unix socket. It makes no decisions itself.
 
 use std::cell::RefCell;
 use std::io;
@@ -20,19 +20,19 @@
 
 use crate::desk::Make;
 
-/// What levels need to know of the deployment.
+/// The deployment settings that service levels need.
 pub struct Facts {
     pub zones: Vec<String>,
     pub products: Vec<(String, RequestClass)>,
     pub sums: ReportSettings,
-    /// Whether proxies take levels at all.
+    /// Whether proxies support levels at all.
     pub taken: bool,
 }
 
-/// The ladder that the section describes.
+/// Builds the ladder that the section describes.
 ///
 /// # Errors
-/// The place of the level, or of the product's name, that is wrong.
+/// The position of the invalid level or of the unknown request class.
 pub fn ladder(
     section: &file::Levels,
     products: &[(String, RequestClass)],
@@ -98,10 +98,11 @@
     Condition { signal, value, lasting: lasting.as_secs_f64() * 1e3 }
 }
 
-/// The levels in force, for the decisions and for those who ask.
+/// The service levels in force, shared by the controller and the socket.
 pub type Shared = Rc<RefCell<ServiceLevels>>;
 
-/// Decisions that are made with the ladder before them. Each start anew of the decisions finds its level anew.
+/// Wraps a controller factory so that service levels are applied before each decision. Every restart of the controller
+/// also restarts the search for the level.
 pub fn before(make: Make, ladder: Ladder, acts: bool, facts: &Facts) -> (Make, Shared) {
     let (zones, sums) = (facts.zones.len() as u16, facts.sums.clone());
     let products: Vec<RequestClass> = facts.products.iter().map(|(_, product)| product.clone()).collect();
@@ -116,10 +117,10 @@
     (make, shared)
 }
 
-/// Listens there. What a daemon that is gone left is put away; a file of any other kind is not.
+/// Binds the socket. A stale socket of a former daemon is removed; a file of any other kind is not.
 ///
 /// # Errors
-/// Another daemon answers there, something that is no socket is there, or the place can't be written.
+/// Another daemon answers there, a file of another kind is there, or the path can't be written.
 pub fn listen(socket: &Path) -> io::Result<UnixListener> {
     if let Ok(there) = std::fs::symlink_metadata(socket) {
         let taken = |what: &str| Err(io::Error::new(io::ErrorKind::AlreadyExists, what));
@@ -134,9 +135,10 @@
     UnixListener::bind(socket)
 }
 
-/// Answers at the socket for good: `show`, `pin NAME SECONDS`, `unpin`, one line each, with one line of JSON.
+/// Serves the socket; never returns. The requests `show`, `pin NAME SECONDS` and `unpin` are one line each and are answered
+/// with one line of JSON.
 pub async fn serve(listener: UnixListener, levels: Shared, facts: Rc<Facts>, start: Instant, log: Logger) {
-    /// Operators and their scripts; further ones wait.
+    /// Connections that are served at a time; further ones wait.
     const AT_ONCE: usize = 8;
     let places = std::sync::Arc::new(tokio::sync::Semaphore::new(AT_ONCE));
     loop {
@@ -144,7 +146,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(why) => {
-                warn!(log, "no one could be answered about levels"; "why" => %why);
+                warn!(log, "could not accept a connection at the socket of [levels]"; "why" => %why);
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             }
@@ -153,15 +155,15 @@
         tokio::task::spawn_local(async move {
             let _place = place;
             if let Err(why) = answer(stream, &levels, &facts, start).await {
-                warn!(log, "a question about levels was not answered"; "why" => %why);
+                warn!(log, "a request at the socket of [levels] was not answered"; "why" => %why);
             }
         });
     }
 }
 
-/// One question and its answer. A line that does not end, or an answer that is not read, ends it.
+/// Serves one request. A line that does not end, or an answer that is not read, in time ends it.
 async fn answer(stream: UnixStream, levels: &Shared, facts: &Facts, start: Instant) -> io::Result<()> {
-    /// The longest name of a level, and room.
+    /// The longest request: room for the longest name of a level.
     const MOST: u64 = 1_024;
     const WITHIN: Duration = Duration::from_secs(2);
     let (reading, mut writing) = stream.into_split();
@@ -236,10 +238,10 @@
     })
 }
 
-/// Asks a running daemon.
+/// Queries a running daemon.
 ///
 /// # Errors
-/// Nobody answers there, or in time.
+/// Nothing answers at the socket, or not in time.
 pub fn ask(socket: &Path, question: &str) -> Result<Value, String> {
     use std::io::{BufRead, Write};
     let fault = |why: io::Error| format!("{}: {why}", socket.display());
@@ -251,12 +253,12 @@
     serde_json::from_str(&line).map_err(|why| format!("{}: {why}", socket.display()))
 }
 
-/// An answer for people.
+/// Formats an answer for people.
 pub fn told(said: &Value) -> String {
     let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), String::from);
     let mut out = match said["level"].as_str() {
         Some(level) => format!("level {level}, for {} s", said["for_s"]),
-        None => "the level in force is not known yet: sums of proxies show it".to_string(),
+        None => "the level in force is not known yet: it is derived from proxy reports".to_string(),
     };
     if said["acts"] == json!(false) {
         out += "; nothing is bounded by it";
--- a/crates/steward/src/lib.rs
+++ b/crates/steward/src/lib.rs
@@ -1,4 +1,4 @@
-//! The steward on sockets: adapters round amberarch's decisions, each file with one job.
+//! The daemon: adapters that connect amberarch's controller with sockets, disks and clocks, one task per file.
 
 pub mod clock;
 pub mod command;
--- a/crates/steward/src/lines.rs
+++ b/crates/steward/src/lines.rs
@@ -1,4 +1,4 @@
-//! The lines that collectors and others send to the steward's address, and reading them.
+//! The line protocol: messages that collectors and health checks send to the daemon's address, and their parser.
 
 use std::io;
 use std::time::Duration;
@@ -8,29 +8,45 @@
 
 use amberarch_core::LoadReport;
 
-/// The protocol page: a message holds at most 1 MiB.
-pub const MOST_BYTES: u64 = 1 << 20;
-/// The wire page: the longest time that anything there may have, 71 minutes.
-const LONGEST_MS: f64 = 71.0 * 60e3;
+/// The longest message, 1 MiB, by the protocol page.
+pub const MAX_LINE_BYTES: u64 = 1 << 20;
+/// The longest duration in a message, 71 minutes, by the wire page.
+const MAX_DURATION_MS: f64 = 71.0 * 60e3;
 
-/// What a line says; words of the wire that nothing needs are passed over.
+/// A parsed line. Fields of the line that the daemon does not need are ignored.
 #[derive(Debug, PartialEq)]
-pub enum Said {
+pub enum Message {
     Ping,
-    Source { zone: String },
-    Load { zone: String, host: String, tries: u32, voided: u32, mean: f64, over: f64, report: LoadReport },
-    Rate { proxy: u16, product: String, txns: u32, voided: u32, over: f64 },
+    Source {
+        zone: String,
+    },
+    Load {
+        zone: String,
+        host: String,
+        tries: u32,
+        failed: u32,
+        mean_latency: f64,
+        covered: f64,
+        report: LoadReport,
+    },
+    Rate {
+        proxy: u16,
+        class: String,
+        txns: u32,
+        failed: u32,
+        covered: f64,
+    },
 }
 
-pub fn read(line: &[u8]) -> Result<Said, Bad> {
-    let shown = || Bad::Unreadable(String::from_utf8_lossy(line).chars().take(20).collect());
+pub fn read(line: &[u8]) -> Result<Message, LineError> {
+    let shown = || LineError::Unreadable(String::from_utf8_lossy(line).chars().take(20).collect());
     let text = std::str::from_utf8(line).map_err(|_| shown())?;
-    said(text).transpose().ok_or_else(shown)?.map_err(Bad::Spoilt)
+    parse(text).transpose().ok_or_else(shown)?.map_err(LineError::Malformed)
 }
 
-/// None where it is no message of the page. A message counts whole or not at all, so each figure is
-/// checked here.
-fn said(text: &str) -> Result<Option<Said>, String> {
+/// Parses a line; `None` if it is no message of the protocol page. A message is used whole or not at all, so every number
+/// is checked here.
+fn parse(text: &str) -> Result<Option<Message>, String> {
     let mut words = text.split_ascii_whitespace();
     let kind = words.next().unwrap_or("");
     let pairs: Vec<(&str, &str)> = words.filter_map(|word| word.split_once('=')).collect();
@@ -39,56 +55,56 @@
         found.ok_or_else(|| format!("{kind} without {name}"))
     };
     let count = |name: &str| number::<u32>(name, word(name)?);
-    let time = |name: &str| match figure(name, word(name)?)? {
-        time if time <= LONGEST_MS => Ok(time),
+    let time = |name: &str| match non_negative(name, word(name)?)? {
+        time if time <= MAX_DURATION_MS => Ok(time),
         time => Err(format!("{name}={time} is too long")),
     };
     Ok(Some(match kind {
-        "PING" => Said::Ping,
-        "SOURCE" => Said::Source { zone: word("zone")?.into() },
+        "PING" => Message::Ping,
+        "SOURCE" => Message::Source { zone: word("zone")?.into() },
         "LOAD" => {
-            let (tries, voided) = (count("tries")?, count("failed")?);
-            if voided > tries {
-                return Err(format!("failed={voided} of {tries}"));
+            let (tries, failed) = (count("tries")?, count("failed")?);
+            if failed > tries {
+                return Err(format!("failed={failed} of {tries}"));
             }
-            Said::Load {
+            Message::Load {
                 zone: word("zone")?.into(),
                 host: word("server")?.into(),
                 tries,
-                voided,
-                mean: time("mean_ms")?,
-                over: time("span_ms")?,
+                failed,
+                mean_latency: time("mean_ms")?,
+                covered: time("span_ms")?,
                 report: word("load").map_or(Ok(LoadReport::default()), report)?,
             }
         }
-        // What came before the span may have voided in it, so `failed` may be over `tries`.
-        "RATE" => Said::Rate {
+        // Requests that started before the covered span may fail in it, so `failed` may exceed `tries`.
+        "RATE" => Message::Rate {
             proxy: number("proxy", word("proxy")?)?,
-            product: word("class")?.into(),
+            class: word("class")?.into(),
             txns: count("tries")?,
-            voided: count("failed")?,
-            over: time("span_ms")?,
+            failed: count("failed")?,
+            covered: time("span_ms")?,
         },
         _ => return Ok(None),
     }))
 }
 
 fn number<T: std::str::FromStr>(name: &str, text: &str) -> Result<T, String> {
-    text.parse().map_err(|_| format!("{name} is no number of its kind"))
+    text.parse().map_err(|_| format!("{name} is not a valid number"))
 }
 
 /// A finite number from zero.
-fn figure(name: &str, text: &str) -> Result<f64, String> {
+fn non_negative(name: &str, text: &str) -> Result<f64, String> {
     match number::<f64>(name, text)? {
-        figure if figure.is_finite() && figure >= 0.0 => Ok(figure),
-        figure => Err(format!("{name}={figure} is out of range")),
+        value if value.is_finite() && value >= 0.0 => Ok(value),
+        value => Err(format!("{name}={value} is out of range")),
     }
 }
 
 fn report(text: &str) -> Result<LoadReport, String> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
-        let (name, value) = pair.split_once(':').ok_or("a load that is no pair")?;
+        let (name, value) = pair.split_once(':').ok_or("a load entry is not name:value")?;
         let into = match name {
             "inflight" => &mut report.in_flight,
             "queue" => &mut report.queued,
@@ -96,39 +112,39 @@
             "latency_ms" => &mut report.latency,
             _ => continue,
         };
-        *into = Some(figure(name, value)?);
+        *into = Some(non_negative(name, value)?);
     }
     Ok(report)
 }
 
-/// Why a line says nothing.
+/// Why a line can't be used.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum Bad {
-    /// A message of the page with a word that is missing or can't be: the next may be good.
+pub enum LineError {
+    /// A known message with a missing or invalid field; the next line may be valid.
     #[error("{0}")]
-    Spoilt(String),
-    /// No message of the page at all: what follows can't be used either.
-    #[error("what can't be read: {0:?}")]
+    Malformed(String),
+    /// Not a message of the protocol page; what follows can't be used either.
+    #[error("unreadable line: {0:?}")]
     Unreadable(String),
 }
 
-/// Why no further line is read from a connection.
+/// Why reading from a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Ended {
     #[error("closed")]
     Closed,
     #[error("a line over {0} bytes")]
     TooLong(u64),
-    #[error("a line that did not end in time")]
+    #[error("a line was not complete in time")]
     Unfinished,
-    #[error("its answer is not read")]
+    #[error("the peer did not read its answer in time")]
     Unread,
-    #[error("had not joined in time")]
+    #[error("not identified in time")]
     NotJoined,
-    #[error("no joining: {0}")]
+    #[error("rejected before joining: {0}")]
     Refused(String),
     #[error("{0}")]
-    Unreadable(Bad),
+    Unreadable(LineError),
     #[error("{0}")]
     Broken(io::Error),
 }
@@ -143,8 +159,8 @@
         Lines { stream: BufReader::new(stream), line: Vec::new() }
     }
 
-    /// The next line without its end, of `most` bytes at the most. It may take any time to begin, and
-    /// `within` from there.
+    /// Reads the next line, without its line end and of at most `most` bytes. There is no limit on the time until it begins;
+    /// from there it has to be complete within `within`.
     pub async fn next(&mut self, most: u64, within: Duration) -> Result<&[u8], Ended> {
         self.line.clear();
         if self.stream.fill_buf().await.map_err(Ended::Broken)?.is_empty() {
@@ -163,14 +179,14 @@
         }
     }
 
-    /// Reads up to the end of a line, or to the first byte that is one too many. Guards against refusing a message of
-    /// just the size that is allowed, whose CR and LF come on top of it.
+    /// Reads up to a line end, or up to the first byte beyond the limit. The line end does not count: a message of exactly
+    /// the allowed size, followed by CR and LF, is accepted.
     async fn read_line(&mut self, most: u64) -> io::Result<()> {
-        let mut limited = (&mut self.stream).take(most + 1);
-        limited.read_until(b'\n', &mut self.line).await?;
+        let mut bounded = (&mut self.stream).take(most + 1);
+        bounded.read_until(b'\n', &mut self.line).await?;
         if self.line.len() as u64 == most + 1 && self.line.ends_with(b"\r") {
-            limited.set_limit(1);
-            limited.read_until(b'\n', &mut self.line).await?;
+            bounded.set_limit(1);
+            bounded.read_until(b'\n', &mut self.line).await?;
         }
         Ok(())
     }
--- a/crates/steward/src/listen.rs
+++ b/crates/steward/src/listen.rs
@@ -1,5 +1,5 @@
-//! The steward's address: each connection a task that reads lines and answers `PING`. A connection has
-//! joined once it has named a zone that is known; until then its time is short and a bad word ends it.
+//! The daemon's listener: each connection has a task that reads lines and answers `PING`. A connection is identified (it
+//! has joined) once it has named a known zone; until then its time is limited and any invalid message closes it.
 
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -15,24 +15,25 @@
 
 use crate::counters::{Count, Seldom};
 use crate::heard::{Heard, Ties};
-use crate::lines::{self, Bad, Ended, Lines, Said};
-
-/// The service page: what has not joined within 1 s of connecting may be closed, within 3 s it must be;
-/// the protocol page: times are 300 ms longer on sockets.
-const JOIN: Duration = Duration::from_millis(1_300);
-/// A message that joins is a few words. So hundreds who say half of one fit into the memory.
-const MOST_TO_JOIN: u64 = 4_096;
-/// The service page: what goes on without end is closed within 6 s. A sum that has begun ends within half.
-const UNFINISHED: Duration = Duration::from_secs(3);
-/// The protocol page: each zone has one collector. A second connection may stand for a while when a
-/// collector comes back that had fallen silent.
-const A_ZONE: usize = 2;
-/// The protocol page: times are 300 ms longer on sockets. As long may an answer take to be written.
-const WRITE: Duration = Duration::from_millis(300);
-
-/// What each connection needs of the steward.
+use crate::lines::{self, Ended, LineError, Lines, Message};
+
+/// By the service page an unidentified connection may be closed 1 s after connecting and must be closed after 3 s; by the
+/// protocol page times are 300 ms longer on sockets.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// The longest message of an unidentified connection. The limit keeps the memory of hundreds of incomplete messages small.
+const MAX_JOIN_BYTES: u64 = 4_096;
+/// A report that has begun must end within this time: half of the 6 s after which, by the service page, an endless message
+/// must be cut off.
+const LINE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The most connections per zone. By the protocol page each zone has one collector; a second connection may stay open for
+/// a while when a silent collector reconnects.
+const MAX_PER_ZONE: usize = 2;
+/// How long writing an answer may take: by the protocol page times are 300 ms longer on sockets.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// What each connection's task needs of the daemon.
 #[derive(Clone)]
-pub struct Inside {
+pub struct ConnectionContext {
     pub ties: Ties,
     pub ready: watch::Receiver<bool>,
     pub zones: Rc<[String]>,
@@ -40,51 +41,52 @@
     pub closed: Rc<Seldom>,
 }
 
-/// How far a connection has come, in the order in which they are closed where there are too many.
+/// The progress of a connection. The order is that in which connections are closed when there are too many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     Silent,
-    /// It waits for the answer to its `PING`.
+    /// It is waiting for the answer to its `PING`.
     Pinged,
-    /// It sends the sums of the zone of that place.
+    /// It sends the reports of the zone with this index.
     Joined(usize),
 }
 
-/// What is seen of a connection from outside its task.
-pub struct Seat {
+/// The state of a connection that is visible outside its task.
+pub struct ConnectionState {
     stage: Cell<Stage>,
     heard: Cell<Instant>,
 }
 
-impl Seat {
-    pub fn new(stage: Stage) -> Rc<Seat> {
-        Rc::new(Seat { stage: Cell::new(stage), heard: Cell::new(Instant::now()) })
+impl ConnectionState {
+    pub fn new(stage: Stage) -> Rc<ConnectionState> {
+        Rc::new(ConnectionState { stage: Cell::new(stage), heard: Cell::new(Instant::now()) })
     }
 }
 
-/// Those who are connected.
+/// The open connections.
 #[derive(Default)]
-pub struct Guests(Vec<(Rc<Seat>, AbortHandle)>);
+pub struct Connections(Vec<(Rc<ConnectionState>, AbortHandle)>);
 
-impl Guests {
-    pub fn take(&mut self, seat: Rc<Seat>, task: AbortHandle) {
-        self.0.push((seat, task));
+impl Connections {
+    pub fn take(&mut self, state: Rc<ConnectionState>, task: AbortHandle) {
+        self.0.push((state, task));
     }
 
-    /// Closes, where needed, one that stands for nobody: of those who have not joined, the one that has come
-    /// least far and was silent longest; of the connections of one zone over two, the one silent longest.
-    /// False where there is no room all the same: collectors are not closed for strangers.
+    /// Closes one connection if needed: of the unidentified ones, the one with the least progress that has been silent
+    /// longest; of more than two connections of one zone, the one that has been silent longest. False if there is still no
+    /// room: collectors are not closed for the sake of unidentified connections.
     pub fn make_room(&mut self, most: usize, shed: &Count) -> bool {
         self.0.retain(|(_, task)| !task.is_finished());
-        let stood =
-            |seat: &Seat| self.0.iter().filter(|(other, _)| other.stage.get() == seat.stage.get()).count();
+        let same_stage = |state: &ConnectionState| {
+            self.0.iter().filter(|(other, _)| other.stage.get() == state.stage.get()).count()
+        };
         let full = self.0.len() >= most;
-        let may_go = |seat: &Seat| match seat.stage.get() {
-            Stage::Joined(_) => stood(seat) > A_ZONE,
+        let may_go = |state: &ConnectionState| match state.stage.get() {
+            Stage::Joined(_) => same_stage(state) > MAX_PER_ZONE,
             _ => full,
         };
-        let guests = self.0.iter().enumerate().filter(|(_, (seat, _))| may_go(seat));
-        let first = guests.min_by_key(|(_, (seat, _))| (seat.stage.get(), seat.heard.get()));
+        let connections = self.0.iter().enumerate().filter(|(_, (state, _))| may_go(state));
+        let first = connections.min_by_key(|(_, (state, _))| (state.stage.get(), state.heard.get()));
         let first = first.map(|(place, _)| place);
         if let Some(place) = first {
             self.0.swap_remove(place).1.abort();
@@ -94,19 +96,19 @@
     }
 }
 
-/// Takes connections for good, `most` at a time.
-pub async fn run(listener: TcpListener, most: usize, inside: Inside) {
-    let mut guests = Guests::default();
+/// Accepts connections, at most `most` at a time; never returns.
+pub async fn run(listener: TcpListener, most: usize, context: ConnectionContext) {
+    let mut connections = Connections::default();
     let seldom = Seldom::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                inside.ties.counters.accepts_failed.one();
+                context.ties.counters.accepts_failed.one();
                 if let Some(hidden) = seldom.pass() {
-                    warn!(inside.ties.log, "could not take a connection"; "why" => %error, "hidden" => hidden);
+                    warn!(context.ties.log, "could not accept a connection"; "why" => %error, "hidden" => hidden);
                 }
-                // What ended with one connection, or a signal, says nothing of the next.
+                // These errors concern one connection or a signal, not the next accept.
                 let passing = matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted);
                 if !passing {
                     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -114,113 +116,117 @@
                 continue;
             }
         };
-        inside.ties.counters.connections.one();
-        if !guests.make_room(most, &inside.ties.counters.connections_shed) {
-            inside.ties.counters.connections_shed.one();
+        context.ties.counters.connections.one();
+        if !connections.make_room(most, &context.ties.counters.connections_shed) {
+            context.ties.counters.connections_shed.one();
             continue;
         }
-        let seat = Seat::new(Stage::Silent);
-        let task = tokio::task::spawn_local(connection(stream, seat.clone(), inside.clone()));
-        guests.take(seat, task.abort_handle());
-        // Its task has a turn before the next is taken. Guards against a collector whose first line has come with it and
-        // that is closed as a stranger for those behind it.
+        let state = ConnectionState::new(Stage::Silent);
+        let task = tokio::task::spawn_local(connection(stream, state.clone(), context.clone()));
+        connections.take(state, task.abort_handle());
+        // The new task runs before the next connection is accepted. Otherwise a collector whose first line has already
+        // arrived could be closed as unidentified in favour of later connections.
         tokio::task::yield_now().await;
     }
 }
 
-/// One connection from its first byte to its end.
-pub async fn connection(stream: impl AsyncRead + AsyncWrite + Unpin, seat: Rc<Seat>, mut inside: Inside) {
+/// Serves one connection until it ends.
+pub async fn connection(
+    stream: impl AsyncRead + AsyncWrite + Unpin,
+    state: Rc<ConnectionState>,
+    mut context: ConnectionContext,
+) {
     let (reading, mut writing) = tokio::io::split(stream);
     let mut lines = Lines::new(reading);
-    let ended = match join(&mut lines, &mut writing, &seat, &mut inside).await {
+    let ended = match join(&mut lines, &mut writing, &state, &mut context).await {
         Ok(zone) => {
-            inside.ties.counters.connections_joined.one();
-            debug!(inside.ties.log, "a collector"; "zone" => &inside.zones[zone]);
-            seat.stage.set(Stage::Joined(zone));
-            sums(&mut lines, &mut writing, &seat, &mut inside).await
+            context.ties.counters.connections_joined.one();
+            debug!(context.ties.log, "a collector"; "zone" => &context.zones[zone]);
+            state.stage.set(Stage::Joined(zone));
+            read_reports(&mut lines, &mut writing, &state, &mut context).await
         }
         Err(ended) => {
-            inside.ties.counters.connections_refused.one();
+            context.ties.counters.connections_refused.one();
             ended
         }
     };
     if !matches!(ended, Ended::Closed | Ended::Broken(_)) {
-        if let Some(hidden) = inside.closed.pass() {
-            warn!(inside.ties.log, "closed a connection"; "why" => %ended, "hidden" => hidden);
+        if let Some(hidden) = context.closed.pass() {
+            warn!(context.ties.log, "closed a connection"; "why" => %ended, "hidden" => hidden);
         }
-        // Collectors are never written to; anyone else is told.
-        if seat.stage.get() < Stage::Joined(0) {
-            let _ = timeout(WRITE, writing.write_all(b"NACK\r\n")).await;
+        // Only unidentified connections get a negative answer; collectors are never written to.
+        if state.stage.get() < Stage::Joined(0) {
+            let _ = timeout(WRITE_TIMEOUT, writing.write_all(b"NACK\r\n")).await;
         } else {
-            inside.ties.counters.collectors_closed.one();
+            context.ties.counters.collectors_closed.one();
         }
     }
 }
 
-/// Reads until the connection has joined; gives the place of its zone. A bad word ends it, and so does time,
-/// counted from connecting; only where the steward itself kept it waiting from its answer to `PING`.
+/// Reads until the connection has joined and returns the index of its zone. An invalid message or the time-out ends it.
+/// The time-out counts from connecting, or from the answer to a `PING` that the daemon itself delayed.
 async fn join<S: AsyncRead + AsyncWrite + Unpin>(
     lines: &mut Lines<impl AsyncRead + Unpin>,
     writing: &mut WriteHalf<S>,
-    seat: &Seat,
-    inside: &mut Inside,
+    state: &ConnectionState,
+    context: &mut ConnectionContext,
 ) -> Result<usize, Ended> {
-    let mut until = Instant::now() + JOIN;
+    let mut until = Instant::now() + JOIN_TIMEOUT;
     loop {
-        let next = timeout_at(until, lines.next(MOST_TO_JOIN, JOIN));
-        let said = lines::read(next.await.map_err(|_| Ended::NotJoined)??);
-        match said.map_err(|bad| Ended::Refused(bad.to_string()))? {
-            Said::Ping => {
-                seat.stage.set(Stage::Pinged);
-                let waits = !*inside.ready.borrow();
-                pong(writing, inside).await?;
+        let next = timeout_at(until, lines.next(MAX_JOIN_BYTES, JOIN_TIMEOUT));
+        let message = lines::read(next.await.map_err(|_| Ended::NotJoined)??);
+        match message.map_err(|bad| Ended::Refused(bad.to_string()))? {
+            Message::Ping => {
+                state.stage.set(Stage::Pinged);
+                let waits = !*context.ready.borrow();
+                answer_ping(writing, context).await?;
                 if waits {
-                    until = Instant::now() + JOIN;
+                    until = Instant::now() + JOIN_TIMEOUT;
                 }
-                seat.stage.set(Stage::Silent);
+                state.stage.set(Stage::Silent);
             }
-            Said::Source { zone } => {
-                let zone = inside.zones.iter().position(|known| *known == zone);
-                return zone.ok_or_else(|| Ended::Refused("a zone that is not known".into()));
+            Message::Source { zone } => {
+                let zone = context.zones.iter().position(|known| *known == zone);
+                return zone.ok_or_else(|| Ended::Refused("unknown zone".into()));
             }
-            Said::Load { .. } | Said::Rate { .. } => {
-                return Err(Ended::Refused("a sum before its source".into()));
+            Message::Load { .. } | Message::Rate { .. } => {
+                return Err(Ended::Refused("a report before SOURCE".into()));
             }
         }
     }
 }
 
-/// Passes sums on until the connection ends. A spoilt one is skipped, what can't be read ends it.
-async fn sums<S: AsyncRead + AsyncWrite + Unpin>(
+/// Passes reports on until the connection ends. Malformed reports are skipped; an unreadable line ends the connection.
+async fn read_reports<S: AsyncRead + AsyncWrite + Unpin>(
     lines: &mut Lines<impl AsyncRead + Unpin>,
     writing: &mut WriteHalf<S>,
-    seat: &Seat,
-    inside: &mut Inside,
+    state: &ConnectionState,
+    context: &mut ConnectionContext,
 ) -> Ended {
     loop {
-        let said = match lines.next(lines::MOST_BYTES, UNFINISHED).await {
+        let message = match lines.next(lines::MAX_LINE_BYTES, LINE_TIMEOUT).await {
             Ok(line) => lines::read(line),
             Err(ended) => return ended,
         };
-        seat.heard.set(Instant::now());
-        let counters = &inside.ties.counters;
-        match said {
-            Ok(Said::Ping) => {
-                if let Err(ended) = pong(writing, inside).await {
+        state.heard.set(Instant::now());
+        let counters = &context.ties.counters;
+        match message {
+            Ok(Message::Ping) => {
+                if let Err(ended) = answer_ping(writing, context).await {
                     return ended;
                 }
             }
-            Ok(Said::Source { .. }) => counters.lines_taken.one(),
-            Ok(sum) => {
+            Ok(Message::Source { .. }) => counters.lines_taken.one(),
+            Ok(report) => {
                 counters.lines_taken.one();
-                if inside.ties.desk.send(Heard::Sum(sum)).await.is_err() {
+                if context.ties.desk.send(Heard::Report(report)).await.is_err() {
                     return Ended::Closed;
                 }
             }
-            Err(Bad::Spoilt(why)) => {
+            Err(LineError::Malformed(why)) => {
                 counters.lines_skipped.one();
-                if let Some(hidden) = inside.skipped.pass() {
-                    warn!(inside.ties.log, "skipped a line"; "why" => why, "hidden" => hidden);
+                if let Some(hidden) = context.skipped.pass() {
+                    warn!(context.ties.log, "skipped a line"; "why" => why, "hidden" => hidden);
                 }
             }
             Err(unreadable) => return Ended::Unreadable(unreadable),
@@ -228,11 +234,14 @@
     }
 }
 
-/// Whoever is answered uses the steward: it answers once it can serve.
-async fn pong<S: AsyncWrite>(writing: &mut WriteHalf<S>, inside: &mut Inside) -> Result<(), Ended> {
-    inside.ties.counters.pings.one();
-    inside.ready.wait_for(|ready| *ready).await.map_err(|_| Ended::Closed)?;
-    match timeout(WRITE, writing.write_all(b"PONG\r\n")).await {
+/// Answers a `PING` once the daemon can serve, because whoever gets an answer starts to use it.
+async fn answer_ping<S: AsyncWrite>(
+    writing: &mut WriteHalf<S>,
+    context: &mut ConnectionContext,
+) -> Result<(), Ended> {
+    context.ties.counters.pings.one();
+    context.ready.wait_for(|ready| *ready).await.map_err(|_| Ended::Closed)?;
+    match timeout(WRITE_TIMEOUT, writing.write_all(b"PONG\r\n")).await {
         Ok(written) => written.map_err(Ended::Broken),
         Err(_) => Err(Ended::Unread),
     }
--- a/crates/steward/src/main.rs
+++ b/crates/steward/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the steward's tasks, hears signals, and ends it.
+//! Entry point of the daemon: starts its tasks, handles signals and shuts it down.
 
 use std::io::{ErrorKind, Write};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use amberarch_steward::heard::{Out, Ties};
 use amberarch_steward::http::{Kept, Tcp};
 use amberarch_steward::list::Discovery;
-use amberarch_steward::listen::{self, Inside};
+use amberarch_steward::listen::{self, ConnectionContext};
 use amberarch_steward::news::Follow;
 use amberarch_steward::probe::Prober;
 use amberarch_steward::relay::{Gated, Relay};
@@ -31,10 +31,10 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// Room in the queues between tasks; who finds one full waits.
+/// Capacity of the channels between tasks; a sender that finds one full waits.
 const ROOM: usize = 1_024;
-/// One decision may order a probe of every host at once, and hands them on without a pause: four times the hosts of
-/// the largest fleet that was measured.
+/// Capacity of the channel for probes. One decision may order a probe of every host at once, without waiting in between;
+/// this is four times the hosts of the largest fleet that was measured.
 const PROBES: usize = 12_288;
 
 fn main() -> ExitCode {
@@ -44,7 +44,7 @@
         Command::Levels { question, asked } => return command::levels(question, &asked),
         Command::State { act, folder, json } => return command::state(act, &folder, json),
     };
-    // A log that nobody reads loses lines; it holds nothing up.
+    // If the log is not read, lines are dropped; logging never blocks the program.
     let plain = slog_term::PlainDecorator::new(std::io::stderr());
     let drain = slog_term::FullFormat::new(plain).use_utc_timestamp().build().ignore_res();
     let (drain, guard) = slog_async::Async::new(drain.fuse())
@@ -54,11 +54,11 @@
     let log = Logger::root(drain.fuse(), o!());
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(why) => return refuse(&format!("no runtime: {why}")),
+        Err(why) => return refuse(&format!("could not start the runtime: {why}")),
     };
     let signals = match runtime.block_on(async { Signals::heard() }) {
         Ok(signals) => signals,
-        Err(why) => return refuse(&format!("no signals: {why}")),
+        Err(why) => return refuse(&format!("could not install signal handlers: {why}")),
     };
     let (config, read) = match config::read().and_then(|config| Ok((config, run.operator()?))) {
         Ok(both) => both,
@@ -68,7 +68,7 @@
     if let Err(why) = &ended {
         error!(log, "ends"; "why" => why);
     }
-    // The log's thread has its last lines to write; one that cannot write them is left behind.
+    // Gives the log's thread a limited time to write its last lines.
     let (done, written) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         drop(log);
@@ -79,13 +79,14 @@
     std::process::exit(if ended.is_ok() { 0 } else { 2 })
 }
 
-/// One line that says why nothing is started. Whether anybody reads it does not change how the program ends.
+/// Prints why the program does not start. The exit code does not depend on whether the line could be written.
 fn refuse(why: &str) -> ExitCode {
     let _ = writeln!(std::io::stderr(), "amberarch: {why}");
     ExitCode::from(2)
 }
 
-/// The signals that the program acts on. Heard from before the configuration is read: unheard, each would end it.
+/// The signals that the program handles. Handlers are installed before the configuration is read, as each unhandled signal
+/// would end the process.
 struct Signals {
     term: Signal,
     int: Signal,
@@ -104,9 +105,9 @@
     }
 }
 
-/// Listens there. At a restart the former process may hold the address for a while yet, so it is tried again.
+/// Binds the listener. After a restart the former process may still hold the address for a while, so binding is retried.
 async fn listen_at(address: SocketAddr, log: &Logger) -> Result<TcpListener, String> {
-    /// The service page: nine in ten restarted processes are ready within 10 s; the former one is killed long before.
+    /// By the service page nine in ten restarted processes are ready within 10 s; the former process is killed long before.
     const AT_MOST: Duration = Duration::from_secs(20);
     const PAUSE: Duration = Duration::from_millis(50);
     let begun = Instant::now();
@@ -127,7 +128,7 @@
     }
 }
 
-/// Everything that runs, until a signal ends it.
+/// Runs the daemon until a signal ends it.
 async fn serve(
     config: Config,
     (run, read): (Run, Read),
@@ -158,12 +159,12 @@
     let counters = Rc::new(Counters::default());
     let mut fleet = None;
     if let (Some(section), Some(governed)) = (&operator.fleet, governs) {
-        let caps = fleet::Caps::default();
-        make = fleet::capped(make, caps.clone());
+        let caps = fleet::ShareLimits::default();
+        make = fleet::limited_by_policy(make, caps.clone());
         let names = operator.levels.iter().flat_map(|levels| &levels.level);
         let names = names.map(|level| level.get_ref().name.clone()).collect();
-        let ground = fleet::Ground::of(section, governed, labels.proxies, names);
-        let own = fleet::Own { name: own_name, ground, drain_grace, seed, clock };
+        let ground = fleet::CompileContext::of(section, governed, labels.proxies, names);
+        let own = fleet::Identity { name: own_name, ground, drain_grace, seed, clock };
         fleet = Some(fleet::start(section, own, caps, counters.clone(), &log)?);
     }
     let mut shown = None;
@@ -173,11 +174,14 @@
         }
         let before = levels::before(make, ladder, section.act, &facts);
         make = before.0;
-        fleet = fleet.map(|fleet| fleet::Started { ward: fleet.ward.follows(before.1.clone()), ..fleet });
+        fleet = fleet.map(|fleet| fleet::Started {
+            policy_lease: fleet.policy_lease.follows(before.1.clone()),
+            ..fleet
+        });
         shown = Some((before.1, section.socket));
     }
 
-    // A steward that has not asked for so long counts as told; half of that leaves time to ask again.
+    // A controller that has not asked for `ask_within` counts as informed; half of it leaves time to ask again.
     let wait = ask_within / 2;
     let zones = labels.zones.clone().into();
     let path = if load_reports { "/load" } else { "/healthz" };
@@ -189,20 +193,20 @@
     let (to_ready, can_serve) = watch::channel(false);
     let witness = operator.intake.as_ref().map(|_| Witness::default());
     let out = Out { relay: to_relay, list: to_list, probes: to_probes, witness: witness.clone() };
-    let rolls = match &operator.state {
+    let host_state = match &operator.state {
         Some(section) => {
-            let rolls =
+            let host_state =
                 state::open(&section.folder, section.every.get_ref().0, &known, clock.now_ms(), &log)?;
             known.hosts.clear();
-            Some(rolls)
+            Some(host_state)
         }
         None => None,
     };
-    let state = rolls.as_ref().map(|rolls| rolls.writer.clone());
+    let state = host_state.as_ref().map(|host_state| host_state.writer.clone());
     let mut the_desk = Desk::new((make, seed), labels, known, clock, out, counters.clone(), log.clone())
         .marks_drawn_from(seed);
-    if let Some(rolls) = rolls {
-        the_desk = the_desk.keeping(rolls);
+    if let Some(host_state) = host_state {
+        the_desk = the_desk.keeping(host_state);
     }
 
     let keeper = operator.guard.as_ref().and_then(|section| Keeper::new(section, guard_facts, &log));
@@ -213,7 +217,7 @@
     let ties = Ties { desk, counters: counters.clone(), signs: Rc::default(), log: log.clone() };
     let (mut front, mut gate) = (None, Rc::default());
     if let Some(fleet) = fleet {
-        the_desk = the_desk.governed(fleet.ward);
+        the_desk = the_desk.governed(fleet.policy_lease);
         spawn_local(fleet.front.clone().run(fleet.told, ties.clone()));
         fleet.front.propose();
         (front, gate) = (Some(fleet.front), Rc::new(fleet.gate));
@@ -250,9 +254,10 @@
         spread: Spread::new(seed.wrapping_add(2)),
         ties: ties.clone(),
     };
-    // A quarter of the descriptors for probes, half for those who connect.
+    // A quarter of the descriptors is for probes, half for incoming connections.
     let prober = Prober { path, connect_within, most: sockets / 4, ties: ties.clone() };
-    let inside = Inside { ready: can_serve, zones, skipped: Rc::default(), closed: Rc::default(), ties };
+    let inside =
+        ConnectionContext { ready: can_serve, zones, skipped: Rc::default(), closed: Rc::default(), ties };
 
     info!(log, "started"; "listen" => %listen, "relay" => %relay, "discovery" => %discovery);
     let mut parts = tokio::task::JoinSet::new();
@@ -302,11 +307,11 @@
     let ended = tokio::select! {
         _ = term.recv() => Ok(()),
         _ = int.recv() => Ok(()),
-        part = parts.join_next() => Err(format!("a part ended: {part:?}")),
+        part = parts.join_next() => Err(format!("a task ended unexpectedly: {part:?}")),
     };
     if let (Some(front), Ok(())) = (&leaves, &ended) {
-        // Who decides, writes and listens is gone first: nothing that they do matters any more, and proxies look for
-        // another steward from here on. A further signal ends it at once.
+        // The tasks that decide, write and listen are stopped first: their work no longer matters, and proxies look for
+        // another controller from here on. A further signal ends the process at once.
         parts.abort_all();
         tokio::select! {
             () = front.let_go() => {}
