--- a/crates/steward/src/command.rs
+++ b/crates/steward/src/command.rs
@@ -225,7 +225,7 @@
     });
     match said {
         Ok(said) if asked.json => println!("{said}"),
-        Ok(said) => print!("{}", levels::told(&said)),
+        Ok(said) => print!("{}", levels::format_answer(&said)),
         Err(why) => {
             eprintln!("amberarch: {why}");
             return ExitCode::from(2);
@@ -248,11 +248,11 @@
 }
 
 /// Checks a policy file and returns its revision. Without a deployment only its syntax is checked.
-fn check_policy(file: &Path, ground: Option<&CompileContext>) -> Result<u64, String> {
+fn check_policy(file: &Path, context: Option<&CompileContext>) -> Result<u64, String> {
     let shown = file.display();
     let text = fs::read_to_string(file).map_err(|why| format!("{shown}: {why}"))?;
-    let no = match ground {
-        Some(ground) => fleet::fit(&text, ground, None, unix_ms()).map(|fit| fit.no),
+    let no = match context {
+        Some(context) => fleet::fit(&text, context, None, unix_ms()).map(|fit| fit.no),
         None => Policy::parse(&text).map(|policy| *policy.revision.get_ref()),
     };
     no.map_err(|fault| format!("{shown}:{fault}"))
@@ -263,24 +263,24 @@
     let Some(section) = &read.operator.fleet else { return Ok(()) };
     let levels = read.operator.levels.iter().flat_map(|levels| &levels.level);
     let levels = levels.map(|level| level.get_ref().name.clone()).collect();
-    let ground = match deployment()? {
+    let context = match deployment()? {
         Some(config) => read
             .governs(&config.labels.zones, &config.labels.products, &config.name)?
             .map(|facts| CompileContext::of(section, facts, config.labels.proxies, levels)),
         None => None,
     };
-    check_policy(section.policy.get_ref(), ground.as_ref()).map(|_| ())
+    check_policy(section.policy.get_ref(), context.as_ref()).map(|_| ())
 }
 
 /// Checks a policy file alone. As no `[fleet]` names the governed request classes, all of the deployment may be governed.
 fn check_policy_alone(file: &Path, as_json: bool) -> ExitCode {
     let found = deployment().and_then(|config| {
-        let ground = config.map(|config| {
+        let context = config.map(|config| {
             let govern = (0..config.labels.products.len() as u16).map(ClassId).collect();
             let facts = Facts { zones: config.labels.zones, products: config.labels.products, govern };
             CompileContext::alone(facts, config.labels.proxies)
         });
-        Ok((check_policy(file, ground.as_ref())?, ground.is_some()))
+        Ok((check_policy(file, context.as_ref())?, context.is_some()))
     });
     match (&found, as_json) {
         (Ok((revision, known)), true) => {
--- a/crates/steward/src/desk.rs
+++ b/crates/steward/src/desk.rs
@@ -220,8 +220,10 @@
         /// this often.
         const LOOK: Duration = Duration::from_millis(50);
         loop {
-            let calls =
-                self.policy_lease.as_ref().is_some_and(|policy_lease| policy_lease.calls(self.unix.now_ms()));
+            let calls = self
+                .policy_lease
+                .as_ref()
+                .is_some_and(|policy_lease| policy_lease.needs_decision(self.unix.now_ms()));
             // Events left by a start, a restart or a full queue are decided on without waiting for a message.
             let due = match self.timers.peek() {
                 _ if !self.events.is_empty() || calls => self.resume,
@@ -255,15 +257,17 @@
                 self.counters.timers.one();
                 self.events.push(Event::TimerExpired { timer });
             }
-            let calls =
-                self.policy_lease.as_ref().is_some_and(|policy_lease| policy_lease.calls(self.unix.now_ms()));
+            let calls = self
+                .policy_lease
+                .as_ref()
+                .is_some_and(|policy_lease| policy_lease.needs_decision(self.unix.now_ms()));
             if (!self.events.is_empty() || calls) && now >= self.resume {
                 self.decide();
             }
             let now = self.now();
             if let Some(policy_lease) = &mut self.policy_lease {
                 policy_lease.settle(now);
-                if policy_lease.asks(now) && Instant::now() >= self.resume && !self.joined.is_empty() {
+                if policy_lease.mark_due(now) && Instant::now() >= self.resume && !self.joined.is_empty() {
                     self.ask_proxies();
                 }
             }
@@ -378,7 +382,7 @@
             Heard::Holds(holds) => {
                 let unix = self.unix.now_ms();
                 if let Some(policy_lease) = &mut self.policy_lease {
-                    policy_lease.hold(unix, holds);
+                    policy_lease.apply(unix, holds);
                 }
             }
             Heard::Bound(bound) => {
@@ -422,7 +426,7 @@
     fn record_arrivals(&mut self, event: &Event) {
         let (now, Event::ProxyReport { proxy, .. }) = (self.now(), event) else { return };
         if let Some((policy_lease, joined)) = self.policy_lease.as_mut().zip(self.joined.get(proxy)) {
-            policy_lease.came(now, joined.zone, event);
+            policy_lease.record_arrivals(now, joined.zone, event);
         }
     }
 
@@ -489,7 +493,7 @@
         self.incarnation += 1;
         self.first_mark = self.first_mark.wrapping_add(MARKS_PER_INCARNATION);
         if let Some(policy_lease) = &mut self.policy_lease {
-            policy_lease.anew();
+            policy_lease.restarted();
             self.repairs_due = true;
         }
         self.guard.iter_mut().for_each(Keeper::anew);
--- a/crates/steward/src/fleet.rs
+++ b/crates/steward/src/fleet.rs
@@ -99,17 +99,17 @@
 /// The first fault, with its position.
 pub fn fit(
     text: &str,
-    ground: &CompileContext,
+    context: &CompileContext,
     capacity: Option<&[f64]>,
     unix_ms: f64,
 ) -> Result<CompiledPolicy, Fault> {
     let policy = Policy::parse(text)?;
     let residency = Arc::new(policy.residency.clone().unwrap_or_default());
-    let compiled = amberarch_residency::compile(&residency, &ground.facts, unix_ms)
+    let compiled = amberarch_residency::compile(&residency, &context.facts, unix_ms)
         .map_err(|unfit| Fault::at(text, unfit.span().start, format!("{unfit}; {}", unfit.advice())))?;
     let no = *policy.revision.get_ref();
     let plan = match &policy.shares {
-        Some(section) => Some((no, Arc::new(plan(section, text, ground, &compiled.reach, capacity)?))),
+        Some(section) => Some((no, Arc::new(plan(section, text, context, &compiled.reach, capacity)?))),
         None => None,
     };
     Ok(CompiledPolicy { no, rules: Rules { residency, plan, tenants: tenants(&policy) }, compiled })
@@ -123,27 +123,27 @@
 fn plan(
     section: &amberarch_shares::Section,
     text: &str,
-    ground: &CompileContext,
+    context: &CompileContext,
     reach: &Reach,
     capacity: Option<&[f64]>,
 ) -> Result<Plan, Fault> {
     /// Stands for an unknown capacity: more than any guarantee, but finite, so that it can be summed.
     const PLENTY: f64 = 1e12;
     let whole = |what: String| Fault::at(text, section.floor.part.span().start, what);
-    let longest = ground.longest.map_err(|wrong| whole(format!("{wrong}; {}", wrong.advice())))?;
-    if ground.per_weight.is_none() {
+    let longest = context.longest.map_err(|wrong| whole(format!("{wrong}; {}", wrong.advice())))?;
+    if context.per_weight.is_none() {
         return Err(whole("[fleet] names no txns_per_s_per_weight, by which shares are dealt".into()));
     }
     let zone = |(place, name): (usize, &String)| amberarch_shares::ZoneFact {
         name: name.clone(),
-        proxies: ground.proxies,
+        proxies: context.proxies,
         capacity_per_s: capacity.and_then(|all| all.get(place)).copied().unwrap_or(PLENTY),
     };
     let facts = amberarch_shares::Facts {
-        zones: ground.facts.zones.iter().enumerate().map(zone).collect(),
-        products: ground.facts.products.clone(),
+        zones: context.facts.zones.iter().enumerate().map(zone).collect(),
+        products: context.facts.products.clone(),
         permits: reach.permits.iter().map(|(pair, permit)| (*pair, permit.all())).collect(),
-        levels: ground.levels.clone(),
+        levels: context.levels.clone(),
     };
     // A contradiction among several rules has several positions: the first is the fault's, the others are listed below it.
     let unfit = |unfit: amberarch_shares::Unfit| {
@@ -156,18 +156,18 @@
     // A controller that does not know the policy in force has no grants and rejects governed request classes. It would
     // admit all of any other class, on top of the grants of the rest of the fleet.
     let owned: BTreeSet<ClassId> = plan.owned().map(|(_, product, _)| product).collect();
-    if let Some(product) = owned.difference(&ground.facts.govern).next() {
-        let product = name(&ground.facts.products, product.0);
+    if let Some(product) = owned.difference(&context.facts.govern).next() {
+        let product = name(&context.facts.products, product.0);
         return Err(whole(format!(
             "a tenant is told by {product}, which may not be governed; add it to `govern` at all members and start them \
              anew, or name the products of each tenant"
         )));
     }
-    match plan.holds_for(&holders(ground.members)) {
+    match plan.holds_for(&holders(context.members)) {
         true => Ok(plan),
         false => {
             let (found, at) = (section.floor.stewards.get_ref(), section.floor.stewards.span().start);
-            let what = format!("floor.stewards = {found}: the fleet has {} members", ground.members);
+            let what = format!("floor.stewards = {found}: the fleet has {} members", context.members);
             Err(Fault::at(text, at, what))
         }
     }
@@ -244,7 +244,7 @@
 
 /// Runs on the consensus thread and compiles the staged policies and those in force.
 pub struct PolicyCompiler {
-    ground: CompileContext,
+    context: CompileContext,
     common: Shared,
     clock: UnixClock,
     /// Compiled rules of recent stages, by digest.
@@ -268,7 +268,7 @@
 
 impl PolicyCompiler {
     pub fn new(
-        ground: CompileContext,
+        context: CompileContext,
         common: Shared,
         clock: UnixClock,
         tell: mpsc::UnboundedSender<ConsensusMessage>,
@@ -276,7 +276,7 @@
     ) -> PolicyCompiler {
         let (read, holding, also) = (BTreeMap::new(), vec![], BTreeSet::new());
         PolicyCompiler {
-            ground,
+            context,
             common,
             clock,
             read,
@@ -296,10 +296,10 @@
         let residency = Arc::new(policy.residency.clone().unwrap_or_default());
         let mut rules = Rules { residency, plan: None, tenants: tenants(&policy) };
         let (now, _) =
-            reach(&rules, &self.ground.facts, self.clock.now_ms()).map_err(|unfit| unfit.to_string())?;
+            reach(&rules, &self.context.facts, self.clock.now_ms()).map_err(|unfit| unfit.to_string())?;
         if let Some(section) = &policy.shares {
-            let plan =
-                plan(section, &revision.text, &self.ground, &now, None).map_err(|fault| fault.to_string())?;
+            let plan = plan(section, &revision.text, &self.context, &now, None)
+                .map_err(|fault| fault.to_string())?;
             rules.plan = Some((revision.no.0, Arc::new(plan)));
         }
         // Keeps the rules of a few stages; others are compiled again when they are needed.
@@ -313,7 +313,7 @@
     fn joint(&self, rules: &[Rules]) -> Result<Reach, Unfit> {
         let mut all = Reach::default();
         for (place, rules) in rules.iter().enumerate() {
-            let (one, _) = reach(rules, &self.ground.facts, self.clock.now_ms())?;
+            let (one, _) = reach(rules, &self.context.facts, self.clock.now_ms())?;
             all = if place == 0 { one } else { all.joint(&one) };
         }
         Ok(all)
@@ -331,13 +331,13 @@
         }
         // The operator's file may name other members now than at the start.
         let SharedState { listed, sight, members, .. } = lock(&self.common).clone();
-        self.ground.members = members.unwrap_or(self.ground.members);
+        self.context.members = members.unwrap_or(self.context.members);
         let known = listed.hosts.values().any(|count| *count > 0);
-        let per_weight = self.ground.per_weight.unwrap_or_default();
-        let capacity: Vec<f64> = (0..self.ground.facts.zones.len() as u16)
+        let per_weight = self.context.per_weight.unwrap_or_default();
+        let capacity: Vec<f64> = (0..self.context.facts.zones.len() as u16)
             .map(|zone| listed.weights.get(&ZoneId(zone)).map_or(0.0, |weight| weight * per_weight))
             .collect();
-        let fit = fit(&revision.text, &self.ground, known.then_some(&capacity), self.clock.now_ms());
+        let fit = fit(&revision.text, &self.context, known.then_some(&capacity), self.clock.now_ms());
         let fit = fit.map_err(|fault| fault.to_string())?;
         if fit.no != revision.no.0 {
             return Err(format!("its text says revision {}", fit.no).into());
@@ -388,7 +388,7 @@
 
     fn names(&self) -> (Vec<Vec<String>>, Vec<String>) {
         let tenants = self.holding.iter().map(|rules| rules.tenants.to_vec());
-        (tenants.collect(), self.ground.facts.zones.clone())
+        (tenants.collect(), self.context.facts.zones.clone())
     }
 
     fn bound(&mut self, bound: Option<Bound>) {
@@ -433,7 +433,7 @@
         let residency = policy.and_then(|policy| policy.residency).unwrap_or_default();
         let customers = residency.customers.values().flat_map(|customer| &customer.products);
         let rules = residency.rule.iter().filter_map(|rule| rule.get_ref().products.as_ref()).flatten();
-        let Facts { products, govern, .. } = &self.ground.facts;
+        let Facts { products, govern, .. } = &self.context.facts;
         let shared = tenants.iter().filter_map(|tenant| tenant.products.as_ref()).flatten();
         let named = customers.chain(rules).chain(shared).filter_map(|name| {
             let place = products.iter().position(|known| known == name.get_ref())?;
@@ -472,12 +472,13 @@
             return Ok(());
         }
         let pairs: Vec<String> = over.pairs.iter().map(|pair| self.named(pair.0, pair.1)).collect();
-        let zones: Vec<&str> = over.zones.iter().map(|zone| name(&self.ground.facts.zones, zone.0)).collect();
+        let zones: Vec<&str> =
+            over.zones.iter().map(|zone| name(&self.context.facts.zones, zone.0)).collect();
         Err(format!("{} in {}: {over}; {}", pairs.join(", "), zones.join(", "), over.advice()))
     }
 
     fn named(&self, product: ClassId, from: ZoneId) -> String {
-        let Facts { products, zones, .. } = &self.ground.facts;
+        let Facts { products, zones, .. } = &self.context.facts;
         format!("{} from {}", name(products, product.0), name(zones, from.0))
     }
 }
@@ -632,7 +633,7 @@
     }
 
     /// Applies another policy.
-    pub fn hold(&mut self, unix_ms: f64, holds: Holds) {
+    pub fn apply(&mut self, unix_ms: f64, holds: Holds) {
         if holds.stage.is_none() {
             self.counters.declined_unknown.one();
             warn!(self.log, "the policy in force is unknown: governed request classes are rejected";
@@ -688,7 +689,7 @@
     }
 
     /// Records a report of the traffic that arrived at a proxy of the zone.
-    pub fn came(&mut self, now: f64, zone: ZoneId, event: &Event) {
+    pub fn record_arrivals(&mut self, now: f64, zone: ZoneId, event: &Event) {
         /// A report is valid until the next two of its kind could have arrived.
         const STANDS: f64 = 3.0;
         if let (Event::ProxyReport { proxy, class, txns, covered, .. }, true) =
@@ -725,7 +726,7 @@
     }
 
     /// Whether the controller has to be called even without other events.
-    pub fn calls(&self, unix_ms: f64) -> bool {
+    pub fn needs_decision(&self, unix_ms: f64) -> bool {
         self.stale || self.until.is_some_and(|until| until <= unix_ms)
     }
 
@@ -751,7 +752,7 @@
     }
 
     /// Records a restart of the controller, which then knows of no policy.
-    pub fn anew(&mut self) {
+    pub fn restarted(&mut self) {
         self.told = InUse::new();
         self.stale = true;
     }
@@ -798,7 +799,7 @@
 
     /// Whether a mark has to be ordered to find out what proxies hold: an answer to a mark may be lost, and without other
     /// orders there would be no further mark to answer.
-    pub fn asks(&mut self, now: f64) -> bool {
+    pub fn mark_due(&mut self, now: f64) -> bool {
         let Some((at, pause)) = &mut self.asks else { return false };
         let due = now >= *at;
         if due {
@@ -845,7 +846,7 @@
 
 /// The parts of a started fleet membership.
 pub struct Started {
-    pub front: Rc<FleetHandle>,
+    pub handle: Rc<FleetHandle>,
     pub policy_lease: PolicyLease,
     pub gate: Gate,
     /// For [`Front::run`].
@@ -855,7 +856,7 @@
 /// The daemon's identity and settings in its fleet.
 pub struct Identity {
     pub name: String,
-    pub ground: CompileContext,
+    pub context: CompileContext,
     /// How long a host still counts for the zone that it was listed in before, ms.
     pub drain_grace: f64,
     pub seed: u64,
@@ -874,12 +875,12 @@
     log: &Logger,
 ) -> Result<Started, String> {
     let log = log.new(o!("part" => "fleet"));
-    let Identity { name, ground, drain_grace, seed, clock } = own;
+    let Identity { name, context, drain_grace, seed, clock } = own;
     let name = Name::from(section.name.as_ref().map_or(name.as_str(), |name| name.get_ref().as_str()));
     let common = Shared::default();
-    let products = ground.facts.products.len() as u16;
+    let products = context.facts.products.len() as u16;
     let (tell, told) = mpsc::unbounded_channel();
-    let compiler = PolicyCompiler::new(ground.clone(), common.clone(), clock, tell, log.clone());
+    let compiler = PolicyCompiler::new(context.clone(), common.clone(), clock, tell, log.clone());
     let post = Post {
         fleet: FleetId(section.id.get_ref().as_str().into()),
         name: name.clone(),
@@ -896,7 +897,7 @@
         "fleet" => section.id.get_ref());
     let linger = section.linger.get_ref().0.as_secs_f64() * 1e3;
     let mut policy_lease = PolicyLease::new(
-        Arc::new(ground.facts.clone()),
+        Arc::new(context.facts.clone()),
         Judge::new(products, drain_grace),
         linger,
         Box::new(talk.clone()),
@@ -904,20 +905,20 @@
         counters,
         log.clone(),
     );
-    (policy_lease.common, policy_lease.per_weight) = (common.clone(), ground.per_weight);
+    (policy_lease.common, policy_lease.per_weight) = (common.clone(), context.per_weight);
     let gate = Gate::new(talk.fence.clone(), talk.history.clone());
-    let front = FleetHandle {
+    let handle = FleetHandle {
         talk,
         policy: section.policy.get_ref().clone(),
-        facts: ground.facts.clone(),
-        ground: RefCell::new(ground),
+        facts: context.facts.clone(),
+        context: RefCell::new(context),
         common,
         clock,
         members: RefCell::new(members(section)),
         proposed: RefCell::default(),
         log,
     };
-    Ok(Started { front: Rc::new(front), policy_lease, gate, told })
+    Ok(Started { handle: Rc::new(handle), policy_lease, gate, told })
 }
 
 /// Time for leaving the fleet, of the 0.7 s that the platform allows between SIGTERM and SIGKILL; the rest is for state,
@@ -928,7 +929,7 @@
 pub struct FleetHandle {
     talk: Talk,
     policy: PathBuf,
-    ground: RefCell<CompileContext>,
+    context: RefCell<CompileContext>,
     facts: Facts,
     common: Shared,
     clock: UnixClock,
@@ -967,7 +968,7 @@
 
     fn read(&self) -> Result<Revision, String> {
         let text = std::fs::read_to_string(&self.policy).map_err(|why| why.to_string())?;
-        let fit = fit(&text, &self.ground.borrow(), None, self.clock.now_ms());
+        let fit = fit(&text, &self.context.borrow(), None, self.clock.now_ms());
         let fit = fit.map_err(|fault| fault.to_string())?;
         let no = RevisionNo(fit.no);
         Ok(Revision { no, digest: Digest::of(&text), text: text.into() })
@@ -1023,7 +1024,7 @@
             }
             common.members = Some(named.len());
             drop(common);
-            self.ground.borrow_mut().members = named.len();
+            self.context.borrow_mut().members = named.len();
             info!(self.log, "the operator's file names other members"; "members" => named.len());
             *self.members.borrow_mut() = named.clone();
             self.talk.members(named);
--- a/crates/steward/src/levels.rs
+++ b/crates/steward/src/levels.rs
@@ -103,15 +103,15 @@
 
 /// Wraps a controller factory so that service levels are applied before each decision. Every restart of the controller
 /// also restarts the search for the level.
-pub fn before(make: Make, ladder: Ladder, acts: bool, facts: &Facts) -> (Make, Shared) {
+pub fn with_ladder(make: Make, ladder: Ladder, acts: bool, facts: &Facts) -> (Make, Shared) {
     let (zones, sums) = (facts.zones.len() as u16, facts.sums.clone());
     let products: Vec<RequestClass> = facts.products.iter().map(|(_, product)| product.clone()).collect();
     let acts = acts && facts.taken;
-    let fresh = move || ServiceLevels::new(ladder.clone(), zones, products.clone(), &sums, acts);
-    let shared: Shared = Rc::new(RefCell::new(fresh()));
+    let new_levels = move || ServiceLevels::new(ladder.clone(), zones, products.clone(), &sums, acts);
+    let shared: Shared = Rc::new(RefCell::new(new_levels()));
     let levels = shared.clone();
     let make = Box::new(move |seed| -> Box<dyn Decide> {
-        *levels.borrow_mut() = fresh();
+        *levels.borrow_mut() = new_levels();
         Box::new(Levelled::new(make(seed), levels.clone()))
     });
     (make, shared)
@@ -170,11 +170,11 @@
     let mut line = String::new();
     timeout(WITHIN, BufReader::new(reading.take(MOST)).read_line(&mut line)).await??;
     let now = start.elapsed().as_secs_f64() * 1e3;
-    let said = said(line.trim(), now, &mut levels.borrow_mut(), facts);
-    timeout(WITHIN, writing.write_all(format!("{said}\n").as_bytes())).await?
+    let response = response(line.trim(), now, &mut levels.borrow_mut(), facts);
+    timeout(WITHIN, writing.write_all(format!("{response}\n").as_bytes())).await?
 }
 
-fn said(question: &str, now: f64, levels: &mut ServiceLevels, facts: &Facts) -> Value {
+fn response(question: &str, now: f64, levels: &mut ServiceLevels, facts: &Facts) -> Value {
     let words: Vec<&str> = question.split_whitespace().collect();
     let fault = |why: String| json!({"fault": why});
     match words[..] {
@@ -254,20 +254,20 @@
 }
 
 /// Formats an answer for people.
-pub fn told(said: &Value) -> String {
+pub fn format_answer(response: &Value) -> String {
     let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), String::from);
-    let mut out = match said["level"].as_str() {
-        Some(level) => format!("level {level}, for {} s", said["for_s"]),
+    let mut out = match response["level"].as_str() {
+        Some(level) => format!("level {level}, for {} s", response["for_s"]),
         None => "the level in force is not known yet: it is derived from proxy reports".to_string(),
     };
-    if said["acts"] == json!(false) {
+    if response["acts"] == json!(false) {
         out += "; nothing is bounded by it";
     }
-    if let Some(pinned) = said["pinned"].as_object() {
+    if let Some(pinned) = response["pinned"].as_object() {
         out += &format!("; {} is pinned for {} s more", text(&pinned["level"]), pinned["for_s"]);
     }
     out += "\n";
-    let list = |name: &str| said[name].as_array().cloned().unwrap_or_default();
+    let list = |name: &str| response[name].as_array().cloned().unwrap_or_default();
     for on in list("lifts") {
         out += &format!("  lifted by  {}\n", text(&on));
     }
--- a/crates/steward/src/listen.rs
+++ b/crates/steward/src/listen.rs
@@ -54,12 +54,12 @@
 /// The state of a connection that is visible outside its task.
 pub struct ConnectionState {
     stage: Cell<Stage>,
-    heard: Cell<Instant>,
+    last_received: Cell<Instant>,
 }
 
 impl ConnectionState {
     pub fn new(stage: Stage) -> Rc<ConnectionState> {
-        Rc::new(ConnectionState { stage: Cell::new(stage), heard: Cell::new(Instant::now()) })
+        Rc::new(ConnectionState { stage: Cell::new(stage), last_received: Cell::new(Instant::now()) })
     }
 }
 
@@ -86,7 +86,7 @@
             _ => full,
         };
         let connections = self.0.iter().enumerate().filter(|(_, (state, _))| may_go(state));
-        let first = connections.min_by_key(|(_, (state, _))| (state.stage.get(), state.heard.get()));
+        let first = connections.min_by_key(|(_, (state, _))| (state.stage.get(), state.last_received.get()));
         let first = first.map(|(place, _)| place);
         if let Some(place) = first {
             self.0.swap_remove(place).1.abort();
@@ -208,7 +208,7 @@
             Ok(line) => lines::read(line),
             Err(ended) => return ended,
         };
-        state.heard.set(Instant::now());
+        state.last_received.set(Instant::now());
         let counters = &context.ties.counters;
         match message {
             Ok(Message::Ping) => {
--- a/crates/steward/src/main.rs
+++ b/crates/steward/src/main.rs
@@ -56,7 +56,7 @@
         Ok(runtime) => runtime,
         Err(why) => return refuse(&format!("could not start the runtime: {why}")),
     };
-    let signals = match runtime.block_on(async { Signals::heard() }) {
+    let signals = match runtime.block_on(async { Signals::install() }) {
         Ok(signals) => signals,
         Err(why) => return refuse(&format!("could not install signal handlers: {why}")),
     };
@@ -95,7 +95,7 @@
 }
 
 impl Signals {
-    fn heard() -> std::io::Result<Signals> {
+    fn install() -> std::io::Result<Signals> {
         Ok(Signals {
             term: signal(SignalKind::terminate())?,
             int: signal(SignalKind::interrupt())?,
@@ -163,8 +163,8 @@
         make = fleet::limited_by_policy(make, caps.clone());
         let names = operator.levels.iter().flat_map(|levels| &levels.level);
         let names = names.map(|level| level.get_ref().name.clone()).collect();
-        let ground = fleet::CompileContext::of(section, governed, labels.proxies, names);
-        let own = fleet::Identity { name: own_name, ground, drain_grace, seed, clock };
+        let context = fleet::CompileContext::of(section, governed, labels.proxies, names);
+        let own = fleet::Identity { name: own_name, context, drain_grace, seed, clock };
         fleet = Some(fleet::start(section, own, caps, counters.clone(), &log)?);
     }
     let mut shown = None;
@@ -172,7 +172,7 @@
         if section.act && !facts.taken {
             warn!(log, "proxies take no levels here: they are looked at and told, and nothing is bounded");
         }
-        let before = levels::before(make, ladder, section.act, &facts);
+        let before = levels::with_ladder(make, ladder, section.act, &facts);
         make = before.0;
         fleet = fleet.map(|fleet| fleet::Started {
             policy_lease: fleet.policy_lease.follows(before.1.clone()),
@@ -203,35 +203,35 @@
         None => None,
     };
     let state = host_state.as_ref().map(|host_state| host_state.writer.clone());
-    let mut the_desk = Desk::new((make, seed), labels, known, clock, out, counters.clone(), log.clone())
+    let mut event_loop = Desk::new((make, seed), labels, known, clock, out, counters.clone(), log.clone())
         .marks_drawn_from(seed);
     if let Some(host_state) = host_state {
-        the_desk = the_desk.keeping(host_state);
+        event_loop = event_loop.keeping(host_state);
     }
 
     let keeper = operator.guard.as_ref().and_then(|section| Keeper::new(section, guard_facts, &log));
     let guard_shown = keeper.as_ref().map(Keeper::shown);
     if let Some(keeper) = keeper {
-        the_desk = the_desk.guarded(keeper);
+        event_loop = event_loop.guarded(keeper);
     }
     let ties = Ties { desk, counters: counters.clone(), signs: Rc::default(), log: log.clone() };
-    let (mut front, mut gate) = (None, Rc::default());
+    let (mut handle, mut gate) = (None, Rc::default());
     if let Some(fleet) = fleet {
-        the_desk = the_desk.governed(fleet.policy_lease);
-        spawn_local(fleet.front.clone().run(fleet.told, ties.clone()));
-        fleet.front.propose();
-        (front, gate) = (Some(fleet.front), Rc::new(fleet.gate));
+        event_loop = event_loop.governed(fleet.policy_lease);
+        spawn_local(fleet.handle.clone().run(fleet.told, ties.clone()));
+        fleet.handle.propose();
+        (handle, gate) = (Some(fleet.handle), Rc::new(fleet.gate));
     }
     let loads = match operator.intake.zip(witness) {
         Some((section, witness)) => {
-            Some(intake::start(&section, the_desk.start(), clock.now_ms(), witness, ties.clone())?)
+            Some(intake::start(&section, event_loop.start(), clock.now_ms(), witness, ties.clone())?)
         }
         None => None,
     };
     if let Some((levels, Some(socket))) = shown {
         let listener =
             levels::listen(&socket).map_err(|why| format!("[levels] socket: {}: {why}", socket.display()))?;
-        spawn_local(levels::serve(listener, levels, Rc::new(facts), the_desk.start(), log.clone()));
+        spawn_local(levels::serve(listener, levels, Rc::new(facts), event_loop.start(), log.clone()));
     }
     let (to_discovery, at_discovery) = watch::channel(discovery);
     let (to_the_relay, at_the_relay) = watch::channel(relay);
@@ -256,18 +256,18 @@
     };
     // A quarter of the descriptors is for probes, half for incoming connections.
     let prober = Prober { path, connect_within, most: sockets / 4, ties: ties.clone() };
-    let inside =
+    let context =
         ConnectionContext { ready: can_serve, zones, skipped: Rc::default(), closed: Rc::default(), ties };
 
     info!(log, "started"; "listen" => %listen, "relay" => %relay, "discovery" => %discovery);
-    let mut parts = tokio::task::JoinSet::new();
-    parts.spawn_local(the_desk.run(heard));
-    parts.spawn_local(calls.run(replies));
-    parts.spawn_local(news.run());
-    parts.spawn_local(list.run(asks, seq));
-    parts.spawn_local(prober.run(Rc::new(Tcp), probes));
-    parts.spawn_local(listen::run(listener, sockets / 2, inside));
-    let (shown, loads_shown, front_shown) = (counters.clone(), loads.clone(), front.clone());
+    let mut tasks = tokio::task::JoinSet::new();
+    tasks.spawn_local(event_loop.run(heard));
+    tasks.spawn_local(calls.run(replies));
+    tasks.spawn_local(news.run());
+    tasks.spawn_local(list.run(asks, seq));
+    tasks.spawn_local(prober.run(Rc::new(Tcp), probes));
+    tasks.spawn_local(listen::run(listener, sockets / 2, context));
+    let (shown, loads_shown, shown_handle) = (counters.clone(), loads.clone(), handle.clone());
     let usr1_log = log.clone();
     spawn_local(async move {
         while usr1.recv().await.is_some() {
@@ -276,19 +276,19 @@
                 info!(usr1_log, "intake: {}", loads);
             }
             guard_shown.iter().for_each(|shown| info!(usr1_log, "guard: {}", shown));
-            front_shown.iter().for_each(|front| front.show());
+            shown_handle.iter().for_each(|handle| handle.show());
         }
     });
-    let leaves = front.clone();
+    let leaving = handle.clone();
     let (reloads, hup_log) = (counters.clone(), log.clone());
     spawn_local(async move {
         while hup.recv().await.is_some() {
-            if let Some(front) = &front {
+            if let Some(handle) = &handle {
                 match run.operator() {
-                    Ok(read) => front.reread(read.operator.fleet.as_ref()),
+                    Ok(read) => handle.reread(read.operator.fleet.as_ref()),
                     Err(why) => error!(hup_log, "the new operator's file can't be used"; "why" => why),
                 }
-                front.propose();
+                handle.propose();
             }
             match config::reread() {
                 Ok(Addresses { discovery, relay }) => {
@@ -307,14 +307,14 @@
     let ended = tokio::select! {
         _ = term.recv() => Ok(()),
         _ = int.recv() => Ok(()),
-        part = parts.join_next() => Err(format!("a task ended unexpectedly: {part:?}")),
+        ended = tasks.join_next() => Err(format!("a task ended unexpectedly: {ended:?}")),
     };
-    if let (Some(front), Ok(())) = (&leaves, &ended) {
+    if let (Some(handle), Ok(())) = (&leaving, &ended) {
         // The tasks that decide, write and listen are stopped first: their work no longer matters, and proxies look for
         // another controller from here on. A further signal ends the process at once.
-        parts.abort_all();
+        tasks.abort_all();
         tokio::select! {
-            () = front.let_go() => {}
+            () = handle.let_go() => {}
             _ = term.recv() => {}
             _ = int.recv() => {}
         }
--- a/crates/steward/src/relay/signs.rs
+++ b/crates/steward/src/relay/signs.rs
@@ -12,7 +12,7 @@
     awaited: Cell<Option<MarkId>>,
     proven: Cell<bool>,
     answered: Notify,
-    heard: Notify,
+    received: Notify,
     /// The watch has sent nothing, not even a heartbeat, for too long.
     silent: watch::Sender<bool>,
 }
@@ -35,7 +35,7 @@
     /// Records that the watch received something.
     pub fn spoke(&self) {
         self.silent.send_if_modified(std::mem::take);
-        self.heard.notify_waiters();
+        self.received.notify_waiters();
     }
 
     /// Records that the watch has been silent for too long.
@@ -63,6 +63,6 @@
 
     /// Waits until the watch receives something.
     pub async fn speaks(&self) {
-        self.heard.notified().await;
+        self.received.notified().await;
     }
 }
--- a/crates/steward/src/state.rs
+++ b/crates/steward/src/state.rs
@@ -29,7 +29,7 @@
 ) -> Result<HostState, String> {
     let (store, held) = Store::open(folder).map_err(|why| format!("[state] folder: {why}"))?;
     if held.spoilt() {
-        warn!(log, "some of what was kept is spoilt; the rest is used"; "found" => told(&held));
+        warn!(log, "some of what was kept is spoilt; the rest is used"; "found" => summary(&held));
     }
     info!(log, "what was kept"; "hosts" => held.members.len(), "generation" => held.generation);
     let mut roster = Roster::new(now);
@@ -44,11 +44,11 @@
     roster.restore(given.collect::<Vec<_>>());
     roster.restore_stand(held.stand);
     let log = log.clone();
-    let tell = move |said: Result<(), Fault>| match said {
+    let report = move |said: Result<(), Fault>| match said {
         Ok(()) => info!(log, "state is written again"),
         Err(why) => error!(log, "state can't be written; retrying"; "why" => %why),
     };
-    let writer = Writer::start(store, every, tell)
+    let writer = Writer::start(store, every, report)
         .map_err(|why| format!("[state] could not start the thread of the writer: {why}"))?;
     Ok(HostState { roster, writer })
 }
@@ -99,7 +99,7 @@
         "health": health, "share": row.share, "born_ms": row.born_ms})
 }
 
-fn told(held: &Held) -> String {
+fn summary(held: &Held) -> String {
     let each = held.found.iter().map(|found| {
         let how = found.spoilt.map_or("whole".into(), |spoilt| spoilt.to_string());
         format!("{}: {} records, {how}", found.file, found.records)
--- a/crates/steward/tests/steward/checks.rs
+++ b/crates/steward/tests/steward/checks.rs
@@ -1,4 +1,4 @@
-//! What a steward says of a revision that is staged, and what it goes by where its own file says something else.
+//! Checks of staged policy revisions, and the policy that a controller applies if its own file says something else.
 
 use std::sync::{Arc, Mutex};
 
@@ -21,17 +21,17 @@
     names.iter().map(|name| name.to_string()).collect()
 }
 
-fn ground(govern: &[u16]) -> CompileContext {
+fn context(govern: &[u16]) -> CompileContext {
     let govern = govern.iter().map(|product| ClassId(*product)).collect();
     let (zones, products) = (names(&["a", "b", "c"]), names(&["read", "write"]));
     CompileContext { members: 3, ..CompileContext::alone(Facts { zones, products, govern }, 20) }
 }
 
-fn compiler(ground: CompileContext) -> (PolicyCompiler, Shared, mpsc::UnboundedReceiver<ConsensusMessage>) {
+fn compiler(context: CompileContext) -> (PolicyCompiler, Shared, mpsc::UnboundedReceiver<ConsensusMessage>) {
     let (tell, told) = mpsc::unbounded_channel();
     let common = Shared::default();
     let log = Logger::root(Discard, o!());
-    (PolicyCompiler::new(ground, common.clone(), UnixClock::reading(1e12), tell, log), common, told)
+    (PolicyCompiler::new(context, common.clone(), UnixClock::reading(1e12), tell, log), common, told)
 }
 
 fn revision(no: u64, rules: &str) -> Revision {
@@ -48,7 +48,7 @@
     compiler.act(&Act::On { stage, until: 1e12 }, std::slice::from_ref(revision), Under(under));
 }
 
-/// Hosts of weight 100 in each zone, and what comes of reads to zones a and b and of writes to zone a.
+/// Sets hosts of weight 100 in each zone, and the arriving reads of zones a and b and writes of zone a.
 fn comes(common: &Shared, reads_a: f64, reads_b: f64, writes_a: f64) {
     let zones = [ZoneId(0), ZoneId(1), ZoneId(2)];
     let (read, write) = (ClassId(0), ClassId(1));
@@ -69,20 +69,20 @@
     said.expect_err("a refusal").to_string()
 }
 
-/// Guards against a change that each rule allows and that leaves one zone more than its hosts carry. The witness is the
-/// least that can't be: not the writes, which may go anywhere, and not zones that have room.
+/// Guards against accepting a change that each rule allows but that gives one zone more traffic than its hosts carry. The
+/// refusal names only the infeasible part: not the writes, which may go anywhere, and not zones with spare capacity.
 #[test]
 fn a_change_that_puts_more_on_a_zone_than_it_carries_is_refused_with_the_least_that_can_not_be() {
-    let (mut compiler, common, _told) = compiler(ground(&[0]));
+    let (mut compiler, common, _told) = compiler(context(&[0]));
     comes(&common, 60.0, 60.0, 50.0);
     acts_on(&mut compiler, &revision(1, &reads("[\"a\", \"b\"]", "")), 1);
     assert_eq!(compiler.check(&revision(2, &reads("[\"b\", \"c\"]", "from = [\"b\"]")), true), Ok(()));
     let over = refused(compiler.check(&revision(3, &reads("[\"b\", \"c\"]", "")), true));
     expect!["read from a, read from b in b: 120.0 a second may be served in 1 zone(s) alone, which carry 100.0; permit more zones, add hosts to those that are named, or change when less comes"].assert_eq(&over);
-    // While both hold the reads of zone a are declined, by the revision's own word.
+    // While both are in force the reads of zone a are rejected, as the revision says.
     let declined = reads("[\"b\", \"c\"]", "declined = true");
     assert_eq!(compiler.check(&revision(4, &declined), true), Ok(()));
-    // Less comes, or nothing is known of what comes: nothing speaks against it.
+    // With less traffic, or unknown traffic, there is no reason to refuse it.
     comes(&common, 40.0, 60.0, 50.0);
     assert_eq!(compiler.check(&revision(5, &reads("[\"b\", \"c\"]", "")), true), Ok(()));
     comes(&common, 60.0, 60.0, 50.0);
@@ -90,11 +90,11 @@
     assert_eq!(compiler.check(&revision(6, &reads("[\"b\", \"c\"]", "")), true), Ok(()));
 }
 
-/// Guards against a fleet that can't leave a policy under which its hosts are too few, because all that leads out of it
-/// is narrower for a moment, or as narrow.
+/// Guards against a fleet that can't leave a policy under which its hosts are overloaded: a change that does not increase
+/// the excess must be accepted, one that does must not.
 #[test]
 fn a_change_that_widens_what_is_over_already_is_let_through_and_one_that_narrows_it_is_not() {
-    let (mut compiler, common, _told) = compiler(ground(&[0]));
+    let (mut compiler, common, _told) = compiler(context(&[0]));
     comes(&common, 100.0, 130.0, 0.0);
     acts_on(&mut compiler, &revision(1, &reads("[\"a\", \"b\"]", "")), 1);
     assert_eq!(compiler.check(&revision(2, &reads("[\"a\", \"b\", \"c\"]", "")), true), Ok(()));
@@ -102,7 +102,7 @@
     assert!(over.starts_with("read from a, read from b in a: 230.0 a second"), "{over}");
 }
 
-/// What the daemon's thread was told last.
+/// The policy that the daemon's thread received last.
 fn last(told: &mut mpsc::UnboundedReceiver<ConsensusMessage>) -> Option<Holds> {
     let mut last = None;
     while let Ok(told) = told.try_recv() {
@@ -113,22 +113,23 @@
     last
 }
 
-/// Guards against a steward whose file names fewer products than what holds: it can't use that, and without this the
-/// product it does not name would go anywhere while all others keep it where it is permitted.
+/// Guards against a controller whose file names fewer request classes than the policy in force. It can't use that policy,
+/// and the class that it does not name must be rejected: otherwise it would be served in every zone while other members
+/// serve it only where it is permitted.
 #[test]
 fn a_product_that_the_file_governs_no_more_is_declined_while_what_holds_names_it() {
     let holds = revision(1, &reads("[\"a\"]", ""));
-    // Its file named the reads until it was started anew.
-    let (mut compiler, _common, mut told) = compiler(ground(&[1]));
+    // Its file named the reads until its restart.
+    let (mut compiler, _common, mut told) = compiler(context(&[1]));
     assert!(refused(compiler.check(&holds, false)).contains("may not be governed"));
     let holds_here = last(&mut told).expect("a word before anything else");
     assert_eq!((holds_here.stage, holds_here.also), (None, [ClassId(0)].into()));
-    // And for as long as this run lives, whatever it hears next.
+    // The class stays rejected for the rest of this run, whatever it receives next.
     compiler.act(&Act::Unknown, &[], Under(2));
     let holds_here = last(&mut told).expect("a word");
     assert_eq!((holds_here.under, holds_here.also), (Under(2), [ClassId(0)].into()));
-    // One that is still proposed binds nobody yet.
-    let (mut other, _common, mut told) = self::compiler(ground(&[1]));
+    // A revision that is only proposed has no effect yet.
+    let (mut other, _common, mut told) = self::compiler(context(&[1]));
     assert!(refused(other.check(&holds, true)).contains("may not be governed"));
     assert!(last(&mut told).is_none());
 }
@@ -137,11 +138,11 @@
     "[shares]\nfloor = { part = 0.1, stewards = 3 }\n\n[[shares.tenant]]\nname = \"readers\"\n\
     products = [\"read\"]\nguarantee_per_s = 10.0\n";
 
-/// Guards against floors that are dealt over fewer stewards than there are: the operator's file was read again and names
-/// one more than at the start.
+/// Guards against floors that are divided among fewer controllers than there are: the reloaded operator's file names one
+/// more member than at the start.
 #[test]
 fn a_plan_with_floors_for_fewer_members_than_the_file_names_by_now_is_refused() {
-    let (mut compiler, common, _told) = compiler(ground(&[0]));
+    let (mut compiler, common, _told) = compiler(context(&[0]));
     assert_eq!(compiler.check(&revision(1, SHARES), true), Ok(()));
     common.lock().unwrap().members = Some(4);
     let refused = refused(compiler.check(&revision(2, SHARES), true));
@@ -150,15 +151,15 @@
     assert_eq!(compiler.check(&revision(3, SHARES), true), Ok(()));
 }
 
-/// Guards against a product that shares bound and that no steward without a lease declines: cut off, it would let in all
-/// of it on top of what others were dealt.
+/// Guards against a request class with quotas that a controller without a lease does not reject: when cut off, it would
+/// admit all of the class on top of the grants of others.
 #[test]
 fn a_tenant_is_told_by_a_product_that_may_not_be_governed() {
-    let (mut compiler, _common, mut told) = compiler(ground(&[1]));
+    let (mut compiler, _common, mut told) = compiler(context(&[1]));
     let why = refused(compiler.check(&revision(1, SHARES), true));
     expect!["3:18: a tenant is told by read, which may not be governed; add it to `govern` at all members and start them anew, or name the products of each tenant"]
         .assert_eq(&why);
-    // Where it holds already this steward can't use it, and declines that product too.
+    // If the policy is already in force, this controller can't use it and rejects that class too.
     assert_eq!(refused(compiler.check(&revision(1, SHARES), false)), why);
     let Some(ConsensusMessage::Holds(holds)) = told.try_recv().ok() else {
         panic!("it is told what is declined")
@@ -166,7 +167,7 @@
     assert_eq!(holds.also, [ClassId(0)].into());
 }
 
-/// Keeps what is logged.
+/// Collects log messages.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<String>>>);
 
@@ -185,7 +186,7 @@
     }
 }
 
-/// `[fleet]` of the only voter and so many followers, none of which runs.
+/// `[fleet]` with a single voter and this many followers, none of which runs.
 fn operator(dir: &std::path::Path, govern: &str, followers: u16, listen: std::net::SocketAddr) -> Operator {
     let mut text = format!(
         "[fleet]\nid = \"lv\"\nlisten = \"{listen}\"\nfolder = {:?}\npolicy = {:?}\ngovern = {govern}\n\
@@ -207,9 +208,9 @@
 
 fn started(operator: &Operator, log: &Lines) -> Result<Started, String> {
     let section = operator.fleet.as_ref().unwrap();
-    let ground = CompileContext::of(section, ground(&[0]).facts, 20, vec![]);
+    let context = CompileContext::of(section, context(&[0]).facts, 20, vec![]);
     let clock = UnixClock::reading(1e12);
-    let own = Identity { name: "n0".into(), ground, drain_grace: 0.0, seed: 7, clock };
+    let own = Identity { name: "n0".into(), context, drain_grace: 0.0, seed: 7, clock };
     start(
         section,
         own,
@@ -219,7 +220,7 @@
     )
 }
 
-/// Waits until the agreement's thread has told that.
+/// Waits for a message of the consensus thread.
 fn told(started: &mut Started, what: impl Fn(&ConsensusMessage) -> bool) -> ConsensusMessage {
     let wait = async {
         loop {
@@ -233,26 +234,26 @@
     runtime.block_on(async { tokio::time::timeout(std::time::Duration::from_secs(20), wait).await.unwrap() })
 }
 
-/// Guards against members that a SIGHUP lets in beside floors that add up to all there is already, and against a file
-/// whose other `govern` is passed over in silence.
+/// Guards against a SIGHUP that adds members although the floors already add up to the whole capacity, and against
+/// ignoring a changed `govern` without a log line.
 #[test]
 fn a_file_read_again_does_not_let_in_more_members_than_the_plan_that_holds_has_floors_for() {
     let (dir, log, at) = (tempfile::tempdir().unwrap(), Lines::default(), free());
     std::fs::write(dir.path().join("policy.toml"), format!("revision = 1\n{SHARES}")).unwrap();
     let mut one = started(&operator(dir.path(), "[\"read\"]", 2, at), &log).expect("a start");
-    one.front.propose();
+    one.handle.propose();
     told(&mut one, |told| matches!(told, ConsensusMessage::Holds(holds) if !holds.rules.is_empty()));
-    one.front.reread(operator(dir.path(), "[\"read\"]", 3, at).fleet.as_ref());
+    one.handle.reread(operator(dir.path(), "[\"read\"]", 3, at).fleet.as_ref());
     assert!(log.has("more members than the plan that holds has floors for"));
     assert!(!log.has("names other members"));
-    one.front.reread(operator(dir.path(), "[\"read\"]", 1, at).fleet.as_ref());
+    one.handle.reread(operator(dir.path(), "[\"read\"]", 1, at).fleet.as_ref());
     assert!(log.has("names other members") && !log.has("governs other products"));
-    one.front.reread(operator(dir.path(), "[\"read\", \"write\"]", 1, at).fleet.as_ref());
+    one.handle.reread(operator(dir.path(), "[\"read\", \"write\"]", 1, at).fleet.as_ref());
     assert!(log.has("governs other products"));
 }
 
-/// Guards against a daemon that a spoilt folder keeps from its traffic: it starts, does not vote, declines what is
-/// governed since nothing can be agreed on, and says so.
+/// Guards against a daemon that does not start because its folder is corrupted. It must start without voting, reject
+/// governed request classes, as no policy can be agreed on, and log this.
 #[test]
 fn a_daemon_whose_folder_is_spoilt_or_can_not_be_made_starts_and_votes_no_more() {
     let dir = tempfile::tempdir().unwrap();
@@ -271,24 +272,24 @@
         let (log, at) = (Lines::default(), free());
         let operator = operator(dir.path(), "[\"read\"]", 0, at);
         let mut good = started(&operator, &log).expect("a start");
-        good.front.propose();
+        good.handle.propose();
         told(&mut good, |told| matches!(told, ConsensusMessage::Holds(holds) if !holds.rules.is_empty()));
-        good.front.end();
+        good.handle.end();
         while good.told.blocking_recv().is_some() {}
         spoil();
         let mut bad = started(&operator, &log).expect("a start on a spoilt folder");
         assert!(log.has("the folder can't be voted on"));
-        bad.front.propose();
+        bad.handle.propose();
         let answer = told(&mut bad, |told| matches!(told, ConsensusMessage::Answer(..)));
         assert!(matches!(answer, ConsensusMessage::Answer(_, Err(_))), "nobody is left to agree with");
-        bad.front.end();
+        bad.handle.end();
         while bad.told.blocking_recv().is_some() {}
         let _ = std::fs::remove_dir_all(&folder);
     }
 }
 
-/// Guards against an error that nobody finds on the page on which operators look for it: all variants of all packages
-/// whose errors come to operators, as their source has them.
+/// Guards against an error that is missing on the operators' page: compares it with all error variants in the source of the
+/// packages whose errors reach operators.
 #[test]
 fn each_error_of_each_package_stands_on_the_operators_page() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -310,7 +311,7 @@
         let source = read(&format!("crates/{file}"));
         let body = source.split(&format!("pub enum {name} {{\n")).nth(1).expect(file);
         let body = body.split("\n}\n").next().unwrap_or_default();
-        // A variant stands four columns in, and nothing else there begins with a capital.
+        // Variants are indented by four columns; nothing else at that indentation begins with a capital letter.
         let variants = body.lines().filter_map(|line| line.strip_prefix("    "));
         let variants = variants.filter(|line| line.starts_with(|first: char| first.is_ascii_uppercase()));
         let names: Vec<&str> = variants.filter_map(|line| line.split(['(', ' ', ',', '{']).next()).collect();
--- a/crates/steward/tests/steward/counters.rs
+++ b/crates/steward/tests/steward/counters.rs
@@ -2,7 +2,7 @@
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// Guards against a line on SIGUSR1 that leaves a count out, and against one that a machine's form tells otherwise.
+/// Guards against a counter that is missing in the line on SIGUSR1, or that differs between the forms for people and machines.
 #[test]
 fn every_count_is_told_once_by_its_name_in_both_forms() {
     let mut counters = Counters::default();
--- a/crates/steward/tests/steward/governed.rs
+++ b/crates/steward/tests/steward/governed.rs
@@ -1,4 +1,4 @@
-//! A policy of the fleet: what the decisions hear of it, what of a reply is not sent, and what a relay no longer writes.
+//! Fleet policy: the events that the controller receives, orders that are removed from replies, and calls that are fenced.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -25,8 +25,8 @@
 
 use crate::peers::{feed, for_ms, moves, ties, Dialled, Peer, Then, Trace};
 
-/// Orders the host of zone a for the proxy of zone b as soon as it joins, and again after each start anew; notes what
-/// it hears of the policy.
+/// A controller that orders the host of zone a for the proxy of zone b as soon as it joins, and again after each restart.
+/// It records the events about the policy.
 struct Widens(Trace, u64);
 
 impl Decide for Widens {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Notes what the agreement is told.
+/// Records the reports to the consensus thread.
 struct Noted(Trace);
 
 impl Tell for Noted {
@@ -145,8 +145,8 @@
     Heard::News(News::Joined { proxy, zone: "b".into(), weight: 2.0, fresh: false })
 }
 
-/// Guards against decisions that order what the policy forbids: that part is not sent, all else is, and the decisions
-/// hear of it by starting anew, told what holds.
+/// Guards against sending orders that the policy forbids: these are left out, all others are sent, and the controller is
+/// restarted and given the policy in force.
 #[test]
 fn a_reply_that_would_break_residency_is_sent_without_that_and_the_decisions_start_anew() {
     expect![[r#"
@@ -182,8 +182,8 @@
     "#]].assert_eq(&told(vec![(100, holds(1, AT_HOME)), (200, joins(1))]));
 }
 
-/// Guards against a product that the fleet governs and this steward's file does not name: it is declined like all others
-/// while this steward can't use what holds.
+/// Guards against serving a request class that the fleet governs and the file here does not name: it is rejected like all
+/// others while this controller can't use the policy in force.
 #[test]
 fn what_the_fleet_governs_beside_the_file_is_declined_while_it_can_not_be_known_what_holds() {
     let also = Holds { under: Under(1), stage: None, rules: vec![], also: [ClassId(1)].into() };
@@ -201,7 +201,7 @@
     .assert_eq(&told(vec![(100, Heard::Holds(also))]));
 }
 
-/// Guards against a stage that counts as settled while a proxy may still hold what it forbids.
+/// Guards against a stage that counts as settled while a proxy may still have a table that it forbids.
 #[test]
 fn a_change_is_settled_only_once_the_proxies_have_answered() {
     let applied = Heard::News(News::Applied { proxy: 1, mark: 7, took_ms: 20.0 });
@@ -226,8 +226,8 @@
     "#]].assert_eq(&told(vec![(100, holds(1, ANYWHERE)), (200, joins(1)), (300, applied)]));
 }
 
-/// Guards against an answer that is taken for one to a call that was never written: decisions that start anew count
-/// their marks anew, and a change would wait for good.
+/// Guards against taking an answer for one to a call that was never written: a restarted controller counts its marks from
+/// the first again, and a change would wait forever.
 #[test]
 fn a_call_that_was_never_written_does_not_keep_a_change_from_being_settled() {
     let fenced = Heard::Fenced { incarnation: 0, orders: vec![] };
@@ -241,7 +241,7 @@
     .assert_eq(&settled.join("\n"));
 }
 
-/// Guards against a change that waits for good for an answer that was lost, where nothing else is ordered.
+/// Guards against a change that waits forever for a lost answer while nothing else is ordered.
 #[test]
 fn an_answer_that_is_lost_is_asked_for_again() {
     let applied = Heard::News(News::Applied { proxy: 1, mark: 65_534, took_ms: 20.0 });
@@ -262,8 +262,8 @@
     .assert_eq(&told[from..]);
 }
 
-/// Guards against a change that counts as settled with the first proxy that has answered: one steward may have all of
-/// them, and every other none, which is settled at once.
+/// Guards against a change that counts as settled with the first proxy's answer: one controller may have all proxies, and
+/// any other none, which is settled at once.
 #[test]
 fn a_steward_with_all_proxies_is_settled_with_the_last_of_them_and_one_without_any_at_once() {
     let applied = |proxy| Heard::News(News::Applied { proxy, mark: 7, took_ms: 20.0 });
@@ -287,7 +287,7 @@
     .assert_eq(&settled(vec![(100, holds(1, ANYWHERE)), (900, holds(2, AT_HOME))]));
 }
 
-/// Guards against a bound of the policy that a restart of the decisions loses.
+/// Guards against losing a limit of the policy at a restart of the controller.
 #[test]
 fn what_grants_let_in_is_told_with_the_lesser_of_both_and_lifted_with_them() {
     let bound = |share| Heard::Bound(Some(Bound { zone: ZoneId(1), product: ClassId(1), share }));
@@ -310,7 +310,8 @@
     "#]].assert_eq(&told(heard));
 }
 
-/// Guards against a dealing that never hears of the level in force: parts of guarantees that hold under it would not.
+/// Guards against issuing grants without knowing the service level in force: the fractions of guarantees that apply under
+/// that level would not be used.
 #[test]
 fn a_level_comes_into_force_and_the_dealing_is_told_when_it_changes() {
     let told = |acts: bool| {
@@ -343,7 +344,7 @@
                 ties.log,
             );
             let mut policy_lease = policy_lease.follows(levels.clone());
-            // No proxy says that it was told another one.
+            // No level is reported by a proxy.
             levels.borrow_mut().hear(0.0, &Event::ProxyLeft { proxy: ProxyId(0) });
             for now in [0.0, 2_000.0, 3_000.0] {
                 levels.borrow_mut().look(now);
@@ -365,13 +366,13 @@
     assert_eq!(told(false), "", "where levels are only looked at none is in force");
 }
 
-/// What a relay writes that is handed these replies, each at its time under what it was decided; the fence stands
-/// open for the second from the beginning and is shut for all just before 500 ms.
+/// What a relay task writes for these replies, each delivered at its time with the lease that it was decided under. The
+/// fence is open for the second lease from the beginning and closes for all just before 500 ms.
 fn written(script: &'static [Dialled], replies: Vec<(u64, DecidedUnder)>) -> String {
     fenced(script, replies, vec![(499, None)])
 }
 
-/// The same, with the fence opened for something else or shut at these times.
+/// The same, with the fence opened for another lease or closed at the given times.
 fn fenced(
     script: &'static [Dialled],
     replies: Vec<(u64, DecidedUnder)>,
@@ -409,8 +410,8 @@
     DecidedUnder { under: Under(under), incarnation, ..DecidedUnder::default() }
 }
 
-/// Guards against orders that leave under a lease that is over, or under the stage before: they are dropped, with all
-/// that the same start of the decisions has ordered since, and the desk hears of each.
+/// Guards against sending orders under an expired lease or the former stage: they are dropped together with all later
+/// orders of the same incarnation of the controller, and each is reported to the event loop.
 #[test]
 fn what_waited_under_something_older_or_past_the_lease_is_not_written() {
     const OK: Then = Then::Answer("{\"taken\":1}");
@@ -436,7 +437,8 @@
     .assert_eq(&written(script, replies));
 }
 
-/// Guards against a look at the lease that was made before the connection came up: the last one stands before the write.
+/// Guards against a check of the lease that was made before the connection was established: it is checked directly before
+/// the write.
 #[test]
 fn a_lease_that_ends_while_the_connection_comes_up_keeps_the_call_from_leaving() {
     let script =
@@ -451,14 +453,14 @@
     .assert_eq(&written(script, replies));
 }
 
-/// Guards against a relay that is away while the lease ends, and is handed what was decided under it once it is back.
+/// Guards against sending orders of an expired lease to a relay that was unreachable when the lease ended.
 #[test]
 fn what_waited_for_a_relay_that_was_away_while_the_lease_ended_is_not_written_when_it_is_back() {
     const OK: Then = Then::Answer("{\"taken\":1}");
-    // Away for ten attempts: from the first reply until after the next lease.
+    // Unreachable for ten attempts: from the first reply until after the next lease.
     const AWAY: Dialled = Dialled::Refused;
     let script = &[AWAY, AWAY, AWAY, AWAY, AWAY, AWAY, AWAY, AWAY, AWAY, AWAY, Dialled::Up(&[OK, OK])];
-    // The desk starts the decisions anew once it hears of what was dropped, and holds a lease again by then.
+    // The event loop restarts the controller when it is told of the dropped orders, and has a new lease by then.
     let replies = vec![(300, ruled(2, 0)), (400, ruled(2, 0)), (700, ruled(3, 1)), (800, ruled(3, 1))];
     expect![[r#"
         300 -> RelayDelayed { on: true }
--- a/crates/steward/tests/steward/list.rs
+++ b/crates/steward/tests/steward/list.rs
@@ -27,7 +27,7 @@
 const DRAIN: &str = "{\"seq\":43,\"whole\":false,\"hosts\":[{\"host\":\"s-1\",\"dial\":\"127.1.0.1:3000\",\
     \"site\":\"a\",\"class\":\"m2\",\"block\":3,\"health\":\"terminating\",\"share\":1.0,\"born_ms\":0}]}";
 
-/// Guards against a watch that lapses between two calls: the next follows at once, on one connection.
+/// Guards against a watch that lapses between two calls: the next call follows at once on the same connection.
 #[test]
 fn a_watch_goes_on_call_after_call() {
     let script = &[Dialled::Up(&[Answer(NOTHING), Wait(5_000), Answer(NOTHING), Answer(DRAIN), Silence])];
@@ -44,14 +44,14 @@
     .assert_eq(&asked(6_000, script, &[(0, Ask::Watch)]));
 }
 
-/// Guards against a list that is down or silent: each ends the watch with one failure, and it is
-/// asked again only when told to.
+/// Guards against repeated failures while discovery is down or silent: the watch ends with one failure, and the next call
+/// is made only on request.
 #[test]
 fn a_call_that_fails_is_told_once_and_not_repeated_by_itself() {
     let script = &[
         Dialled::Refused,
         Dialled::Up(&[Status(503, "")]),
-        // Asked again at once, once: what it had to tell counts as told by now.
+        // Repeated once at once: the content of the answer counts as reported by now.
         Dialled::Up(&[Silence]),
         Dialled::Up(&[Silence]),
         Dialled::Up(&[Answer(DRAIN)]),
@@ -79,8 +79,8 @@
 
 const GARBLED: &str = "{\"seq\":42,\"whole\":tr";
 
-/// Guards against a drain that counts as told while its answer could not be read: it is asked for again at once,
-/// not after the wait that spares a discovery that is down. Garbled twice in a row it is a failure like any other.
+/// Guards against a late drain after an unreadable answer, whose content counts as reported: the call is repeated at once,
+/// not after the backoff that spares a failed discovery. Two unreadable answers in a row are a failure like any other.
 #[test]
 fn a_garbled_answer_is_asked_for_again_at_once() {
     let script = &[
@@ -115,8 +115,8 @@
     "#]].assert_eq(&asked(6_000, script, &[(0, Ask::Watch), (3_000, Ask::Watch)]));
 }
 
-/// Guards against a list service that starts over: changes to an older version tell nothing, so the
-/// whole list is asked for.
+/// Guards against using changes after discovery has restarted: changes to an older version are meaningless, so the whole
+/// list is requested.
 #[test]
 fn a_version_that_goes_back_brings_the_whole_list() {
     let back = "{\"seq\":3,\"whole\":false,\"hosts\":[]}";
@@ -134,8 +134,8 @@
     .assert_eq(&asked(1_000, script, &[(0, Ask::Watch)]));
 }
 
-/// Guards against a list that stands still because discovery has moved: the call under way is made again at
-/// the new address at once, from the version that was reached.
+/// Guards against an outdated list after discovery has moved: the call in progress is repeated at the new address at once,
+/// from the same version.
 #[test]
 fn a_watch_moves_with_discovery_from_its_version() {
     let script =
--- a/crates/steward/tests/steward/listen.rs
+++ b/crates/steward/tests/steward/listen.rs
@@ -13,8 +13,8 @@
 
 use crate::peers::{feed, for_ms, ties, Dialled, Peer, Then::*, HOME};
 
-/// What the desk hears, the guest is answered, and when the connection ends, of pieces written at times.
-/// The steward can serve after half a second.
+/// Writes pieces at given times. Returns the messages to the event loop, the answers to the peer and the end of the
+/// connection. The daemon can serve after half a second.
 fn guest(pieces: Vec<(u64, Vec<u8>)>) -> String {
     for_ms(60_000, |trace| async move {
         let (to_ready, ready) = watch::channel(false);
@@ -46,8 +46,8 @@
     })
 }
 
-/// Guards against being used before orders can reach anyone: PING waits for its answer until then, and after it
-/// there is time to join; a sign of life alone keeps no connection.
+/// Guards against being used before orders can reach proxies: the answer to PING is delayed until then, and the time to
+/// join counts from it; a PING alone does not keep a connection open.
 #[test]
 fn ping_is_answered_once_the_steward_can_serve() {
     let pieces =
@@ -59,8 +59,8 @@
     "#]].assert_eq(&guest(pieces));
 }
 
-/// Guards against one spoilt sum taking others with it: it is skipped whole and counted, and what follows is
-/// heard. What is no message at all ends the connection, since nothing after it can be used.
+/// Guards against losing valid reports because of a malformed one: it is skipped whole and counted, and the following ones
+/// are used. A line that is no message ends the connection, since nothing after it can be used.
 #[test]
 fn sums_in_pieces_are_heard_spoilt_ones_skipped_and_noise_ends_it() {
     let load = "LOAD zone=a server=s-1 tries=21 failed=3 mean_ms=41.7 span_ms=1000.0 load=inflight:7,x:1\r\n";
@@ -85,7 +85,7 @@
     "#]].assert_eq(&guest(pieces));
 }
 
-/// Guards against sums without an end, and against bytes that are no text among sums.
+/// Guards against reports without an end, and against bytes among reports that are not text.
 #[test]
 fn a_collector_that_cannot_be_read_any_more_is_closed() {
     let source = b"SOURCE zone=a\r\n".to_vec();
@@ -106,8 +106,8 @@
     .assert_eq(&guest(vec![(10, source), (20, b"RATE \xff\r\n".to_vec())]));
 }
 
-/// Guards descriptors and memory against strangers who say nothing, half a message, or what does not join:
-/// each gets an answer or an end, counted from connecting.
+/// Guards descriptors and memory against unidentified connections that send nothing, half a message or an invalid one: each
+/// is answered or closed within a time that counts from connecting.
 #[test]
 fn what_does_not_join_is_closed() {
     let mut told = guest(vec![]) + &guest(vec![(900, b"SOU".to_vec()), (1_200, b"RC".to_vec())]);
@@ -148,8 +148,8 @@
     "#]].assert_eq(&told);
 }
 
-/// Guards collectors against strangers by the hundred, and whoever waits for a sign of life against those who
-/// say nothing; a collector that fell silent and came back leaves no connection behind.
+/// Guards collectors against hundreds of unidentified connections, and those that wait for a PONG against silent ones; a
+/// collector that reconnects after a silence leaves no old connection behind.
 #[test]
 fn of_too_many_those_who_have_come_least_far_are_closed_first() {
     let told = for_ms(60_000, |trace| async move {
@@ -198,7 +198,7 @@
     .assert_eq(&told);
 }
 
-/// Guards against a probe that waits for ever, and against taking silence for an error.
+/// Guards against a probe without a time-out, and against taking silence for an error.
 #[test]
 fn a_probe_tells_what_became_of_it_in_bounded_time() {
     let script: &[Dialled] = &[
@@ -233,8 +233,8 @@
     .assert_eq(&told);
 }
 
-/// Guards the hosts at the end of a long list: with few places and hosts that hang, each is probed in its turn. A host
-/// that is ordered again while it waits takes no second place, so what waits is no more than the hosts.
+/// Guards the hosts at the end of a long list: with few probe slots and hosts that hang, each host gets its turn. A host that
+/// is ordered again while it waits is not queued twice, so the queue is never longer than the list of hosts.
 #[test]
 fn of_more_hosts_than_places_each_is_probed_in_turn() {
     const HOSTS: u32 = 40;
@@ -244,7 +244,7 @@
         let prober = Prober { path: "/load", connect_within, most: 4, ties: ties.clone() };
         let (order, probes) = tokio::sync::mpsc::channel(HOSTS as usize);
         tokio::task::spawn_local(prober.run(Rc::new(Peer::new(&trace, script)), probes));
-        // Four at a time take a quarter of a second each, so a round takes longer than the period.
+        // Four probes at a time, a quarter of a second each: a round takes longer than the period.
         for _ in 0..2 {
             for host in (0..HOSTS).map(HostId) {
                 order
@@ -265,9 +265,9 @@
     expect![[r#"12000 probes Some("56") merged Some("24")"#]].assert_eq(told.lines().last().unwrap_or(""));
 }
 
-/// Guards the probes where decisions take longer than the period, as on a machine with more work than cores: each orders
-/// all hosts anew, and the prober has one turn between two. Taking up 128 a turn it fell behind for good, and orders were
-/// turned away.
+/// Guards probes on an overloaded machine, where decisions take longer than the probe period: each decision orders a probe
+/// of all hosts, and the prober runs only once between two decisions. Receiving 128 orders a run it fell behind forever,
+/// and orders were rejected.
 #[test]
 fn a_prober_with_one_turn_between_two_decisions_takes_up_all_that_each_ordered() {
     const HOSTS: u32 = 600;
@@ -288,11 +288,11 @@
         }
         trace.note(&format!("{unsent} turned away, {} merged", ties.counters.probes_merged.count()));
     });
-    // All but those that have a place wait, each once; what was ordered last may not have been looked at.
+    // All hosts without a slot wait, each once; the latest orders may not have been received yet.
     expect![[r#"0 0 turned away, 23396 merged"#]].assert_eq(told.lines().last().unwrap_or(""));
 }
 
-/// Guards the memory against a host that answers a probe without end: the head tells that it is home.
+/// Guards the memory against an endless answer to a probe: the head of the answer shows that the host is up.
 #[test]
 fn of_an_answer_without_end_no_more_is_read_than_a_report_needs() {
     static LONG: std::sync::LazyLock<String> = std::sync::LazyLock::new(|| "x".repeat(40_000));
--- a/crates/steward/tests/steward/main.rs
+++ b/crates/steward/tests/steward/main.rs
@@ -1,4 +1,4 @@
-//! The steward's parts against peers in memory, on a paused clock.
+//! Tests of the daemon's tasks against in-memory peers, on a paused clock.
 
 #[path = "../address/mod.rs"]
 mod address;
--- a/crates/steward/tests/steward/news.rs
+++ b/crates/steward/tests/steward/news.rs
@@ -42,7 +42,7 @@
 );
 const SIGN: Then = Say("{}\n");
 
-/// Guards against news that comes in pieces or that can't be read: the rest is heard all the same.
+/// Guards against losing events of the relay that come in pieces or follow unreadable ones.
 #[test]
 fn news_in_pieces_is_heard_and_what_cannot_be_read_is_skipped() {
     let script = &[
@@ -73,8 +73,7 @@
     .assert_eq(&heard(1_000, script));
 }
 
-/// Guards against a watch that stands open and silent: another is dialled beside it, and the first that
-/// speaks is followed.
+/// Guards against an open but silent watch: a second one is dialled, and the first that sends is followed.
 #[test]
 fn silent_news_is_dialled_beside_and_the_first_that_speaks_goes_on() {
     let script = &[
@@ -99,8 +98,8 @@
     .assert_eq(&heard(4_000, script));
 }
 
-/// Guards against a relay that breaks its watches before they have told what stands: dialling goes on, at a
-/// pace, and nobody is taken for gone.
+/// Guards against a relay that breaks its watches before the snapshot is complete: dialling goes on at a limited rate, and
+/// no proxy counts as having left.
 #[test]
 fn watches_that_break_at_once_are_dialled_at_a_pace() {
     let script = &[
@@ -125,7 +124,7 @@
     .assert_eq(&heard(500, script));
 }
 
-/// Guards against what was missed between two watches: what stands is told as such.
+/// Guards against events that were missed between two watches: the new watch begins with a snapshot.
 #[test]
 fn a_watch_that_breaks_is_dialled_anew_and_what_stands_is_told() {
     let script =
@@ -144,9 +143,9 @@
     .assert_eq(&heard(1_000, script));
 }
 
-/// Guards against a proxy that left and came back while the watch was silent, of which the first of what waited came and
-/// the rest was lost with the connection: who stands may have joined anew. The same break a while after the silence is
-/// none of that kind.
+/// Guards against missing that a proxy left and returned while the watch was silent: after the silence only the first of
+/// the delayed events arrived, and the rest was lost with the connection, so proxies in the snapshot may have joined
+/// again. If the connection breaks some time after the silence, nothing was lost.
 #[test]
 fn a_watch_that_breaks_as_it_speaks_again_is_not_taken_for_whole() {
     let after = |script: &'static [Then]| {
@@ -188,7 +187,7 @@
     ]));
 }
 
-/// Guards against what a watch had still to tell when it broke: its gap begins where it was heard last.
+/// Guards against events that a broken watch had not delivered: its gap begins when it was last received from.
 #[test]
 fn a_watch_that_breaks_some_time_after_it_was_heard_is_not_taken_for_whole() {
     let script = &[
@@ -199,8 +198,8 @@
     assert!(heard.contains("400 -> SnapshotBegins { rebind: true }"), "{heard}");
 }
 
-/// Guards against proxies taken for gone, or news missed, when a new configuration moves the relay: the old
-/// watch is heard until another stands at the new address.
+/// Guards against missed events, or proxies counted as having left, when a new configuration changes the relay's address:
+/// the old watch is read until another is established.
 #[test]
 fn news_moves_with_the_relay_and_the_old_is_heard_until_then() {
     let script = &[
--- a/crates/steward/tests/steward/peers.rs
+++ b/crates/steward/tests/steward/peers.rs
@@ -1,4 +1,4 @@
-//! Peers in memory that do as a script says, and a trace of what happened when.
+//! Scripted in-memory peers, and a trace of events with their times.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,10 +18,10 @@
 
 #[derive(Clone, Copy)]
 pub enum Then {
-    /// Reads a request and answers it, with 200 or as said.
+    /// Reads a request and answers it, with 200 or the given status.
     Answer(&'static str),
     Status(u16, &'static str),
-    /// Reads a request and says nothing more.
+    /// Reads a request and does not answer.
     Silence,
     /// Reads a request and closes.
     Break,
@@ -33,7 +33,7 @@
     Close,
 }
 
-/// What becomes of one dial.
+/// The outcome of one dial.
 #[derive(Clone, Copy)]
 pub enum Dialled {
     Refused,
@@ -43,11 +43,11 @@
     Up(&'static [Then]),
 }
 
-/// Where peers are, and where they move to.
+/// The first and second address of peers.
 pub const HOME: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 pub const AWAY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 2);
 
-/// At home, and elsewhere after so many milliseconds.
+/// An address that changes after this many milliseconds.
 pub fn moves(after: Option<u64>) -> PeerAddress {
     let (to, at) = watch::channel(HOME);
     spawn_local(async move {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Dials go through the script; what is left of it afterwards stays the last word.
+/// Each dial uses the next entry of the script; the last entry is used for all further dials.
 pub struct Peer {
     pub trace: Trace,
     script: RefCell<VecDeque<Dialled>>,
@@ -142,14 +142,14 @@
             return;
         }
     }
-    // Stays open and silent until the other side goes.
+    // Stays open and silent until the other side closes.
     while let Some(request) = request(&mut stream).await {
         trace.note(&request);
     }
     trace.note("closed by the steward");
 }
 
-/// The request line and the body; none at the end.
+/// The request line and the body; `None` at the end of the stream.
 async fn request(stream: &mut BufReader<DuplexStream>) -> Option<String> {
     let (mut text, mut length) = (String::new(), 0);
     loop {
@@ -174,7 +174,7 @@
     Some(if body.len() > 300 { format!("{text} {} bytes", body.len()) } else { format!("{text} {body}") })
 }
 
-/// Hands each over at its time, in ms from now. What takes them is kept for good, so that nothing ends with the last.
+/// Delivers each item at its time, in ms from now. The receiver is kept afterwards, so that no channel closes.
 pub fn feed<T: 'static>(script: Vec<(u64, T)>, mut give: impl AsyncFnMut(T) + 'static) {
     spawn_local(async move {
         let begun = Instant::now();
@@ -186,7 +186,7 @@
     });
 }
 
-/// Ties to a desk that only notes what it hears, and the counters.
+/// The context of a task: an event loop that only records its messages, and counters.
 pub fn ties(trace: &Trace) -> Ties {
     let (desk, mut heard) = mpsc::channel::<Heard>(64);
     let trace = trace.clone();
@@ -203,7 +203,7 @@
     }
 }
 
-/// Runs on a paused clock for so many milliseconds of it.
+/// Runs on a paused clock for this many of its milliseconds.
 pub fn for_ms<F: std::future::Future>(ms: u64, run: impl FnOnce(Trace) -> F) -> String {
     let built = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&built.expect("a runtime"), async {
--- a/crates/steward/tests/steward/probes.rs
+++ b/crates/steward/tests/steward/probes.rs
@@ -28,7 +28,7 @@
     })
 }
 
-/// Guards against hosts that are gated for what this machine lacks, and against hosts that are gone and never gated.
+/// Guards against gating hosts because this machine lacks resources, and against never gating hosts that are gone.
 #[test]
 fn a_dial_that_fails_for_want_of_something_here_says_nothing_of_the_host() {
     for errno in [EINTR, ENOMEM, ENFILE, EMFILE, EADDRNOTAVAIL, ENETUNREACH, ENOBUFS] {
--- a/crates/steward/tests/steward/relay.rs
+++ b/crates/steward/tests/steward/relay.rs
@@ -10,7 +10,7 @@
 
 use Then::*;
 
-/// What a relay of that script sees of the replies, each handed over at its time.
+/// The calls that a relay with this script receives for the replies, each delivered at its time.
 fn calls(script: &'static [Dialled], replies: &'static [(u64, &'static [&'static str])]) -> String {
     calls_to(None, script, replies)
 }
@@ -23,7 +23,7 @@
     calls_with(moved, script, replies, &[])
 }
 
-/// What the watch shows.
+/// What the watch reveals.
 #[derive(Clone, Copy)]
 enum Sign {
     Answered(u16),
@@ -31,7 +31,7 @@
     Speaks,
 }
 
-/// The same, with what the watch shows at these times.
+/// The same, with signs of the watch at given times.
 fn calls_with(
     moved: Option<u64>,
     script: &'static [Dialled],
@@ -54,7 +54,7 @@
             let mark = marks.next().map(MarkId);
             let encoded = |(place, order): (usize, &&str)| {
                 let binds = (*order == "2").then_some(ProxyId(2));
-                // As from the desk: the mark is the last order of its reply.
+                // As from the event loop: the mark is the last order of its reply.
                 let mark = mark.filter(|_| place + 1 == orders.len());
                 Encoded { bytes: order.to_string().into(), binds, mark, order: None }
             };
@@ -65,11 +65,11 @@
     })
 }
 
-/// What a relay answers to a call without orders.
+/// The relay's answer to a call without orders.
 const NO_ORDERS: Then = Answer("{\"taken\":0}");
 
-/// Guards against orders that overtake one another where an answer is lost: the call goes again, whole
-/// and first, with what has come since; the module hears of the further message.
+/// Guards against reordered orders after a lost answer: the call is repeated whole and first, together with later orders,
+/// and the controller is told of the additional message.
 #[test]
 fn an_unsure_call_is_repeated_whole_before_any_later_one() {
     let script = &[
@@ -96,8 +96,7 @@
     .assert_eq(&calls(script, &[(0, &["1", "2"]), (600, &["3"])]));
 }
 
-/// Guards against a call that is given up, or blamed on the relay, because the way to it was shut:
-/// nothing was sent, so nothing counts twice.
+/// Guards against giving up a call, or counting it as sent twice, because the relay could not be reached: nothing was sent.
 #[test]
 fn a_call_waits_for_a_relay_that_refuses_hangs_or_is_busy() {
     let busy = Status(429, "{\"error\":\"BUSY\"}");
@@ -117,8 +116,8 @@
     .assert_eq(&calls(script, &[(0, &["1"])]));
 }
 
-/// Guards against one order that can't be used holding up the rest, against a call that is no call being
-/// repeated for ever, and against the module's going on as if either had been carried out.
+/// Guards against an invalid order that holds up the others, against repeating a malformed call forever, and against a
+/// controller that assumes either was carried out.
 #[test]
 fn an_order_refused_twice_is_given_up_told_and_the_rest_goes_on() {
     let (syntax, taken) = (Status(400, "{\"error\":\"SYNTAX\"}"), |text| Answer(text));
@@ -146,8 +145,8 @@
     .assert_eq(&calls(script, &[(0, &["1", "2", "3"]), (100, &["4", "5"]), (300, &["6"])]));
 }
 
-/// Guards against orders lost or taken for carried out by a spoilt answer: what is refused is offered again,
-/// and an answer that can't be is none, so that the call is unsure.
+/// Guards against orders that are lost or count as carried out because of a corrupted answer: refused orders are sent once
+/// more, and after an impossible answer the outcome of the call counts as unknown.
 #[test]
 fn a_spoilt_answer_loses_no_order() {
     let script: &'static [Dialled] = Box::leak(Box::new(
@@ -211,8 +210,8 @@
     .assert_eq(&calls(script, &[(0, &["1", "2"])]));
 }
 
-/// Guards against a copy of a call for each attempt while the relay is silent: inquiries that order nothing go instead,
-/// ever more rarely, and the call once one of them is answered.
+/// Guards against a copy of a call for each attempt while the relay is silent: inquiries without orders are sent instead,
+/// with growing pauses, and the call once one of them is answered.
 #[test]
 fn a_silent_relay_gets_inquiries_and_no_copies_of_the_call() {
     let silent = Dialled::Up(&[Silence]);
@@ -247,13 +246,13 @@
     .assert_eq(&calls(script, &[(0, &["1", "2"])]));
 }
 
-/// Guards against a second copy of a call that was carried out, and against a proof that is taken from an earlier one: an
-/// answer to its mark ends it, with the orders behind it next.
+/// Guards against repeating a call that was carried out, and against taking an answer to an earlier mark as its proof: an
+/// answer to the call's own mark completes it, and the next orders follow.
 #[test]
 fn a_call_whose_mark_is_answered_is_not_repeated() {
     let script = &[Dialled::Up(&[Answer("{\"taken\":1}"), Silence]), Dialled::Up(&[Answer("{\"taken\":1}")])];
     let replies: &'static [(u64, &[&str])] = &[(0, &["1"]), (100, &["2"]), (300, &["3"])];
-    // Mark 0 is answered late, when call 1 is unsure already; mark 1 only then.
+    // Mark 0 is answered late, when the outcome of call 1 is already unknown; mark 1 is answered after that.
     expect![[r#"
         0 a connection
         0 POST /txn {"changes":[1]}
@@ -267,8 +266,8 @@
     .assert_eq(&calls_with(None, script, replies, &[(200, Sign::Answered(0)), (400, Sign::Answered(1))]));
 }
 
-/// Guards against a call that meets a relay which is out of reach and is unsure from then on: while the watch is silent the
-/// relay is asked whether it answers, ahead of orders too, and no more once the watch speaks.
+/// Guards against calls of unknown outcome to an unreachable relay: while the watch is silent, inquiries are sent, also
+/// before orders, until the watch receives something.
 #[test]
 fn while_the_watch_is_silent_no_call_goes_before_an_inquiry_is_answered() {
     let script = &[
@@ -299,7 +298,7 @@
     .assert_eq(&calls_with(None, script, replies, shown));
 }
 
-/// Guards against blaming the relay for closing what stood idle.
+/// Guards against taking the relay's closing of an idle connection for a failure.
 #[test]
 fn a_connection_closed_while_idle_is_dialled_anew_at_once() {
     let script =
@@ -313,8 +312,8 @@
     .assert_eq(&calls(script, &[(0, &["1"]), (2_000, &["2"])]));
 }
 
-/// Guards against calls over the size that a relay takes, and against a burst of messages when it is
-/// back: what has piled up goes together.
+/// Guards against calls over the size limit of the relay, and against a burst of messages when it is back: the backlog is
+/// sent in as few calls as possible.
 #[test]
 fn what_has_piled_up_goes_in_as_few_calls_as_its_size_allows() {
     let long: &'static str = Box::leak("9".repeat(35_000).into_boxed_str());
@@ -333,8 +332,8 @@
     .assert_eq(&calls(script, replies));
 }
 
-/// Guards against orders lost or out of turn when a new configuration moves the relay: an unsure call goes
-/// first to the new one as well, and what follows goes there, not on the connection to the old.
+/// Guards against lost or reordered orders when a new configuration changes the relay's address: a call of unknown outcome is
+/// repeated first at the new address, and later calls go there too.
 #[test]
 fn calls_move_with_the_relay_and_stay_in_order() {
     let script = &[
--- a/crates/steward/tests/steward/start.rs
+++ b/crates/steward/tests/steward/start.rs
@@ -14,7 +14,7 @@
  "rules":{"askWithin":10000000000,"coldFrom":0.17,"drainGrace":2200000000,"fallMultiple":4.0,
  "overloadFor":2000000000,"warmWithin":17000000000},"somethingNew":[1,{"x":null}]}}"#;
 
-/// Guards against a start with half a configuration: one plain line names what is missing or wrong.
+/// Guards against a start with an incomplete configuration: one line names the missing or invalid setting.
 #[test]
 fn what_is_missing_or_wrong_is_named() {
     let try_with = |from: &str, to: &str| {
@@ -56,7 +56,7 @@
     .assert_eq(&said);
 }
 
-/// Guards against a start with settings that can each be read and can't hold together: a steward that steers nobody, or
+/// Guards against a start with settings that are valid one by one but not together: a controller that directs no proxy, or
 /// one whose own connections leave no descriptor for a collector.
 #[test]
 fn limits_that_contradict_each_other_end_the_start() {
@@ -95,7 +95,7 @@
     "#]].assert_eq(&said);
 }
 
-/// The environment says where to listen, and goes first.
+/// Addresses in the environment take precedence over the file.
 #[test]
 fn the_environment_goes_first() {
     let env = |name: &str| (name == "GW_LISTEN").then(|| "127.0.0.9:3001".to_string());
@@ -104,7 +104,7 @@
     assert_eq!(config.discovery.to_string(), "127.2.0.1:8500");
 }
 
-/// Guards against a move that the environment of the start undoes, and against half a file taken for a whole.
+/// Guards against a new configuration that the environment of the start overrides, and against accepting half a file.
 #[test]
 fn a_new_configuration_is_read_whole_and_its_addresses_go_first() {
     let moved = CONFIG.replace("127.2.0.1:8500", "127.2.1.1:8501").replace("127.2.0.2", "127.2.1.2");
