--- a/crates/steward/tests/steward/desk.rs
+++ b/crates/steward/tests/steward/desk.rs
@@ -16,7 +16,7 @@
 
 use crate::peers::{feed, for_ms, ties, Trace};
 
-/// Notes what it is told, and orders as the number of the events says.
+/// A controller that records its events, and orders by their number.
 struct Noted(Trace, u64);
 
 impl Decide for Noted {
@@ -78,7 +78,7 @@
     fn level(&self, _: Option<usize>) {}
 }
 
-/// Under a policy that nobody has told yet: reads are declined.
+/// A policy lease without a known policy: reads are rejected.
 fn policy_lease(ties: &Ties) -> PolicyLease {
     let names = |names: [&str; 2]| names.map(String::from).to_vec();
     let govern = [ClassId(0)].into();
@@ -136,9 +136,9 @@
     })
 }
 
-/// Guards against a host that goes on serving from a zone that the list no longer has it in: under a policy it is gone,
-/// for the intake too, until it is listed where it is known. And against one spoilt word in a list of changes that
-/// takes a host out of service where no policy asks for it; a host that was never known stays unknown.
+/// Guards against a host that goes on serving for a zone in which it is no longer listed: under a policy it counts as
+/// removed, also for the intake, until it is listed in a known zone. Also guards against one corrupted word in a list of
+/// changes that takes a host out of service although no policy requires it. A host that was never known stays unknown.
 #[test]
 fn a_host_that_moves_to_a_zone_nobody_knows_is_gone_where_a_policy_governs() {
     let moved = |seq, site| {
@@ -169,7 +169,8 @@
     Heard::News(News::Joined { proxy, zone: "b".into(), weight: 2.0, fresh })
 }
 
-/// Guards against decisions that take the program with them: the module starts anew, told what stands.
+/// Guards against a panic of the controller that ends the program: the controller is restarted with the current list and
+/// proxies.
 #[test]
 fn orders_go_where_they_belong_and_a_panic_starts_the_module_anew() {
     let hosts = vec![
@@ -204,8 +205,8 @@
     "#]].assert_eq(&trace);
 }
 
-/// Guards against a cold host taken for warm, and a host kept cold for an hour, where a machine's wall clock is wrong: no start
-/// lies ahead, and one that was listed with another start is as old as the list can be late at the most.
+/// Guards against a cold host that counts as warm, and a host that is kept cold for an hour, because a machine's wall clock
+/// is wrong: no start lies in the future, and a changed start is no older than the maximum delay of the list.
 #[test]
 fn a_wrong_clock_makes_no_restarted_host_warm_and_keeps_none_cold_for_longer_than_it_warms() {
     let started = |born_ms: f64| {
@@ -219,15 +220,15 @@
         born.unwrap_or_else(|| panic!("no start in {trace}"))
     };
     const HOUR: f64 = 3.6e6;
-    // By a clock that is right, 3 s before it is listed at 1 s.
+    // With a correct clock: 3 s before it is listed, at 1 s.
     assert_eq!(started(1e12 - 2_000.0), -2_000.0);
     assert_eq!(started(1e12 + HOUR), 1_000.0);
-    // The list stood at 0.5 s, and may be 6 s late.
+    // The list was confirmed at 0.5 s and may be 6 s late.
     assert_eq!(started(1e12 - HOUR), -5_500.0);
 }
 
-/// Guards against what was missed while no news came: who is missing left, who is fresh came anew, and
-/// after a long gap so may have all; an answer to an older watch is no join.
+/// Guards against events that were missed without a watch: proxies missing in the snapshot have left, proxies without a table
+/// have joined again, and after a long gap all may have; an answer that belongs to an older watch is no join.
 #[test]
 fn what_stands_is_compared_with_what_was_known() {
     let left = Heard::News(News::Left { proxy: 4 });
@@ -266,7 +267,7 @@
     "#]].assert_eq(&trace);
 }
 
-/// Guards against sums that name what is not known.
+/// Guards against reports with unknown names.
 #[test]
 fn sums_of_unknown_names_are_skipped() {
     let load = |zone: &str, host: &str| Message::Load {
@@ -300,8 +301,8 @@
     "#]].assert_eq(&told(sums.map(|sum| (0, Heard::Report(sum))).into()));
 }
 
-/// Guards against a host that is listed again passing for one that started again: its start keeps the time it
-/// was given on the module's clock, until the list tells of another.
+/// Guards against taking a host that is listed again for one that was restarted: its start keeps its time on the
+/// controller's clock until the list has another start.
 #[test]
 fn a_start_that_is_listed_again_is_no_new_start() {
     let listing = |seq, born_ms| {
@@ -322,8 +323,8 @@
     .assert_eq(&born.join("\n"));
 }
 
-/// Guards against a module that goes on as if a refused order held: a proxy whose bind was refused is bound
-/// anew while it counts as joined, for any other order the module starts anew.
+/// Guards against a controller that assumes a refused order was carried out: a proxy whose bind was refused is bound again
+/// while it is joined; for any other order the controller is restarted.
 #[test]
 fn what_the_relay_refused_is_made_good() {
     let applied = |proxy, took_ms| Heard::News(News::Applied { proxy, mark: 9, took_ms });
@@ -351,8 +352,8 @@
     "#]].assert_eq(&trace);
 }
 
-/// Guards memory where hosts are replaced for good, and a new host against what is late about an old one: a
-/// forgotten host has no number any more, and listed again it gets another.
+/// Guards memory when hosts are replaced permanently, and a new host against late messages about an old one: a forgotten
+/// host loses its number, and gets another if it is listed again.
 #[test]
 fn a_forgotten_host_leaves_nothing_and_its_number_is_not_given_again() {
     let listing = |seq| {
@@ -393,8 +394,7 @@
     "#]].assert_eq(&trace);
 }
 
-/// The intake is told which hosts are listed, and when a probe or a sum was observed; what it believes becomes
-/// events of the same moment.
+/// The intake receives the listed hosts and the times of probes and reports; its load estimates become events at once.
 #[test]
 fn the_intake_hears_of_list_probes_and_sums_and_its_beliefs_are_decided_on() {
     let witness = Witness::default();
@@ -435,6 +435,6 @@
     let listed: Vec<String> =
         told.list.into_iter().flatten().map(|host| format!("{} {:?}", host.name, host.born)).collect();
     assert_eq!(listed, ["s-0 None", "s-1 Some(-4000.0)"]);
-    // A sum stands for the middle of its time.
+    // A report counts as observed in the middle of the time that it covers.
     assert_eq!(told.seen, [(HostId(0), 200.0), (HostId(1), 250.0)].into());
 }
