--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -291,9 +291,9 @@
     /// Only the entries that changed.
     Changes,
     /// The whole list: hosts that it lacks have left it.
-    Full,
+    Whole,
     /// The whole list as the instance last had it, possibly out of date.
-    FromSnapshot,
+    Restored,
     /// A call failed or the watch broke; the previous list stays in force.
     Failed,
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -364,7 +364,7 @@
 
     fn begin_one(&mut self) {
         let entries: Vec<HostEntry> = self.hosts.iter().map(|host| host.listed.clone()).collect();
-        self.tell(Event::List { update: ListUpdate::FromSnapshot, entries });
+        self.tell(Event::List { update: ListUpdate::Restored, entries });
         let zones: Vec<ZoneId> = self.proxies().iter().map(|proxy| proxy.zone).collect();
         let txns_per_s = self.shape.rate() / f64::from(self.shape.proxies);
         for (at, zone) in (0..).zip(zones) {
@@ -870,7 +870,7 @@
             }
         }
         self.begun_anew = Some(self.now);
-        let none = Event::List { update: ListUpdate::FromSnapshot, entries: vec![] };
+        let none = Event::List { update: ListUpdate::Restored, entries: vec![] };
         self.fronts[0].events = vec![none];
         for (at, zone) in (0..).zip(self.proxies().iter().map(|proxy| proxy.zone).collect::<Vec<_>>()) {
             let txns_per_s = self.shape.rate() / f64::from(self.shape.proxies);
@@ -895,7 +895,7 @@
     fn restore(&mut self, kept: Kept) {
         let on = |host: &Host| HostEntry { availability: Availability::InService, ..host.listed.clone() };
         let entries = self.hosts.iter().map(on).collect();
-        self.fronts[0].events.push(Event::List { update: ListUpdate::FromSnapshot, entries });
+        self.fronts[0].events.push(Event::List { update: ListUpdate::Restored, entries });
         self.hints(kept);
     }
 
@@ -905,7 +905,7 @@
         let answers = self.begun_anew.is_some_and(|begun| self.now >= begun + kept.silent_for);
         let listed = |host: &&Host| if answers { host.left.is_none() } else { host.up };
         let entries = self.hosts.iter().filter(listed).map(|host| host.listed.clone()).collect();
-        let update = if answers { ListUpdate::Full } else { ListUpdate::Changes };
+        let update = if answers { ListUpdate::Whole } else { ListUpdate::Changes };
         self.fronts[0].events.push(Event::List { update, entries });
         self.hints(kept);
     }
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -344,7 +344,7 @@
             .map(|host| &host.listed)
             .filter(|row| row.availability == Availability::InService);
         let entries = if known { on.cloned().collect() } else { vec![] };
-        self.fronts[front].events = vec![Event::List { update: ListUpdate::FromSnapshot, entries }];
+        self.fronts[front].events = vec![Event::List { update: ListUpdate::Restored, entries }];
         // Those that wait for any steward come at once, its own when they find that it is back.
         for at in 0..self.shape.proxies {
             let within = self.stations().fleet.back_within;
@@ -488,7 +488,7 @@
     fn turn(&mut self, front: usize, up: Up) {
         let now = self.now;
         let Some((whole, next)) = self.stations().discovery.answer(now, front, up) else { return };
-        self.tell_list(front, ListUpdate::Full, whole);
+        self.tell_list(front, ListUpdate::Whole, whole);
         next.into_iter().for_each(|at| self.at(at + PATH, What::Fleet(Step::Changed { front, up })));
     }
 
@@ -503,7 +503,7 @@
             match named.get(&host) {
                 Some(Availability::InService) => drop(gone.remove(&host)),
                 Some(_) => drop(gone.entry(host).or_insert(now)),
-                None if update == ListUpdate::Full => drop(gone.entry(host).or_insert(now)),
+                None if update == ListUpdate::Whole => drop(gone.entry(host).or_insert(now)),
                 None => {}
             }
         }
--- a/crates/guard/src/model.rs
+++ b/crates/guard/src/model.rs
@@ -457,7 +457,7 @@
         }
         // Hosts of the first list existed before it; a host that is listed later without a start time counts
         // as just started.
-        let first = !std::mem::replace(&mut self.listed, true) || update == ListUpdate::FromSnapshot;
+        let first = !std::mem::replace(&mut self.listed, true) || update == ListUpdate::Restored;
         for entry in entries {
             self.first_listed.entry(entry.host).or_insert(now);
             let new = !self.hosts.contains_key(&entry.host);
--- a/crates/guard/src/standing.rs
+++ b/crates/guard/src/standing.rs
@@ -89,10 +89,7 @@
         started_at: (host % 50 == 7).then_some(-3_000.0),
         availability: Availability::InService,
     };
-    guard.hear(
-        0.0,
-        &Event::List { update: ListUpdate::FromSnapshot, entries: (0..hosts).map(listed).collect() },
-    );
+    guard.hear(0.0, &Event::List { update: ListUpdate::Restored, entries: (0..hosts).map(listed).collect() });
     for proxy in 0..proxies {
         let (proxy, zone) = (ProxyId(proxy), ZoneId(proxy % ZONES));
         guard.hear(0.0, &Event::ProxyJoined { proxy, zone, txns_per_s: RATE, without_table: true });
--- a/crates/guard/src/trial.rs
+++ b/crates/guard/src/trial.rs
@@ -90,7 +90,7 @@
     fn hear(&self, guard: &mut Guard) {
         let entries = (0..).map(HostId).zip(&self.hosts).map(|(host, (_, zone))| listed(host, *zone));
         let entries: Vec<HostEntry> = entries.chain([listed(BESIDE.0, BESIDE.1)]).collect();
-        guard.hear(0.0, &Event::List { update: ListUpdate::FromSnapshot, entries: entries.clone() });
+        guard.hear(0.0, &Event::List { update: ListUpdate::Restored, entries: entries.clone() });
         let (host, zone, load) = (BESIDE.0, BESIDE.1, LoadReport::default());
         guard.hear(
             1.0,
--- a/crates/guard/tests/guard/seeded.rs
+++ b/crates/guard/tests/guard/seeded.rs
@@ -73,7 +73,7 @@
     let door = Rc::new(RefCell::new(Door::new(Guard::new(facts(1, 0)), Mode::Watch)));
     let mut guarded = Guarded::new(decisions, door.clone());
     let hosts = (0..6).map(|host| in_service(host, host as u16 % 2)).collect();
-    let mut events = vec![Event::List { update: ListUpdate::FromSnapshot, entries: hosts }];
+    let mut events = vec![Event::List { update: ListUpdate::Restored, entries: hosts }];
     events.extend((0..6).map(|proxy| joined(proxy, proxy % 2)));
     let mut marks = vec![];
     for tick in 0..50 {
--- a/crates/lab/src/guard.rs
+++ b/crates/lab/src/guard.rs
@@ -171,7 +171,7 @@
                 availability: Availability::InService,
             };
             let entries = (0..hosts).map(listed).collect();
-            guard.hear(0.0, &Event::List { update: ListUpdate::FromSnapshot, entries });
+            guard.hear(0.0, &Event::List { update: ListUpdate::Restored, entries });
             let (proxy, zone, txns_per_s) = (ProxyId(0), ZoneId(home), 1.0);
             guard.hear(0.0, &Event::ProxyJoined { proxy, zone, txns_per_s, without_table: true });
             let (table, share) =
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -121,7 +121,7 @@
             failed_hosts: 0,
             marks: Vec::new(),
         };
-        fixture.decide(&[fixture.list(ListUpdate::FromSnapshot)]);
+        fixture.decide(&[fixture.list(ListUpdate::Restored)]);
         let joined = fixture.joined(0);
         fixture.decide(&joined);
         for _ in 0..4 {
@@ -251,7 +251,7 @@
         self.next_host += replaced as u32;
         self.hosts.extend(first..self.next_host);
         self.now += 200.0;
-        let took = self.decide(&[self.list(ListUpdate::Full), Event::TimerExpired { timer: TimerId(0) }]);
+        let took = self.decide(&[self.list(ListUpdate::Whole), Event::TimerExpired { timer: TimerId(0) }]);
         self.run_ticks(8);
         took
     }
--- a/crates/policy/src/hear.rs
+++ b/crates/policy/src/hear.rs
@@ -110,7 +110,7 @@
             // A host that is new here may have been forgotten while it was withdrawn: it is restored like a
             // withdrawn one.
             let is_new =
-                update != ListUpdate::FromSnapshot && !first_list && !self.hosts.contains_key(&entry.host);
+                update != ListUpdate::Restored && !first_list && !self.hosts.contains_key(&entry.host);
             self.published.withdrawn.extend(is_new.then_some(entry.host));
             let free_place = taken.lowest_free(zone);
             #[rustfmt::skip]
--- a/crates/policy/tests/policy/fleet.rs
+++ b/crates/policy/tests/policy/fleet.rs
@@ -144,7 +144,7 @@
             reports: vec![],
         };
         let entries = (0..hosts).map(|host| fleet.entry(host)).collect();
-        fleet.send(&[Event::List { update: ListUpdate::FromSnapshot, entries }]);
+        fleet.send(&[Event::List { update: ListUpdate::Restored, entries }]);
         fleet
     }
 
--- a/crates/policy/tests/policy/model.rs
+++ b/crates/policy/tests/policy/model.rs
@@ -263,7 +263,7 @@
     };
     let entries =
         (0..HOSTS).map(|host| entry(host, host as u16 % ZONES, Availability::InService, None)).collect();
-    let mut events = vec![Event::List { update: ListUpdate::FromSnapshot, entries }];
+    let mut events = vec![Event::List { update: ListUpdate::Restored, entries }];
     events.extend((0..4).map(|proxy| Event::ProxyJoined {
         proxy: ProxyId(proxy),
         zone: ZoneId(proxy % ZONES),
--- a/crates/policy/tests/policy/traces.rs
+++ b/crates/policy/tests/policy/traces.rs
@@ -1165,7 +1165,7 @@
                 asks.push(fleet.now);
                 let entries = vec![];
                 // Discovery is down for thirty seconds.
-                let update = if fleet.now < 31_000.0 { ListUpdate::Failed } else { ListUpdate::Full };
+                let update = if fleet.now < 31_000.0 { ListUpdate::Failed } else { ListUpdate::Whole };
                 fleet.send(&[Event::List { update, entries }]);
             }
         }
--- a/crates/service-levels/tests/cases/night.rs
+++ b/crates/service-levels/tests/cases/night.rs
@@ -143,7 +143,7 @@
             availability: Availability::InService,
         };
         let entries = (0..HOSTS).map(entry).collect();
-        self.hear(Event::List { update: ListUpdate::FromSnapshot, entries });
+        self.hear(Event::List { update: ListUpdate::Restored, entries });
         for proxy in 0..PROXIES {
             let (zone, without_table) = (ZoneId(proxy % ZONES), self.fresh);
             self.hear(Event::ProxyJoined { proxy: ProxyId(proxy), zone, txns_per_s: 40.0, without_table });
--- a/crates/steward/tests/steward/desk.rs
+++ b/crates/steward/tests/steward/desk.rs
@@ -8,15 +8,15 @@
 use amberarch_residency::{Facts, Judge};
 use amberarch_steward::clock::UnixClock;
 use amberarch_steward::desk::{Desk, Labels, Make};
-use amberarch_steward::fleet::{Caps, Tell, Ward};
+use amberarch_steward::fleet::{PolicyLease, ShareLimits, Tell};
 use amberarch_steward::heard::{Entry, Health, Heard, Listing, News, Out, Row, Ties};
-use amberarch_steward::lines::Said;
+use amberarch_steward::lines::Message;
 use expect_test::expect;
 use tokio::sync::mpsc;
 
 use crate::peers::{feed, for_ms, ties, Trace};
 
-/// Notes what it is told, and orders as the number of the events says.
+/// A controller that records its events, and orders by their number.
 struct Noted(Trace, u64);
 
 impl Decide for Noted {
@@ -78,14 +78,14 @@
     fn level(&self, _: Option<usize>) {}
 }
 
-/// Under a policy that nobody has told yet: reads are declined.
-fn ward(ties: &Ties) -> Ward {
+/// A policy lease without a known policy: reads are rejected.
+fn policy_lease(ties: &Ties) -> PolicyLease {
     let names = |names: [&str; 2]| names.map(String::from).to_vec();
     let govern = [ClassId(0)].into();
     let facts = Facts { zones: names(["a", "b"]), products: names(["read", "write"]), govern };
-    let (caps, counters) = (Caps::default(), ties.counters.clone());
+    let (caps, counters) = (ShareLimits::default(), ties.counters.clone());
     let judge = Judge::new(2, 1_000.0);
-    Ward::new(Arc::new(facts), judge, 100.0, Box::new(Unheard), caps, counters, ties.log.clone())
+    PolicyLease::new(Arc::new(facts), judge, 100.0, Box::new(Unheard), caps, counters, ties.log.clone())
 }
 
 fn told_under(heard: Vec<(u64, Heard)>, witness: Option<Witness>, governed: bool) -> String {
@@ -115,7 +115,7 @@
             ties.counters.clone(),
             ties.log.clone(),
         );
-        let desk = if governed { desk.governed(ward(&ties)) } else { desk };
+        let desk = if governed { desk.governed(policy_lease(&ties)) } else { desk };
         let (to, from) = mpsc::channel(64);
         let seen = trace.clone();
         tokio::task::spawn_local(async move {
@@ -136,9 +136,9 @@
     })
 }
 
-/// Guards against a host that goes on serving from a zone that the list no longer has it in: under a policy it is gone,
-/// for the intake too, until it is listed where it is known. And against one spoilt word in a list of changes that
-/// takes a host out of service where no policy asks for it; a host that was never known stays unknown.
+/// Guards against a host that goes on serving for a zone in which it is no longer listed: under a policy it counts as
+/// removed, also for the intake, until it is listed in a known zone. Also guards against one corrupted word in a list of
+/// changes that takes a host out of service although no policy requires it. A host that was never known stays unknown.
 #[test]
 fn a_host_that_moves_to_a_zone_nobody_knows_is_gone_where_a_policy_governs() {
     let moved = |seq, site| {
@@ -169,7 +169,8 @@
     Heard::News(News::Joined { proxy, zone: "b".into(), weight: 2.0, fresh })
 }
 
-/// Guards against decisions that take the program with them: the module starts anew, told what stands.
+/// Guards against a panic of the controller that ends the program: the controller is restarted with the current list and
+/// proxies.
 #[test]
 fn orders_go_where_they_belong_and_a_panic_starts_the_module_anew() {
     let hosts = vec![
@@ -179,7 +180,7 @@
     let listing = Listing { seq: 42, whole: false, hosts };
     let trace = told(vec![(100, joins(1, true)), (200, Heard::Listed(listing))]);
     expect![[r#"
-        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: List { update: Restored, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
         100 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
         200 seed 5: List { update: Changes, entries: [HostEntry { host: HostId(1), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: Some(-4000.0), availability: InService }, HostEntry { host: HostId(2), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: Removed }] }
         200 reply Some(MarkId(905))
@@ -196,7 +197,7 @@
         200 probe HostId(0) at 127.0.0.2:3000
         200 probe HostId(1) at 127.0.0.4:3000
         1701 seed 5: TimerExpired { timer: TimerId(7) }
-        1701 seed 6: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }, HostEntry { host: HostId(1), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: Some(-4000.0), availability: InService }, HostEntry { host: HostId(2), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: Removed }] }
+        1701 seed 6: List { update: Restored, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }, HostEntry { host: HostId(1), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: Some(-4000.0), availability: InService }, HostEntry { host: HostId(2), weight: 1.0, zone: ZoneId(1), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: Removed }] }
         1701 seed 6: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: false }
         1701 reply None
         {"op":"restore","server":"s-1"}
@@ -204,30 +205,32 @@
     "#]].assert_eq(&trace);
 }
 
-/// Guards against a cold host taken for warm, and a host kept cold for an hour, where a machine's wall clock is wrong: no start
-/// lies ahead, and one that was listed with another start is as old as the list can be late at the most.
+/// Guards against a cold host that counts as warm, and a host that is kept cold for an hour, because a machine's wall clock
+/// is wrong: no start lies in the future, and a changed start is no older than the maximum delay of the list.
 #[test]
 fn a_wrong_clock_makes_no_restarted_host_warm_and_keeps_none_cold_for_longer_than_it_warms() {
     let started = |born_ms: f64| {
         let hosts = vec![row("s-0", "127.0.0.2:3000", "a", Health::InService, born_ms)];
         let trace = told(vec![
-            (500, Heard::ListStands),
+            (500, Heard::ListUnchanged),
             (1_000, Heard::Listed(Listing { seq: 42, whole: false, hosts })),
         ]);
-        let born =
-            trace.split("started_at: Some(").nth(1).and_then(|rest| rest.split(')').next()?.parse::<f64>().ok());
+        let born = trace
+            .split("started_at: Some(")
+            .nth(1)
+            .and_then(|rest| rest.split(')').next()?.parse::<f64>().ok());
         born.unwrap_or_else(|| panic!("no start in {trace}"))
     };
     const HOUR: f64 = 3.6e6;
-    // By a clock that is right, 3 s before it is listed at 1 s.
+    // With a correct clock: 3 s before it is listed, at 1 s.
     assert_eq!(started(1e12 - 2_000.0), -2_000.0);
     assert_eq!(started(1e12 + HOUR), 1_000.0);
-    // The list stood at 0.5 s, and may be 6 s late.
+    // The list was confirmed at 0.5 s and may be 6 s late.
     assert_eq!(started(1e12 - HOUR), -5_500.0);
 }
 
-/// Guards against what was missed while no news came: who is missing left, who is fresh came anew, and
-/// after a long gap so may have all; an answer to an older watch is no join.
+/// Guards against events that were missed without a watch: proxies missing in the snapshot have left, proxies without a table
+/// have joined again, and after a long gap all may have; an answer that belongs to an older watch is no join.
 #[test]
 fn what_stands_is_compared_with_what_was_known() {
     let left = Heard::News(News::Left { proxy: 4 });
@@ -237,19 +240,19 @@
         (0, joins(3, true)),
         (0, joins(4, true)),
         (0, joins(21, true)),
-        (100, Heard::Standing { anew: false }),
+        (100, Heard::SnapshotBegins { rebind: false }),
         (100, joins(1, false)),
         (100, joins(2, true)),
         (100, left),
         (100, joins(4, false)),
-        (150, Heard::Stood),
-        (180, Heard::Standing { anew: true }),
-        (200, Heard::Standing { anew: false }),
+        (150, Heard::SnapshotEnds),
+        (180, Heard::SnapshotBegins { rebind: true }),
+        (200, Heard::SnapshotBegins { rebind: false }),
         (200, joins(1, false)),
-        (250, Heard::Stood),
+        (250, Heard::SnapshotEnds),
     ]);
     expect![[r#"
-        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: List { update: Restored, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
         0 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
         0 seed 5: ProxyJoined { proxy: ProxyId(2), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
         0 seed 5: ProxyJoined { proxy: ProxyId(3), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
@@ -266,24 +269,24 @@
     "#]].assert_eq(&trace);
 }
 
-/// Guards against sums that name what is not known.
+/// Guards against reports with unknown names.
 #[test]
 fn sums_of_unknown_names_are_skipped() {
-    let load = |zone: &str, host: &str| Said::Load {
+    let load = |zone: &str, host: &str| Message::Load {
         zone: zone.into(),
         host: host.into(),
         tries: 4,
-        voided: 1,
-        mean: 40.0,
-        over: 1_000.0,
+        failed: 1,
+        mean_latency: 40.0,
+        covered: 1_000.0,
         report: LoadReport::default(),
     };
-    let rate = |proxy, product: &str| Said::Rate {
+    let rate = |proxy, class: &str| Message::Rate {
         proxy,
-        product: product.into(),
+        class: class.into(),
         txns: 3,
-        voided: 1,
-        over: 1_000.0,
+        failed: 1,
+        covered: 1_000.0,
     };
     let sums = [
         load("c", "s-0"),
@@ -294,14 +297,14 @@
         rate(1, "write"),
     ];
     expect![[r#"
-        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: List { update: Restored, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
         0 seed 5: HostReport { host: HostId(0), zone: ZoneId(0), covered: 1000.0, tries: 4, failed: 1, mean_latency: 40.0, load: LoadReport { in_flight: None, queued: None, utilization: None, latency: None } }
         0 seed 5: ProxyReport { proxy: ProxyId(1), class: ClassId(1), txns: 3, failed: 1, covered: 1000.0 }
-    "#]].assert_eq(&told(sums.map(|sum| (0, Heard::Sum(sum))).into()));
+    "#]].assert_eq(&told(sums.map(|sum| (0, Heard::Report(sum))).into()));
 }
 
-/// Guards against a host that is listed again passing for one that started again: its start keeps the time it
-/// was given on the module's clock, until the list tells of another.
+/// Guards against taking a host that is listed again for one that was restarted: its start keeps its time on the
+/// controller's clock until the list has another start.
 #[test]
 fn a_start_that_is_listed_again_is_no_new_start() {
     let listing = |seq, born_ms| {
@@ -313,7 +316,7 @@
         (300, listing(43, 1e12 - 4_000.0)),
         (400, listing(44, 1e12 - 1_000.0)),
     ]);
-    let born = trace.lines().filter(|line| line.contains("update: Full"));
+    let born = trace.lines().filter(|line| line.contains("update: Whole"));
     let born: Vec<&str> = born.filter_map(|line| line.split("started_at: ").nth(1)).collect();
     expect![[r#"
         Some(-4000.0), availability: InService }] }
@@ -322,37 +325,37 @@
     .assert_eq(&born.join("\n"));
 }
 
-/// Guards against a module that goes on as if a refused order held: a proxy whose bind was refused is bound
-/// anew while it counts as joined, for any other order the module starts anew.
+/// Guards against a controller that assumes a refused order was carried out: a proxy whose bind was refused is bound again
+/// while it is joined; for any other order the controller is restarted.
 #[test]
 fn what_the_relay_refused_is_made_good() {
     let applied = |proxy, took_ms| Heard::News(News::Applied { proxy, mark: 9, took_ms });
     let trace = told(vec![
         (0, joins(1, true)),
-        (100, Heard::NotTaken { binds: Some(ProxyId(1)), orders: vec![] }),
-        (200, Heard::NotTaken { binds: Some(ProxyId(2)), orders: vec![] }),
+        (100, Heard::OrdersRefused { binds: Some(ProxyId(1)), orders: vec![] }),
+        (200, Heard::OrdersRefused { binds: Some(ProxyId(2)), orders: vec![] }),
         (250, applied(1, 3.5)),
         (250, applied(2, 3.5)),
         (250, applied(1, -1.0)),
-        (300, Heard::NotTaken { binds: None, orders: vec![] }),
+        (300, Heard::OrdersRefused { binds: None, orders: vec![] }),
     ]);
     expect![[r#"
-        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: List { update: Restored, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
         0 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
         100 seed 5: ProxyLeft { proxy: ProxyId(1) }
         100 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: false }
         250 seed 5: MarkApplied { proxy: ProxyId(1), mark: MarkId(9), duration: 3.5 }
         250 reply None
         {"op":"withdraw","server":"s-0"}
-        1000 seed 6: List { update: FromSnapshot, entries: [] }
+        1000 seed 6: List { update: Restored, entries: [] }
         1000 seed 6: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: false }
         1000 reply None
 
     "#]].assert_eq(&trace);
 }
 
-/// Guards memory where hosts are replaced for good, and a new host against what is late about an old one: a
-/// forgotten host has no number any more, and listed again it gets another.
+/// Guards memory when hosts are replaced permanently, and a new host against late messages about an old one: a forgotten
+/// host loses its number, and gets another if it is listed again.
 #[test]
 fn a_forgotten_host_leaves_nothing_and_its_number_is_not_given_again() {
     let listing = |seq| {
@@ -363,7 +366,15 @@
     let entry = Entry { dial: "127.0.0.2:3000".parse().unwrap(), born_ms: 0.0 };
     let sum = || {
         let (zone, host) = ("a".into(), "s-0".into());
-        Heard::Sum(Said::Load { zone, host, tries: 4, voided: 1, mean: 40.0, over: 1e3, report })
+        Heard::Report(Message::Load {
+            zone,
+            host,
+            tries: 4,
+            failed: 1,
+            mean_latency: 40.0,
+            covered: 1e3,
+            report,
+        })
     };
     let trace = told(vec![
         (0, joins(1, true)),
@@ -374,19 +385,18 @@
         (500, Heard::Probed { host, entry, outcome, took: 1.0, report }),
     ]);
     expect![[r#"
-        0 seed 5: List { update: FromSnapshot, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        0 seed 5: List { update: Restored, entries: [HostEntry { host: HostId(0), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
         0 seed 5: ProxyJoined { proxy: ProxyId(1), zone: ZoneId(1), txns_per_s: 2.0, without_table: true }
         100 seed 5: MarkApplied { proxy: ProxyId(1), mark: MarkId(9), duration: 1.0 }
         100 reply None
         {"op":"withdraw","server":"s-0"}
-        300 seed 5: List { update: Full, entries: [HostEntry { host: HostId(1), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
+        300 seed 5: List { update: Whole, entries: [HostEntry { host: HostId(1), weight: 1.0, zone: ZoneId(0), pod: PodId(3), instance_type: InstanceTypeId(1), started_at: None, availability: InService }] }
         400 seed 5: HostReport { host: HostId(1), zone: ZoneId(0), covered: 1000.0, tries: 4, failed: 1, mean_latency: 40.0, load: LoadReport { in_flight: None, queued: None, utilization: None, latency: None } }
         500 seed 5: ProbeResult { host: HostId(0), outcome: Answered, duration: 1.0, load: LoadReport { in_flight: None, queued: None, utilization: None, latency: None } }
     "#]].assert_eq(&trace);
 }
 
-/// The intake is told which hosts are listed, and when a probe or a sum was observed; what it believes becomes
-/// events of the same moment.
+/// The intake receives the listed hosts and the times of probes and reports; its load estimates become events at once.
 #[test]
 fn the_intake_hears_of_list_probes_and_sums_and_its_beliefs_are_decided_on() {
     let witness = Witness::default();
@@ -403,13 +413,13 @@
         let entry = Entry { dial: "127.0.0.2:3000".parse().unwrap(), born_ms: 0.0 };
         Heard::Probed { host, entry, outcome, took: 2.0, report }
     };
-    let met = Said::Load {
+    let met = Message::Load {
         zone: "b".into(),
         host: "s-1".into(),
         tries: 4,
-        voided: 0,
-        mean: 3.0,
-        over: 100.0,
+        failed: 0,
+        mean_latency: 3.0,
+        covered: 100.0,
         report: LoadReport::default(),
     };
     let believed = Believed { host: HostId(1), load: 1.25, age: 80.0, sure: 1.0, waited: 40.0 };
@@ -417,16 +427,19 @@
         vec![
             (100, Heard::Listed(listing)),
             (200, probed(ProbeOutcome::Answered)),
-            (300, Heard::Sum(met)),
+            (300, Heard::Report(met)),
             (400, Heard::Loads(vec![believed])),
         ],
         Some(witness.clone()),
     );
-    assert!(trace.contains("LoadEstimate { host: HostId(1), load: 1.25, age: 80.0, confidence: 1.0 }"), "{trace}");
+    assert!(
+        trace.contains("LoadEstimate { host: HostId(1), load: 1.25, age: 80.0, confidence: 1.0 }"),
+        "{trace}"
+    );
     let told = witness.take();
     let listed: Vec<String> =
         told.list.into_iter().flatten().map(|host| format!("{} {:?}", host.name, host.born)).collect();
     assert_eq!(listed, ["s-0 None", "s-1 Some(-4000.0)"]);
-    // A sum stands for the middle of its time.
+    // A report counts as observed in the middle of the time that it covers.
     assert_eq!(told.seen, [(HostId(0), 200.0), (HostId(1), 250.0)].into());
 }
--- a/crates/wirehost/src/events.rs
+++ b/crates/wirehost/src/events.rs
@@ -59,8 +59,8 @@
             let _version: u64 = f.number("gen")?;
             let update = match f.text("how")? {
                 "update" => ListUpdate::Changes,
-                "replace" => ListUpdate::Full,
-                "restored" => ListUpdate::FromSnapshot,
+                "replace" => ListUpdate::Whole,
+                "restored" => ListUpdate::Restored,
                 "unavailable" => ListUpdate::Failed,
                 other => {
                     return Err(format!("expected update, replace, restored or unavailable, found '{other}'"))
