--- a/crates/steward/tests/crossing_calls/main.rs
+++ b/crates/steward/tests/crossing_calls/main.rs
@@ -1,6 +1,6 @@
-//! Calls to the relay beside answers that are lost, late or partial, and proxies that move between stewards: pairs of
-//! events that can cross, on real connections against the program itself. `docs/crossing-events.md` has the table. Each
-//! test forces its order by what its stand-ins say and withhold.
+//! Calls to the relay whose answers are lost, late or partial, and proxies that move between controllers:
+//! pairs of events that can cross, over real connections to the amberarch binary. `docs/crossing-events.md`
+//! has the table. Each test forces the order of events by what its stand-ins send and withhold.
 
 mod handovers;
 mod retries;
@@ -10,18 +10,18 @@
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
-use stand_in::{host, nobody, orders, Configuration, Daemon, Exchange, Relay, RelayWatch};
+use stand_in::{host, orders, refusing_address, Configuration, Daemon, Exchange, Relay, RelayWatch};
 
-/// One host in the zone of all proxies, which is never probed, and a discovery that refuses: no order comes up but for
-/// proxies that join.
+/// One host in the zone of all proxies, which is never probed, and a discovery that refuses connections:
+/// orders result only from proxies that join.
 fn configuration(relay: SocketAddr) -> Configuration {
-    Configuration::new(relay, nobody())
+    Configuration::new(relay, refusing_address())
         .with("/settings/policyLimits/mayProbe", json!(false))
         .with("/settings/familyInfo/agents", json!(16))
-        .knowing(1, &[host("h", nobody(), "east")])
+        .with_known_hosts(1, &[host("h", refusing_address(), "east")])
 }
 
-/// A daemon with its relay; the watch stands and nobody has joined.
+/// A daemon with its relay; the watch is open and no proxy has joined.
 struct Scene {
     relay: Relay,
     daemon: Daemon,
@@ -34,13 +34,13 @@
 
 fn scene_with(change: impl FnOnce(Configuration) -> Configuration) -> Scene {
     let relay = Relay::listening();
-    let daemon = Daemon::up(&change(configuration(relay.address())));
+    let daemon = Daemon::start_and_wait(&change(configuration(relay.address())));
     let watch = relay.watch();
     Scene { relay, daemon, watch }
 }
 
 impl Scene {
-    /// Proxy 0 joins; gives the call that binds it, unanswered.
+    /// Lets proxy 0 join; returns the call that binds it, unanswered.
     fn first_call(&self) -> Exchange {
         self.watch.joined(0, "east", true);
         self.relay.call_with(binds(0))
@@ -53,7 +53,8 @@
         call
     }
 
-    /// Lets another proxy join and takes calls until that one is bound; gives the orders of all of them.
+    /// Lets another proxy join and accepts calls until it is bound; returns the orders of all these
+    /// calls.
     fn orders_until_bound(&self, other: u16) -> Vec<Value> {
         self.watch.joined(other, "east", true);
         let mut seen = Vec::new();
@@ -73,34 +74,34 @@
     assert!(found.starts_with(expected), "expected a call that begins with\n{expected:?}\nfound\n{found:?}");
 }
 
-/// Whether an order binds that proxy.
+/// Returns a predicate: whether an order binds that proxy.
 fn binds(proxy: u16) -> impl Fn(&Value) -> bool {
     move |order| order["op"] == "bind" && order["proxy"] == proxy
 }
 
-/// The proxies that these orders bind, in their order.
+/// The proxies that these orders bind, in order.
 fn bound(orders: &[Value]) -> Vec<u16> {
     let binds = orders.iter().filter(|order| order["op"] == "bind");
     binds.map(|order| order["proxy"].as_u64().expect("a proxy") as u16).collect()
 }
 
-/// The marks that these orders ask for, in their order.
+/// The marks that these orders request, in order.
 fn marks(orders: &[Value]) -> Vec<u64> {
     let marks = orders.iter().filter(|order| order["op"] == "mark");
     marks.map(|order| order["nonce_out"].as_u64().expect("a mark")).collect()
 }
 
-/// Where in these orders that proxy is bound first.
+/// The position of the first order that binds that proxy.
 fn place_of_bind(orders: &[Value], proxy: u16) -> usize {
     orders.iter().position(binds(proxy)).expect("a bind")
 }
 
-/// The relay takes the first orders of the call and refuses the next.
-fn take_only(call: Exchange, count: usize) {
+/// Answers a call with its first `count` orders accepted and the next one refused.
+fn answer_taken_count(call: Exchange, count: usize) {
     call.answer(200, &json!({"taken": count}).to_string());
 }
 
-/// The relay turns the call back whole.
-fn turn_back(call: Exchange, error: &str) {
+/// Answers a call as rejected in whole, with that error.
+fn reject_call(call: Exchange, error: &str) {
     call.answer(409, &json!({"error": error}).to_string());
 }
--- a/crates/steward/tests/crossing_calls/retries.rs
+++ b/crates/steward/tests/crossing_calls/retries.rs
@@ -1,5 +1,4 @@
-//! A call that is repeated, beside answers that are lost or late, connections that close, and orders that come up
-//! meanwhile.
+//! Repeated calls, where answers are lost or late, connections close, and new orders arise meanwhile.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{TcpListener, TcpStream};
@@ -9,12 +8,13 @@
 use socket2::SockRef;
 
 use crate::stand_in::{
-    address, host, nobody, orders, take, Connection, Daemon, Exchange, Peer, Relay, RelayWatch,
+    address, host, orders, refusing_address, take, Connection, Daemon, Exchange, Peer, Relay, RelayWatch,
 };
-use crate::{binds, bound, configuration, marks, scene, scene_with, take_only, turn_back, Scene};
+use crate::{answer_taken_count, binds, bound, configuration, marks, reject_call, scene, scene_with, Scene};
 
-/// A first call whose answer is lost in that way comes again, whole and first, and counts as unsure once.
-fn comes_again_whole(lose: impl FnOnce(Exchange)) {
+/// Loses the answer to the first call; the call has to be repeated in whole and first, and counts as unsure
+/// once.
+fn assert_repeated_whole(lose: impl FnOnce(Exchange)) {
     let scene = scene();
     let first = scene.first_call();
     let (sent, number) = (orders(&first), first.connection.number);
@@ -27,39 +27,40 @@
     scene.daemon.counter_reaches("messages_again", 1);
 }
 
-/// Guards against a call that is given up, or taken for carried out, where the relay reads it whole and then resets.
+/// Guards against giving a call up, or counting it as carried out, where the relay reads it completely and
+/// then resets the connection.
 #[test]
 fn a_call_that_was_read_and_reset_is_not_given_up() {
-    comes_again_whole(|call| call.connection.reset());
+    assert_repeated_whole(|call| call.connection.reset());
 }
 
-/// Guards against the same where the relay closes in order.
+/// Guards against the same where the relay closes the connection in order.
 #[test]
 fn a_call_that_was_read_and_closed_is_not_given_up() {
-    comes_again_whole(|mut call| call.connection.finish());
+    assert_repeated_whole(|mut call| call.connection.half_close());
 }
 
-/// Guards against the half of an answer that says how many orders were taken being believed.
+/// Guards against believing an incomplete answer that states how many orders were taken.
 #[test]
 fn an_answer_that_broke_off_is_not_believed() {
-    comes_again_whole(|call| {
+    assert_repeated_whole(|call| {
         let mut connection = call.connection;
         connection.write(b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"taken\":9");
         connection.reset();
     });
 }
 
-/// Guards against a call that waits for ever for the end of an answer whose head came in time.
+/// Guards against waiting for ever for the end of an answer whose head arrived in time.
 #[test]
 fn an_answer_without_an_end_holds_no_call_up() {
-    comes_again_whole(|call| {
+    assert_repeated_whole(|call| {
         let mut connection = call.connection;
         connection.write(b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n");
     });
 }
 
-/// Guards against an answer that comes once the daemon has given it up being taken for the answer of the repeat:
-/// the repeat is refused, so its orders have to be offered once more.
+/// Guards against taking an answer that arrives after the daemon abandoned its call for the answer to the
+/// repeated call: the repeated call is refused, so its orders have to be sent once more.
 #[test]
 fn an_answer_that_is_late_for_the_call_does_not_answer_the_repeat() {
     let scene = scene();
@@ -67,12 +68,12 @@
     let sent = orders(&first);
     scene.relay.peer.closed(first.connection.number);
     take(first);
-    take_only(scene.call_beginning_with(&sent), 0);
+    answer_taken_count(scene.call_beginning_with(&sent), 0);
     take(scene.call_beginning_with(&sent));
 }
 
-/// Guards against the same where the repeat is under way when the late answer comes: nobody answers the repeat, so it
-/// goes once more.
+/// Guards against the same where the late answer arrives while the repeated call is in progress: the
+/// repeated call gets no answer, so it is sent once more.
 #[test]
 fn an_answer_that_comes_beside_the_repeat_does_not_answer_it() {
     let scene = scene();
@@ -86,7 +87,7 @@
     assert_eq!(scene.daemon.counter("calls_unsure"), 2);
 }
 
-/// Guards against orders behind a refused one being lost with it, and against a refused one that is offered for ever.
+/// Guards against losing the orders after a refused one, and against sending a refused order for ever.
 #[test]
 fn an_order_that_is_refused_does_not_take_along_what_follows_it() {
     let scene = scene();
@@ -94,42 +95,43 @@
     let sent = orders(&first);
     let refused = sent.iter().position(binds(0)).expect("a bind");
     assert!(refused > 0 && refused + 1 < sent.len(), "orders on both sides of the bind: {sent:?}");
-    take_only(first, refused);
-    take_only(scene.call_beginning_with(&sent[refused..]), 0);
+    answer_taken_count(first, refused);
+    answer_taken_count(scene.call_beginning_with(&sent[refused..]), 0);
     take(scene.call_beginning_with(&sent[refused + 1..]));
     scene.daemon.counter_reaches("orders_skipped", 1);
-    // The proxy has not left as far as the news tells: it is bound anew, under another mark.
-    let anew = scene.relay.call_with(binds(0));
-    assert_ne!(marks(&orders(&anew)), marks(&sent));
+    // The watch has not reported that the proxy left, so it is bound again, with another mark.
+    let repeated = scene.relay.call_with(binds(0));
+    assert_ne!(marks(&orders(&repeated)), marks(&sent));
     assert_eq!(scene.daemon.counter("orders_skipped"), 1);
 }
 
-/// Guards against an order that is given up though it was refused but once.
+/// Guards against giving an order up after only one refusal.
 #[test]
 fn an_order_that_is_refused_once_is_not_given_up() {
     let scene = scene();
     let first = scene.first_call();
     let sent = orders(&first);
-    take_only(first, 1);
+    answer_taken_count(first, 1);
     take(scene.call_beginning_with(&sent[1..]));
     assert_eq!(bound(&scene.orders_until_bound(1)), [1], "what was taken does not go again");
     assert_eq!(scene.daemon.counter("orders_skipped"), 0);
 }
 
-/// Guards against what was taken going again, or the rest being lost, where the answer to the rest is lost.
+/// Guards against sending accepted orders again, or losing the others, where the answer to the others is
+/// lost.
 #[test]
 fn a_rest_whose_answer_is_lost_goes_again_alone() {
     let scene = scene();
     let first = scene.first_call();
     let sent = orders(&first);
-    take_only(first, 1);
+    answer_taken_count(first, 1);
     scene.call_beginning_with(&sent[1..]).connection.reset();
     take(scene.call_beginning_with(&sent[1..]));
     assert_eq!(scene.daemon.counter("orders_skipped"), 0);
 }
 
-/// Guards against newer orders that overtake a repeat: each attempt begins with all of the one before it, however
-/// the answer to that was lost, and orders that came up meanwhile stand behind.
+/// Guards against newer orders that overtake a repeated call: each attempt begins with all orders of the
+/// attempt before it, however its answer was lost, and newer orders follow them.
 #[test]
 fn newer_orders_do_not_overtake_a_call_that_is_repeated() {
     let scene = scene();
@@ -148,7 +150,7 @@
         }
         match attempt % 3 {
             0 => call.connection.reset(),
-            1 => call.connection.finish(),
+            1 => call.connection.half_close(),
             _ => drop(call),
         }
         call = scene.call_beginning_with(&sent);
@@ -158,7 +160,8 @@
     assert_eq!(bound(&scene.orders_until_bound(9)), [9], "what was taken does not go again");
 }
 
-/// Between the attempts of a call that nobody answers, by a daemon of that seed; each waits 50 ms for its answer.
+/// The times between the attempts of a call that nobody answers, by a daemon with that seed; each attempt
+/// waits 50 ms for its answer.
 fn between_attempts(seed: &str) -> Vec<Duration> {
     let scene = scene_with(|configuration| configuration.with("/seed", json!(seed)));
     drop(scene.first_call());
@@ -171,8 +174,8 @@
     (0..4).map(|_| attempt()).collect()
 }
 
-/// Guards against repeats that come before time limits wait no longer, or ever more rarely, and against stewards
-/// that lost one relay in one moment and come back to it in step.
+/// Guards against repeated calls without increasing pauses, or with ever longer ones, and against
+/// controllers that lose a relay at the same time and retry in step.
 #[test]
 fn repeats_keep_their_pauses_and_are_not_in_step() {
     const ANSWER: Duration = Duration::from_millis(50);
@@ -186,13 +189,13 @@
         }
     }
     let apart = rows[0].iter().zip(&rows[1]).map(|(one, other)| one.abs_diff(*other)).max();
-    // By these seeds the fourth are 295 ms apart.
+    // With these seeds the fourth attempts are 295 ms apart.
     assert!(apart > Some(Duration::from_millis(150)), "in step: {rows:?}");
 }
 
-/// A connection on which a call was answered and that the relay then closes in that way, which the daemon has seen;
-/// the next call goes on another one, once and as if nothing had been.
-fn goes_once_on_another(close: impl FnOnce(Exchange)) {
+/// Closes a connection on which a call was answered, and waits until the daemon has seen that; the next
+/// call is sent once, on another connection, and no failure is counted.
+fn assert_sent_once_on_another_connection(close: impl FnOnce(Exchange)) {
     let scene = scene();
     let first = scene.first_call();
     let number = first.connection.number;
@@ -209,26 +212,26 @@
     }
 }
 
-/// Guards against a call that fails, or is sent twice, because its connection was closed while it stood idle.
+/// Guards against a call that fails, or is sent twice, because its connection was closed while idle.
 #[test]
 fn a_connection_closed_while_idle_fails_no_call() {
-    goes_once_on_another(|call| take(call).finish());
+    assert_sent_once_on_another_connection(|call| take(call).half_close());
 }
 
-/// Guards against the same where the end comes with the answer.
+/// Guards against the same where the connection is closed together with the answer.
 #[test]
 fn a_connection_closed_with_the_answer_fails_no_call() {
-    goes_once_on_another(|call| {
+    assert_sent_once_on_another_connection(|call| {
         let body = json!({"taken": orders(&call).len()}).to_string();
         let mut connection = call.connection;
         let head = format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {}\r\n\r\n", body.len());
         connection.write((head + &body).as_bytes());
-        connection.finish();
+        connection.half_close();
     });
 }
 
-/// Guards against a call on a connection in use before that is repeated at once, as if it had never run, though the relay
-/// had read it: it is unsure.
+/// Guards against repeating a call at once, as if it had not been carried out, where the relay read it on a
+/// reused connection and then reset it: its result is unknown.
 #[test]
 fn a_kept_connection_closed_behind_a_call_does_not_count_as_idle() {
     let scene = scene();
@@ -239,15 +242,15 @@
     let (sent, arrived) = (orders(&second), Instant::now());
     second.connection.reset();
     let again = scene.call_beginning_with(&sent);
-    // 0.8 times 500 ms; what this machine may take on the way here is left out.
+    // 0.8 times 500 ms, less an allowance for this machine's delays.
     assert!(arrived.elapsed() >= Duration::from_millis(350), "{:?}", arrived.elapsed());
     take(again);
     assert_eq!(scene.daemon.counter("calls_unsure"), 1);
     scene.daemon.counter_reaches("messages_again", 1);
 }
 
-/// Connections of the listener hold no more than a part of a call from here on, or whole ones.
-fn hold(listener: &TcpListener, bytes: usize, segment: u32) {
+/// Sets buffer sizes so that connections accepted from now on hold only a part of a call, or whole calls.
+fn set_receive_buffer(listener: &TcpListener, bytes: usize, segment: u32) {
     let socket = SockRef::from(listener);
     socket.set_recv_buffer_size(bytes).expect("an option");
     // Small segments keep the sender's buffer small as well.
@@ -256,7 +259,7 @@
 
 /// Accepts a connection and reads the head of its request.
 fn accept(listener: &TcpListener) -> BufReader<TcpStream> {
-    // What is read makes room for more, so no more is read ahead.
+    // Reading frees buffer space for the sender, so nothing is read ahead.
     let mut stream = BufReader::with_capacity(64, listener.accept().expect("a connection").0);
     let mut line = String::new();
     while stream.read_line(&mut line).expect("a line") > 2 {
@@ -265,24 +268,25 @@
     stream
 }
 
-/// The relay reads a part of a call of 57 KB, which then ends in that way; the whole call goes on another connection.
-fn sent_in_part(end: impl FnOnce(BufReader<TcpStream>, &Daemon)) {
+/// The relay reads a part of a call of 57 KB and ends it as given; the complete call is sent on another
+/// connection.
+fn assert_partly_sent_call_is_resent(end: impl FnOnce(BufReader<TcpStream>, &Daemon)) {
     let listener = TcpListener::bind((address::own(), 0)).expect("an address");
-    hold(&listener, 2_304, 400);
-    let at = nobody();
+    set_receive_buffer(&listener, 2_304, 400);
+    let at = refusing_address();
     let hosts: Vec<Value> = (0..160).map(|number| host(&format!("{number:0>300}"), at, "east")).collect();
-    // One table has them all.
+    // One table contains all hosts.
     let configuration = configuration(listener.local_addr().expect("an address"))
         .with("/settings/familyInfo/bootstrap", json!(100_000))
-        .knowing(1, &hosts);
-    let daemon = Daemon::up(&configuration);
+        .with_known_hosts(1, &hosts);
+    let daemon = Daemon::start_and_wait(&configuration);
     let mut watch = Connection::on(accept(&listener).into_inner(), 0);
     watch.begin_chunked();
     let watch = RelayWatch::new(watch);
     watch.joined(0, "east", true);
     let mut call = accept(&listener);
-    hold(&listener, 1 << 20, 32_767);
-    let relay = Relay { peer: Peer::on(listener) };
+    set_receive_buffer(&listener, 1 << 20, 32_767);
+    let relay = Relay { peer: Peer::from_listener(listener) };
     let mut part = [0; 100];
     call.read_exact(&mut part).expect("a part of the call");
     end(call, &daemon);
@@ -298,25 +302,26 @@
     }
 }
 
-/// Guards against a call that can't have run, as the relay has not got all of it, counting as one that may have.
+/// Guards against counting a call as possibly carried out although the relay did not receive all of it.
 #[test]
 fn a_call_reset_half_way_does_not_count_as_unsure() {
-    sent_in_part(|call, _| {
+    assert_partly_sent_call_is_resent(|call, _| {
         let stream = call.into_inner();
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
     });
 }
 
-/// Guards against the same where the relay stops reading and says nothing.
+/// Guards against the same where the relay stops reading and sends nothing.
 #[test]
 fn a_call_that_is_not_read_to_its_end_does_not_count_as_unsure() {
-    sent_in_part(|call, daemon| {
+    assert_partly_sent_call_is_resent(|call, daemon| {
         daemon.counter_reaches("calls_not_sent", 1);
         drop(call);
     });
 }
 
-/// Guards against a relay that is busy for long losing an order, having one twice, or being left.
+/// Guards against losing an order, sending one twice, or closing the connection, where a relay is busy for
+/// long.
 #[test]
 fn a_relay_that_is_busy_again_and_again_loses_no_order() {
     let scene = scene();
@@ -326,7 +331,7 @@
         if attempt == 4 {
             scene.watch.joined(1, "east", true);
         }
-        turn_back(call, "BUSY");
+        reject_call(call, "BUSY");
         call = scene.call_beginning_with(&sent);
         sent = orders(&call);
         assert_eq!(call.connection.number, number, "the connection is kept");
@@ -339,37 +344,37 @@
     assert_eq!(all, [0, 1, 2]);
 }
 
-/// Guards against a call that is no call to the relay being repeated for ever, and against its orders being lost
-/// without the decisions hearing of it.
+/// Guards against repeating a call for ever that the relay rejects as malformed, and against losing its
+/// orders without reporting that to the controller.
 #[test]
 fn a_call_that_is_no_call_twice_holds_nothing_up() {
     let scene = scene();
     let first = scene.first_call();
     let sent = orders(&first);
-    turn_back(first, "SYNTAX");
+    reject_call(first, "SYNTAX");
     let again = scene.relay.call();
     assert_eq!(orders(&again), sent);
-    turn_back(again, "SYNTAX");
-    // The decisions start anew: tables and binds come once more, under another mark.
-    let anew = orders(&scene.relay.call_with(binds(0)));
-    assert!(anew.iter().any(|order| order["op"] == "share"), "{anew:?}");
-    assert!(marks(&anew).iter().all(|mark| !marks(&sent).contains(mark)), "{anew:?}");
+    reject_call(again, "SYNTAX");
+    // The controller starts over: tables and binds are sent once more, with other marks.
+    let repeated = orders(&scene.relay.call_with(binds(0)));
+    assert!(repeated.iter().any(|order| order["op"] == "share"), "{repeated:?}");
+    assert!(marks(&repeated).iter().all(|mark| !marks(&sent).contains(mark)), "{repeated:?}");
 }
 
-/// Guards against a call that is given up when it was called no call but once.
+/// Guards against giving a call up after it was rejected as malformed only once.
 #[test]
 fn a_call_that_is_no_call_once_is_not_given_up() {
     let scene = scene();
     let first = scene.first_call();
     let sent = orders(&first);
-    turn_back(first, "SYNTAX");
+    reject_call(first, "SYNTAX");
     take(scene.call_beginning_with(&sent));
     assert_eq!(bound(&scene.orders_until_bound(1)), [1]);
     assert_eq!(scene.daemon.counter("orders_skipped"), 0);
 }
 
-/// Guards against orders lost, sent one by one, or out of turn when the relay was down for a while: what waited goes as
-/// one call in order.
+/// Guards against orders that are lost, sent one by one, or out of order after the relay was down: what
+/// waited is sent as one call in order.
 #[test]
 fn a_relay_that_was_down_gets_what_waited_in_one_call_and_in_order() {
     let Scene { mut relay, daemon, watch } = scene();
@@ -377,7 +382,7 @@
     let mut kept = take(relay.call_with(binds(0)));
     let at = relay.address();
     relay.peer.refuse();
-    kept.finish();
+    kept.half_close();
     relay.peer.closed(kept.number);
     for proxy in 1..=3 {
         let replies = daemon.counter("replies");
@@ -386,7 +391,7 @@
     }
     let failed = daemon.counter("calls_not_sent");
     daemon.counter_reaches("calls_not_sent", failed + 2);
-    relay = Relay { peer: Peer::on(TcpListener::bind(at).expect("its address")) };
+    relay = Relay { peer: Peer::from_listener(TcpListener::bind(at).expect("its address")) };
     let call = relay.call();
     assert_eq!(bound(&orders(&call)), [1, 2, 3]);
     assert_eq!(marks(&orders(&call)).len(), 3, "all three replies: {}", call.body);
--- a/crates/steward/tests/crossing_connections/bad_configuration.rs
+++ b/crates/steward/tests/crossing_connections/bad_configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations that can't be used at the start, beside a log that is read or not.
+//! Configurations that are invalid at the start, with a standard error that is read or not.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -10,9 +10,9 @@
 
 use serde_json::{json, Value};
 
-use crate::stand_in::{nobody, Configuration, Peer, Relay, BOUND};
+use crate::stand_in::{refusing_address, Configuration, Peer, Relay, TEST_TIMEOUT};
 
-/// The program with that configuration's path and standard error, in an empty folder.
+/// Starts the binary with that configuration path and standard error, in an empty folder.
 fn start(folder: &Path, path: Option<&Path>, standard_error: Stdio) -> Child {
     let mut command = Command::new(crate::stand_in::program());
     command.current_dir(folder).stderr(standard_error);
@@ -23,14 +23,14 @@
     command.spawn().expect("the program starts")
 }
 
-/// Waits for its end, within the bound; gives its exit code.
+/// Waits until the process has ended, within the time limit; returns its exit code.
 fn ended(child: &mut Child) -> Option<i32> {
     let begun = Instant::now();
     loop {
         if let Some(status) = child.try_wait().expect("its state") {
             return status.code();
         }
-        if begun.elapsed() > BOUND {
+        if begun.elapsed() > TEST_TIMEOUT {
             let _ = child.kill();
             let _ = child.wait();
             panic!("it lives on");
@@ -40,10 +40,10 @@
 }
 
 fn usable() -> String {
-    Configuration::new(nobody(), nobody()).text()
+    Configuration::new(refusing_address(), refusing_address()).text()
 }
 
-/// A usable configuration with one value changed, or taken away.
+/// A valid configuration with one value changed or removed.
 fn with(pointer: &str, value: Option<Value>) -> Vec<u8> {
     let mut all: Value = serde_json::from_str(&usable()).expect("JSON");
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
@@ -55,7 +55,8 @@
     all.to_string().into_bytes()
 }
 
-/// Guards against a start that is refused without a word on what to mend, or with more lines than one.
+/// Guards against refusing to start without a message on what to correct, or with a message of several
+/// lines.
 #[test]
 fn a_configuration_that_cannot_be_used_ends_the_start_with_one_line_and_two() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -92,25 +93,26 @@
     }
 }
 
-/// A standard error that nobody reads: its other end is closed from before the start.
-fn unread() -> Stdio {
+/// A standard error that nobody reads: its other end is closed before the start.
+fn unread_stderr() -> Stdio {
     let (ours, theirs) = UnixStream::pair().expect("a pair");
     drop(ours);
     OwnedFd::from(theirs).into()
 }
 
-/// Guards against a panic, and its exit code, in the place of the reason that nobody reads; the service goes by the code.
+/// Guards against a panic, with its exit code, where the reason for refusing to start can't be written. The
+/// service manager uses the exit code.
 #[test]
 fn a_start_that_is_refused_ends_with_two_also_when_its_reason_is_not_read() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
-    assert_eq!(ended(&mut start(folder.path(), None, unread())), Some(2));
-    assert_eq!(ended(&mut start(folder.path(), Some(&path), unread())), Some(2));
+    assert_eq!(ended(&mut start(folder.path(), None, unread_stderr())), Some(2));
+    assert_eq!(ended(&mut start(folder.path(), Some(&path), unread_stderr())), Some(2));
     std::fs::write(&path, with("/listen", Some(json!("192.0.2.1:3000")))).expect("a file");
-    assert_eq!(ended(&mut start(folder.path(), Some(&path), unread())), Some(2));
+    assert_eq!(ended(&mut start(folder.path(), Some(&path), unread_stderr())), Some(2));
 }
 
-/// Guards against a daemon that ends, or stands still, because nobody reads its log.
+/// Guards against a daemon that ends or stops working because nobody reads its log.
 #[test]
 fn a_daemon_whose_log_is_not_read_serves_on() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
@@ -118,13 +120,13 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
     std::fs::write(&path, configuration.text()).expect("a file");
-    let mut child = start(folder.path(), Some(&path), unread());
+    let mut child = start(folder.path(), Some(&path), unread_stderr());
     let watch = relay.watch();
     for round in 0..200 {
-        watch.say("not JSON");
+        watch.send_line("not JSON");
         let mut stream = TcpStream::connect(configuration.listen).expect("it listens");
         stream.write_all(b"PING\r\n").expect("it is read");
-        stream.set_read_timeout(Some(BOUND)).expect("a time limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
         let mut said = [0; 6];
         stream.read_exact(&mut said).unwrap_or_else(|why| panic!("round {round}: {why}"));
         assert_eq!(&said, b"PONG\r\n");
--- a/crates/steward/tests/crossing_connections/bad_input.rs
+++ b/crates/steward/tests/crossing_connections/bad_input.rs
@@ -1,26 +1,27 @@
-//! Peers that break the protocol: what they get wrong ends that one connection or is passed over, and is counted; nobody
-//! else notices.
+//! Peers that break the protocol: invalid input closes that one connection or is skipped, and is counted.
+//! No other connection is affected.
 
 use std::time::Instant;
 
 use serde_json::{json, Value};
 
-use crate::stand_in::{host, list, nobody, orders, take, Exchange, Peer, BOUND};
-use crate::{closed, healthy_host, logged, most_memory, Site, LOAD};
+use crate::stand_in::{host, list, orders, refusing_address, take, Exchange, Peer, TEST_TIMEOUT};
+use crate::{closed, healthy_host, logged, peak_memory, Site, HOST_REPORT};
 
-/// Counters of what collectors and strangers got wrong; one that is not there counts nothing.
-const TROUBLES: &[&str] = &["lines_skipped", "connections_refused", "connections_shed", "collectors_closed"];
+/// Counters of invalid input of collectors and unidentified connections; a missing one counts as zero.
+const INVALID_INPUT_COUNTERS: &[&str] =
+    &["lines_skipped", "connections_refused", "connections_shed", "collectors_closed"];
 
-fn troubles(site: &Site) -> u64 {
+fn invalid_inputs(site: &Site) -> u64 {
     site.daemon.counter("connections");
     let log = site.daemon.log();
     let line = log.iter().rev().find(|line| line.contains("counters: ")).expect("the counters");
     let words = line.split([' ', ',']).filter_map(|word| word.split_once('='));
-    let found = words.filter(|(name, _)| TROUBLES.contains(name));
+    let found = words.filter(|(name, _)| INVALID_INPUT_COUNTERS.contains(name));
     found.map(|(_, value)| value.parse::<u64>().expect("a count")).sum()
 }
 
-/// Guards against one spoilt sum taking the collector, the others or the daemon with it.
+/// Guards against one invalid report that closes the collector, or harms other connections or the daemon.
 #[test]
 fn a_spoilt_sum_is_skipped_and_counted_and_the_next_is_taken() {
     let site = Site::up();
@@ -37,8 +38,8 @@
         load("tries=99999999999999999999 failed=1 mean_ms=1 span_ms=1"),
         load("tries=2 failed=1 mean_ms=1 span_ms=1 load=util:-0.1"),
         load("tries=2 failed=1 mean_ms=1 span_ms=1 load=util"),
-        LOAD.trim_end().replace("zone=east", "zone=north"),
-        LOAD.trim_end().replace("s-1", "s-2"),
+        HOST_REPORT.trim_end().replace("zone=east", "zone=north"),
+        HOST_REPORT.trim_end().replace("s-1", "s-2"),
         "RATE proxy=70000 class=look tries=1 failed=0 span_ms=1".into(),
         "RATE proxy=64 class=look tries=1 failed=0 span_ms=1".into(),
         "RATE proxy=1 class=unknown tries=1 failed=0 span_ms=1".into(),
@@ -49,51 +50,51 @@
         collector.write(format!("{line}\r\n").as_bytes());
         let after = site.daemon.counter_reaches("lines_skipped", before + 1);
         assert_eq!(after, before + 1, "{line}");
-        site.still_serves(&mut collector);
+        site.assert_still_serves(&mut collector);
     }
 }
 
-/// Lines that are no message at all.
-const NOISE: [&[u8]; 6] =
+/// Lines that are not messages of the protocol.
+const INVALID_LINES: [&[u8]; 6] =
     [b"", b"HELLO", b"load zone=east", b"{\"op\":\"clear\"}", b"RATE \xff\xfe", b"\0\0\0"];
 
-/// Guards against what is no message at all taking anyone but its sender with it: a stranger is told and counted, a
-/// collector is closed, and the zone's other collector is heard.
+/// Guards against input that is not a message affecting anyone but its sender: an unidentified connection
+/// is answered and counted, a collector is closed, and the zone's other collector is still served.
 #[test]
 fn what_is_no_message_ends_that_connection_alone() {
     let site = Site::up();
     let mut bystander = site.collector();
-    for bytes in NOISE {
+    for bytes in INVALID_LINES {
         let before = site.daemon.counter("connections_refused");
         let mut stranger = site.daemon.dial();
         stranger.write(&[bytes, b"\r\n"].concat());
         assert_eq!(closed(&mut stranger), "NACK\r\n", "{bytes:?}");
         assert_eq!(site.daemon.counter("connections_refused"), before + 1, "{bytes:?}");
         let mut collector = site.collector();
-        collector.write(&[bytes, b"\r\n", LOAD.as_bytes()].concat());
+        collector.write(&[bytes, b"\r\n", HOST_REPORT.as_bytes()].concat());
         assert_eq!(closed(&mut collector), "", "{bytes:?}");
-        site.still_serves(&mut bystander);
+        site.assert_still_serves(&mut bystander);
     }
     assert!(logged(&site.daemon, "closed a connection") >= 1);
 }
 
-/// Guards against collectors that come and are closed again and again while no counter tells of it.
+/// Guards against collectors that connect and are closed again and again without any counter showing it.
 #[test]
 fn a_collector_that_is_closed_for_what_it_sends_is_counted() {
     let site = Site::up();
     let too_long = [b'x'; (1 << 20) + 1];
-    for bytes in NOISE.into_iter().chain([&too_long[..]]) {
-        let before = troubles(&site);
+    for bytes in INVALID_LINES.into_iter().chain([&too_long[..]]) {
+        let before = invalid_inputs(&site);
         let mut collector = site.collector();
         collector.write(&[bytes, b"\r\n"].concat());
         assert_eq!(closed(&mut collector), "");
         let start = &bytes[..bytes.len().min(20)];
-        assert!(troubles(&site) > before, "nothing counts a collector that sent {start:?}");
+        assert!(invalid_inputs(&site) > before, "nothing counts a collector that sent {start:?}");
     }
 }
 
-/// News that can't be used, a line each.
-fn spoilt_news() -> Vec<String> {
+/// Invalid lines of the relay watch.
+fn invalid_watch_lines() -> Vec<String> {
     let joins = |object: Value| json!({"type": "SUBSCRIBE", "object": object}).to_string();
     let applied = |object: Value| json!({"type": "ACK", "object": object}).to_string();
     vec![
@@ -120,26 +121,27 @@
     ]
 }
 
-/// Guards against a line of news that can't be used taking the watch, or the proxies that it told of, with it.
+/// Guards against an invalid line that ends the watch, or removes the proxies that it reported.
 #[test]
 fn spoilt_news_is_skipped_and_counted_and_the_next_is_heard() {
     let site = Site::up();
     let mut collector = site.collector();
     site.watch.joined(0, "east", true);
     site.daemon.counter_reaches("joined", 1);
-    for (place, line) in (1..).zip(spoilt_news()) {
+    for (place, line) in (1..).zip(invalid_watch_lines()) {
         let start: String = line.chars().take(90).collect();
         let before = site.daemon.counter("news_skipped");
-        site.watch.say(&line);
+        site.watch.send_line(&line);
         site.watch.joined(place + 20, "east", true);
         site.daemon.counter_reaches("joined", u64::from(place) + 1);
         assert_eq!(site.daemon.counter("news_skipped"), before + 1, "{start}");
     }
     assert_eq!((site.daemon.counter("left"), site.daemon.counter("watches")), (0, 1));
-    site.still_serves(&mut collector);
+    site.assert_still_serves(&mut collector);
 }
 
-/// Guards against news of proxies that can't be passing uncounted where they leave: settings and relay do not fit.
+/// Guards against not counting the leaving of a proxy whose number is out of range: it shows that settings
+/// and relay do not match.
 #[test]
 fn the_leaving_of_a_proxy_that_is_not_known_is_counted() {
     let site = Site::up();
@@ -149,7 +151,7 @@
     assert_eq!(site.daemon.counter("news_skipped"), 1);
 }
 
-/// Guards against calls that count as taken, or are given up, by an answer that can't be one.
+/// Guards against counting a call as taken, or giving it up, because of an answer that is invalid.
 #[test]
 fn a_spoilt_answer_of_the_relay_is_counted_as_unsure_and_the_call_repeated() {
     let site = Site::up();
@@ -178,18 +180,18 @@
         assert_eq!(orders(&repeat)[..first.len()], first, "{status} {body}");
         take(repeat);
         site.daemon.counter_reaches("calls_unsure", before + 1);
-        site.still_serves(&mut collector);
+        site.assert_still_serves(&mut collector);
     }
     assert_eq!(site.daemon.counter("orders_skipped"), 0);
 }
 
-/// The next call for the list, which may be one after an answer that could not be read.
+/// The next call for the list, which may be one after an invalid answer.
 fn list_call(site: &Site) -> Exchange {
     site.discovery.request("GET /v1/servers")
 }
 
-/// Guards against an answer of discovery that can't be read taking the list that stands with it: it is counted, asked for
-/// again, and what comes then is believed.
+/// Guards against an invalid answer of discovery that discards the current list: it is counted, requested
+/// again, and the next valid answer is used.
 #[test]
 fn a_spoilt_list_is_counted_and_asked_for_again() {
     let site = Site::up();
@@ -221,12 +223,12 @@
         let again = list_call(&site);
         assert!(site.daemon.counter("list_failures") > before, "{body}");
         again.answer(200, &list(2, true, &[host("s-1", at, "east")]).to_string());
-        site.still_serves(&mut collector);
+        site.assert_still_serves(&mut collector);
     }
     assert_eq!(site.daemon.counter("lines_skipped"), 0, "the host was gone for a while");
 }
 
-/// Guards against a good list that is dropped for a row that can't be used, or names a host twice.
+/// Guards against dropping a valid list because one row is invalid or names a host twice.
 #[test]
 fn a_list_with_a_row_that_cannot_be_used_is_used_without_it() {
     let site = Site::up();
@@ -236,21 +238,22 @@
         (vec![host("s-9", at, "north"), good("s-1")], 1),
         (vec![good("s-1"), host("s-9", at, "")], 1),
         (vec![good("s-1"), good("s-1")], 0),
-        (vec![good("s-1"), host("s-1", nobody(), "west"), good("s-1")], 0),
+        (vec![good("s-1"), host("s-1", refusing_address(), "west"), good("s-1")], 0),
     ];
     for (seq, (rows, skipped)) in (2..).zip(lists) {
         let before = site.daemon.counter("list_skipped");
         list_call(&site).answer(200, &list(seq, true, &rows).to_string());
         let next = list_call(&site);
         assert_eq!(site.daemon.counter("list_skipped"), before + skipped, "{rows:?}");
-        site.still_serves(&mut collector);
+        site.assert_still_serves(&mut collector);
         next.answer(200, &list(seq, false, &[]).to_string());
     }
     assert_eq!(site.daemon.counter("lines_skipped"), 0);
 }
 
-/// Guards against orders that no relay can use, and against decisions that panic, where a peer tells figures that can be
-/// read and can't be meant: proxies that join later are bound, to tables whose weights are weights.
+/// Guards against orders that no relay can use, and against panics, where a peer sends numbers that are
+/// well-formed and out of any plausible range: proxies that join later are bound to tables with valid
+/// weights.
 #[test]
 fn figures_beyond_all_measure_break_no_order_and_no_decision() {
     let site = Site::up();
@@ -273,7 +276,7 @@
     list_call(&site).answer(200, &list(u64::MAX, false, &[]).to_string());
     let weighs = |proxy: u16, weight: f64| {
         let object = json!({"proxy": proxy, "zone": "east", "weight": weight, "fresh": true});
-        site.watch.say(&json!({"type": "SUBSCRIBE", "object": object}).to_string());
+        site.watch.send_line(&json!({"type": "SUBSCRIBE", "object": object}).to_string());
     };
     weighs(0, 1e308);
     weighs(1, 1e308);
@@ -302,15 +305,15 @@
         }
     }
     assert_eq!(site.daemon.counter("panics"), 0, "{}", site.daemon.log().join("\n"));
-    site.still_serves(&mut collector);
+    site.assert_still_serves(&mut collector);
 }
 
-/// Guards against a host whose answers to probes can't be read: that probe failed, and others and the next go on.
+/// Guards against an invalid answer to a probe: that probe fails, and other probes continue.
 #[test]
 fn a_spoilt_answer_to_a_probe_is_counted_as_failed() {
     let probed = Peer::listening();
     let rows = [host("s-1", probed.address, "east")];
-    let site = Site::with(|configuration| configuration.knowing(1, &rows));
+    let site = Site::with(|configuration| configuration.with_known_hosts(1, &rows));
     let mut collector = site.collector();
     site.watch.joined(0, "east", true);
     let answers: [&[u8]; 7] = [
@@ -329,24 +332,24 @@
         probe.connection.close();
         site.daemon.counter_reaches("probes_failed", before + 1);
         assert_eq!(site.daemon.counter("probes_passed"), 0, "{answer:?}");
-        site.still_serves(&mut collector);
+        site.assert_still_serves(&mut collector);
     }
     let begun = Instant::now();
     while site.daemon.counter("probes_passed") == 0 {
         probed.request("GET ").answer(200, "");
-        assert!(begun.elapsed() < BOUND, "no probe passes any more");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "no probe passes any more");
     }
 }
 
-/// Guards log and memory against a peer that sends nothing but what can't be used, as fast as it can.
+/// Guards log and memory against a peer that sends only invalid input, as fast as it can.
 #[test]
 fn a_flood_of_spoilt_lines_fills_neither_log_nor_memory() {
     const LINES: u64 = 100_000;
     let site = Site::up();
     let mut collector = site.collector();
-    site.still_serves(&mut collector);
-    let before = most_memory(&site.daemon);
-    let unknown = LOAD.replace("s-1", "s-2");
+    site.assert_still_serves(&mut collector);
+    let before = peak_memory(&site.daemon);
+    let unknown = HOST_REPORT.replace("s-1", "s-2");
     let spoilt =
         format!("LOAD zone=east\r\n{unknown}RATE proxy=70000 class=a tries=1 failed=0 span_ms=1\r\n");
     let news =
@@ -361,8 +364,8 @@
         site.daemon.counter_reaches("news_skipped", skipped + lines);
         let said = logged(&site.daemon, "skipped ") + logged(&site.daemon, "skipped,");
         assert!(said < most, "{said} lines of the log");
-        site.still_serves(&mut collector);
+        site.assert_still_serves(&mut collector);
     }
-    let grown = most_memory(&site.daemon) - before;
+    let grown = peak_memory(&site.daemon) - before;
     assert!(grown < 16 << 20, "{grown} bytes more");
 }
--- a/crates/steward/tests/crossing_connections/relay_connections.rs
+++ b/crates/steward/tests/crossing_connections/relay_connections.rs
@@ -1,28 +1,29 @@
-//! The relay's connections: calls and news beside the end of the connection that they go on.
+//! The relay's connections: calls and watch lines, and the end of the connection that carries them.
 
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
 
-use crate::stand_in::{orders, take, Connection, Exchange, Relay, BOUND};
-use crate::{logged, ping, while_it_stands_still, Site};
+use crate::stand_in::{orders, take, Connection, Exchange, Relay, TEST_TIMEOUT};
+use crate::{logged, ping, while_stopped, Site};
 
-/// The protocol page: a message holds at most that.
-const MOST_BYTES: usize = 1 << 20;
-/// The shortest pause before an unsure call is repeated.
-const AGAIN: Duration = Duration::from_millis(400);
+/// The maximum length of a message by the protocol's documentation.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// The shortest pause before a call with an unknown result is repeated.
+const REPEAT_PAUSE: Duration = Duration::from_millis(400);
 
 fn binds(order: &Value, proxy: u16) -> bool {
     order["op"] == "bind" && order["proxy"] == proxy
 }
 
-/// The next call that binds that proxy, unanswered; those before it are taken.
+/// The next call that binds that proxy, unanswered; calls before it are accepted.
 fn call_that_binds(relay: &Relay, proxy: u16) -> Exchange {
     relay.call_with(|order| binds(order, proxy))
 }
 
-/// Binds the next proxy and takes all calls up to that; fails if one of them binds the former proxy once more.
-fn goes_on_without_binding_again(site: &Site, former: u16, next: u16) -> Connection {
+/// Lets the next proxy join and accepts all calls until it is bound; fails if one of them binds the former
+/// proxy once more.
+fn bind_next_without_rebinding(site: &Site, former: u16, next: u16) -> Connection {
     site.watch.joined(next, "east", true);
     loop {
         let call = site.relay.call();
@@ -35,34 +36,34 @@
     }
 }
 
-/// Guards against an order that is lost, sent twice or taken for unsure because the relay closed a connection that stood
-/// idle: whether that is known before there is something to send or only then.
+/// Guards against losing an order, sending it twice, or counting it as unsure, because the relay closed an
+/// idle connection, whether the daemon notices that before it has something to send or only then.
 #[test]
 fn a_call_on_a_connection_that_the_relay_closed_goes_on_a_new_one_once() {
     let site = Site::up();
-    let mut idle = goes_on_without_binding_again(&site, 63, 0);
+    let mut idle = bind_next_without_rebinding(&site, 63, 0);
     for (former, next, known) in [(0, 1, true), (1, 2, false), (2, 3, true), (3, 4, false)] {
         let number = idle.number;
         if known {
-            idle.finish();
+            idle.half_close();
             assert_eq!(site.relay.peer.closed(number), 0);
-            idle = goes_on_without_binding_again(&site, former, next);
+            idle = bind_next_without_rebinding(&site, former, next);
         } else {
-            while_it_stands_still(&site.daemon, || {
+            while_stopped(&site.daemon, || {
                 site.watch.joined(next, "east", true);
-                idle.finish();
+                idle.half_close();
             });
-            idle = goes_on_without_binding_again(&site, former, next);
+            idle = bind_next_without_rebinding(&site, former, next);
             assert_eq!(site.relay.peer.closed(number), 0, "it was written on the closed connection");
         }
         assert_ne!(idle.number, number);
     }
-    goes_on_without_binding_again(&site, 4, 5);
+    bind_next_without_rebinding(&site, 4, 5);
     assert_eq!(site.daemon.counter("messages_again"), 0);
 }
 
-/// Answers that break off, each by its bytes; `N` stands for the number of orders.
-const BROKEN_OFF: &[&str] = &[
+/// The bytes of answers that break off; `N` stands for the number of orders.
+const TRUNCATED_ANSWERS: &[&str] = &[
     "",
     "HTTP/1.1 2",
     "HTTP/1.1 200 OK\r\ncontent-le",
@@ -71,12 +72,12 @@
     "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nSIZE\r\n{\"taken\":N}\r\n",
 ];
 
-/// Guards against orders that count as taken, or are dropped, because an answer to them began: the relay may or may not
-/// have carried them out, so the call is repeated whole, after the pause, on a new connection.
+/// Guards against counting orders as taken, or dropping them, because an answer began: the relay may or may
+/// not have carried them out, so the call is repeated in whole, after the pause, on a new connection.
 #[test]
 fn an_answer_that_breaks_off_leaves_the_call_unsure_and_it_is_repeated() {
     let site = Site::up();
-    let ways = BROKEN_OFF.iter().flat_map(|answer| [(answer, false), (answer, true)]);
+    let ways = TRUNCATED_ANSWERS.iter().flat_map(|answer| [(answer, false), (answer, true)]);
     for (proxy, (answer, resets)) in (0..).zip(ways) {
         let before = site.daemon.counter("calls_unsure");
         site.watch.joined(proxy, "east", true);
@@ -92,7 +93,7 @@
             false => call.connection.close(),
         }
         let repeat = site.relay.call();
-        assert!(begun.elapsed() >= AGAIN, "{answer:?}: repeated after {:?}", begun.elapsed());
+        assert!(begun.elapsed() >= REPEAT_PAUSE, "{answer:?}: repeated after {:?}", begun.elapsed());
         assert_ne!(repeat.connection.number, number, "{answer:?}");
         assert_eq!(orders(&repeat)[..first.len()], first, "{answer:?}: it is repeated whole and first");
         take(repeat);
@@ -101,7 +102,7 @@
     assert_eq!(ping(&mut site.daemon.dial()), "PONG\r\n");
 }
 
-/// Guards against a call that is repeated although it was answered: the answer's bytes come one by one.
+/// Guards against repeating a call that was answered, where the answer arrives in single bytes.
 #[test]
 fn an_answer_in_single_bytes_is_an_answer() {
     let site = Site::up();
@@ -113,12 +114,12 @@
     for byte in answer.as_bytes() {
         call.connection.write(&[*byte]);
     }
-    let next = goes_on_without_binding_again(&site, 0, 1);
+    let next = bind_next_without_rebinding(&site, 0, 1);
     assert_eq!(next.number, number, "the connection is kept");
 }
 
-/// Guards against an answer that nobody gave: what a relay writes beyond the length that it told is not taken for the
-/// answer to the next call, whether it comes with the answer or when the connection stands idle.
+/// Guards against taking bytes that a relay writes beyond the stated length for the answer to the next
+/// call, whether they arrive with the answer or while the connection is idle.
 #[test]
 fn bytes_beyond_an_answer_do_not_answer_the_next_call() {
     let site = Site::up();
@@ -130,18 +131,18 @@
         let surplus = "HTTP/1.1 200 OK\r\ncontent-length: 11\r\n\r\n{\"taken\":1}".repeat(2);
         let mut connection = call.connection;
         if with_the_answer {
-            while_it_stands_still(&site.daemon, || {
+            while_stopped(&site.daemon, || {
                 site.watch.joined(proxy + 1, "east", true);
                 connection.write(format!("{answer}{surplus}").as_bytes());
             });
         } else {
             connection.write(answer.as_bytes());
-            while_it_stands_still(&site.daemon, || {
+            while_stopped(&site.daemon, || {
                 site.watch.joined(proxy + 1, "east", true);
                 connection.write(surplus.as_bytes());
             });
         }
-        // Left without an answer of its own, it has to come again, and whole.
+        // The call gets no answer of its own, so it has to be repeated, in whole.
         let unanswered = call_that_binds(&site.relay, proxy + 1);
         let first = orders(&unanswered);
         unanswered.connection.close();
@@ -152,8 +153,8 @@
     assert_eq!(site.daemon.counter("calls_refused"), 0);
 }
 
-/// Guards against a proxy without a table because the watch broke between its leaving and its joining again: what is told
-/// of it in each order makes it be bound anew.
+/// Guards against a proxy without a table after the watch broke between its leaving and its joining again:
+/// it is bound again whichever of these the daemon has received.
 #[test]
 fn a_watch_that_breaks_between_leaving_and_joining_binds_the_proxy_again() {
     for (leaving_heard, fresh) in [(true, false), (false, false), (false, true)] {
@@ -166,7 +167,7 @@
             daemon.counter_reaches("left", 1);
             watch.close();
         } else {
-            while_it_stands_still(&daemon, || {
+            while_stopped(&daemon, || {
                 watch.left(0);
                 watch.close();
             });
@@ -178,8 +179,8 @@
     }
 }
 
-/// Guards against half a line that is taken for news, or spoils the first line of the next watch, where the watch breaks
-/// in its midst.
+/// Guards against using an incomplete line, or joining it to the first line of the next watch, where the
+/// watch breaks within a line.
 #[test]
 fn a_watch_that_breaks_in_a_line_tells_nothing_of_it() {
     let line = r#"{"type":"SUBSCRIBE","object":{"proxy":1,"zone":"east","weight":20.0,"fresh":true}}"#;
@@ -189,7 +190,7 @@
         take(call_that_binds(&site.relay, 0));
         let Site { daemon, relay, watch, discovery: _discovery } = site;
         let part = &line[..end];
-        watch.silent();
+        watch.stop_keepalives();
         watch.write(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes());
         watch.close();
         let again = relay.watch();
@@ -201,20 +202,21 @@
     }
 }
 
-/// A line that lets a proxy join, of so many bytes without its end: an unknown word fills it up.
-fn joining_of(bytes: usize, proxy: u16) -> String {
+/// A line of that many bytes that reports a joining proxy, without its line end, padded with an unknown
+/// key.
+fn joined_line_of(bytes: usize, proxy: u16) -> String {
     let start = format!(
         r#"{{"type":"SUBSCRIBE","object":{{"proxy":{proxy},"zone":"east","weight":20.0,"fresh":true}},"pad":""#
     );
     format!("{start}{}\"}}", "x".repeat(bytes - start.len() - 2))
 }
 
-/// Guards against a line that costs the square of its length: nearly the longest message of the protocol, whose last
-/// quarter comes in chunks of a byte each, is heard within the bound, and others are served meanwhile.
+/// Guards against quadratic cost of long lines: a line of nearly the maximum length, whose last quarter
+/// arrives in chunks of one byte, is read within the time limit, and others are served meanwhile.
 #[test]
 fn a_news_line_of_nearly_a_mebibyte_in_single_bytes_holds_nobody_up() {
     let site = Site::up();
-    let line = joining_of(MOST_BYTES - 100, 0);
+    let line = joined_line_of(MAX_MESSAGE_BYTES - 100, 0);
     let (start, rest) = line.split_at(line.len() / 4 * 3);
     let single = |byte: u8| [b'1', b'\r', b'\n', byte, b'\r', b'\n'];
     let mut chunks = format!("{:x}\r\n{start}\r\n", start.len()).into_bytes();
@@ -224,28 +226,28 @@
         let writing = threads.spawn(|| site.watch.write(&chunks));
         while !writing.is_finished() {
             assert_eq!(ping(&mut site.daemon.dial()), "PONG\r\n");
-            if begun.elapsed() > BOUND {
-                // Else what is still being written would hold up the end of the test.
+            if begun.elapsed() > TEST_TIMEOUT {
+                // Otherwise the writing thread would delay the end of the test.
                 site.daemon.signal("-KILL");
                 panic!("it is still being read");
             }
         }
     });
     take(call_that_binds(&site.relay, 0));
-    assert!(begun.elapsed() < BOUND, "{:?}", begun.elapsed());
+    assert!(begun.elapsed() < TEST_TIMEOUT, "{:?}", begun.elapsed());
     assert_eq!(site.daemon.counter("news_skipped"), 0);
 }
 
-/// Guards against news without an end that fills the memory, and against following no news at all after it: a line over the
-/// protocol's size ends the watch, and another is dialled.
+/// Guards against a line without an end that fills the memory, and against having no watch after it: a line
+/// over the maximum length ends the watch, and another is opened.
 #[test]
 fn a_news_line_over_a_mebibyte_ends_the_watch_and_another_is_dialled() {
     let Site { daemon, relay, mut watch, discovery: _discovery } = Site::up();
     for (proxy, ends) in [(0, true), (1, false)] {
-        let line = joining_of(MOST_BYTES + 200_000, 63);
+        let line = joined_line_of(MAX_MESSAGE_BYTES + 200_000, 63);
         let text = if ends { format!("{line}\n") } else { line };
-        watch.silent();
-        // In pieces: in one, the end of the line comes with its beginning.
+        watch.stop_keepalives();
+        // Written in pieces: in one piece, the line end would arrive with the beginning.
         for piece in text.as_bytes().chunks(10_000) {
             let piece = std::str::from_utf8(piece).expect("text");
             watch.write(format!("{:x}\r\n{piece}\r\n", piece.len()).as_bytes());
--- a/crates/steward/tests/crossing_connections/strangers.rs
+++ b/crates/steward/tests/crossing_connections/strangers.rs
@@ -1,4 +1,5 @@
-//! Strangers who flood, say nothing or stop half-way, beside those who have to be served.
+//! Unidentified connections that flood, stay silent or stop half-way, beside connections that have to be
+//! served.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -7,14 +8,14 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use crate::stand_in::{Client, Configuration, Daemon, Peer, Relay, BOUND};
-use crate::{all_is_read, closed, has_said_nothing, logged, ping, Site, LOAD};
+use crate::stand_in::{Client, Configuration, Daemon, Peer, Relay, TEST_TIMEOUT};
+use crate::{closed, logged, nothing_received, ping, wait_until_read, Site, HOST_REPORT};
 
-/// The service page: who has not joined is closed within 3 s; times are 300 ms longer on sockets. A machine with much else
-/// to do may take longer by some seconds.
+/// By the service's documentation a connection that has not identified itself is closed within 3 s;
+/// timeouts are 300 ms longer on sockets. The limit leaves some seconds for a busy machine.
 const CLOSED_WITHIN: Duration = Duration::from_secs(6);
 
-/// Somebody who does the same again and again until told to end.
+/// Threads that repeat an action until told to end.
 struct Flood {
     ends: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -68,23 +69,23 @@
     }
 }
 
-/// Sums of a collector, each followed by a `PING` that has to be answered.
-fn is_heard(site: &Site, collector: &mut Client, rounds: u64) {
+/// Sends reports of a collector, each followed by a `PING` that has to be answered.
+fn assert_reports_read(site: &Site, collector: &mut Client, rounds: u64) {
     let before = site.daemon.counter("lines_taken");
     for _ in 0..rounds {
-        collector.write(LOAD.as_bytes());
+        collector.write(HOST_REPORT.as_bytes());
         assert_eq!(ping(collector), "PONG\r\n");
     }
     site.daemon.counter_reaches("lines_taken", before + rounds);
 }
 
-/// Guards a collector against strangers who come without end, whatever they send: its sums are heard and its `PING`s
-/// answered while the flood goes on, and the log does not fill up.
+/// Guards a collector against any kind of flood of unidentified connections: its reports are read and its
+/// `PING`s answered meanwhile, and the log does not fill up.
 #[test]
 fn a_flood_of_strangers_does_not_keep_a_collector_from_being_heard() {
     let site = Site::up();
     let mut collector = site.collector();
-    is_heard(&site, &mut collector, 1);
+    assert_reports_read(&site, &mut collector, 1);
     let kinds: [fn(SocketAddr); 4] =
         [connects_and_leaves, sends_noise, sends_pings_and_reads_nothing, sends_a_long_line];
     for kind in kinds {
@@ -92,19 +93,19 @@
         let before = site.daemon.counter("connections");
         let flood = Flood::begin(2, site.daemon.listen, kind);
         site.daemon.counter_reaches("connections", before + 20);
-        is_heard(&site, &mut collector, 50);
+        assert_reports_read(&site, &mut collector, 50);
         site.daemon.counter_reaches("connections", before + 200);
         flood.end();
-        assert!(begun.elapsed() < BOUND, "{:?}", begun.elapsed());
+        assert!(begun.elapsed() < TEST_TIMEOUT, "{:?}", begun.elapsed());
     }
     let (lines, seconds) =
         (logged(&site.daemon, "closed a connection"), site.daemon.started.elapsed().as_secs());
     assert!(lines as u64 <= seconds + 2, "{lines} lines in {seconds} s");
-    site.still_serves(&mut collector);
+    site.assert_still_serves(&mut collector);
 }
 
-/// Guards descriptors against strangers who say nothing and those who say a byte now and then: both are closed, counted
-/// from connecting, and a collector that says nothing meanwhile is not.
+/// Guards against running out of descriptors: unidentified connections that are silent, or send a byte now
+/// and then, are closed by their age, and a silent collector is not.
 #[test]
 fn strangers_that_are_silent_or_slow_are_closed_and_a_silent_collector_stays() {
     let site = Site::up();
@@ -113,9 +114,10 @@
     let (mut silent, mut slow) = (site.daemon.dial(), dial(site.daemon.listen).expect("it listens"));
     let begun = Instant::now();
     let drips = std::thread::spawn(move || {
-        // An answer may have come before the end, so writing fails only some bytes after it.
+        // The daemon may have answered before it closed the connection, so writing fails only some
+        // bytes later.
         while slow.write_all(b"P").is_ok() {
-            assert!(begun.elapsed() < BOUND, "a slow stranger still stands");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "a slow stranger still stands");
             std::thread::sleep(Duration::from_millis(100));
         }
         begun.elapsed()
@@ -125,10 +127,11 @@
     let took = drips.join().expect("it is closed");
     assert!(took < CLOSED_WITHIN, "{took:?}");
     site.daemon.counter_reaches("connections_refused", 2);
-    site.still_serves(&mut collector);
+    site.assert_still_serves(&mut collector);
 }
 
-/// Guards collectors against being closed for strangers where descriptors are few: the strangers give way.
+/// Guards against closing collectors in favour of unidentified connections when descriptors are few: the
+/// unidentified ones are closed.
 #[test]
 fn more_strangers_than_descriptors_close_no_collector() {
     let site = Site::with(|configuration| configuration.with("/limits/sockets", 48.into()));
@@ -136,27 +139,27 @@
     let mut other = site.daemon.dial();
     other.write(b"SOURCE zone=west\r\n");
     site.daemon.counter_reaches("connections_joined", 2);
-    // Half of the descriptors are for those who connect. All come while the daemon takes nobody in, so that none of them
-    // has been closed for saying nothing before the last is there.
+    // Half of the descriptors are for new connections. All arrive while the daemon is stopped, so none
+    // has been closed for its silence before the last has arrived.
     let dial_all = || (0..60).map(|_| dial(site.daemon.listen).expect("room in its queue")).collect();
-    let strangers: Vec<TcpStream> = crate::while_it_stands_still(&site.daemon, dial_all);
+    let strangers: Vec<TcpStream> = crate::while_stopped(&site.daemon, dial_all);
     site.daemon.counter_reaches("connections", 62);
     assert!(site.daemon.counter("connections_shed") >= 60 - 24, "{:?}", site.daemon.log());
     assert_eq!(ping(&mut other), "PONG\r\n");
-    is_heard(&site, &mut collector, 10);
+    assert_reports_read(&site, &mut collector, 10);
     drop(strangers);
-    site.still_serves(&mut collector);
+    site.assert_still_serves(&mut collector);
 }
 
-/// Guards against a collector that is closed for strangers because it has not been read yet: it comes ahead of them, in
-/// their midst or behind them, all before the daemon looks.
+/// Guards against closing a collector among many unidentified connections because its first line has not
+/// been read yet: it connects before, amid or after them, all before the daemon runs.
 #[test]
 fn a_collector_that_comes_with_more_strangers_than_descriptors_is_taken() {
     for (ahead, behind) in [(60, 0), (30, 30), (0, 60)] {
         let site = Site::with(|configuration| configuration.with("/limits/sockets", 48.into()));
         let strangers =
             |count| -> Vec<_> { (0..count).map(|_| dial(site.daemon.listen).expect("room")).collect() };
-        let (mut collector, _strangers) = crate::while_it_stands_still(&site.daemon, || {
+        let (mut collector, _strangers) = crate::while_stopped(&site.daemon, || {
             let first = strangers(ahead);
             let collector = site.collector();
             (collector, (first, strangers(behind)))
@@ -168,7 +171,7 @@
     }
 }
 
-/// Guards against a `PING` that is missed because it comes in pieces.
+/// Guards against missing a `PING` that arrives in pieces.
 #[test]
 fn a_ping_in_pieces_is_answered_once() {
     let site = Site::up();
@@ -176,9 +179,9 @@
     for joins in [false, true] {
         let mut client = if joins { site.collector() } else { site.daemon.dial() };
         for piece in ["P", "IN", "G", "\r", "\n"] {
-            assert!(has_said_nothing(&client));
+            assert!(nothing_received(&client));
             client.write(piece.as_bytes());
-            all_is_read(&mut bystander);
+            wait_until_read(&mut bystander);
         }
         assert_eq!(client.line().as_deref(), Some("PONG\r\n"));
         client.stream.shutdown(Shutdown::Write).expect("half-closed");
@@ -186,17 +189,17 @@
     }
 }
 
-/// A daemon whose relay is connected and has not answered for the watch, and that relay.
+/// A daemon whose relay has accepted the connection and not answered the watch request, and that relay.
 fn without_a_watch() -> (Daemon, Relay) {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
-    (Daemon::up(&Configuration::new(relay.address(), discovery.address)), relay)
+    (Daemon::start_and_wait(&Configuration::new(relay.address(), discovery.address)), relay)
 }
 
-/// Answers watch after watch: one that waited too long has been given up by the daemon.
+/// Answers every watch request: the daemon may have abandoned one that waited too long.
 fn answer_watches(relay: Relay) {
     std::thread::spawn(move || {
         let mut stand = Vec::new();
-        while let Some(mut watch) = relay.peer.request_within("GET /watch", BOUND) {
+        while let Some(mut watch) = relay.peer.request_within("GET /watch", TEST_TIMEOUT) {
             watch.connection.begin_chunked();
             watch.connection.chunk("{}\n");
             stand.push(watch);
@@ -204,8 +207,8 @@
     });
 }
 
-/// Guards against being used before orders can reach anyone, and against whoever asked before then and is forgotten: also
-/// one that has closed its own direction meanwhile.
+/// Guards against answering a `PING` before orders can reach proxies, and against forgetting whoever asked
+/// before then, even one that has closed its sending direction meanwhile.
 #[test]
 fn pings_before_the_watch_stands_are_answered_once_it_does() {
     let (daemon, relay) = without_a_watch();
@@ -215,7 +218,7 @@
     half_closed.stream.shutdown(Shutdown::Write).expect("half-closed");
     collector.write(b"SOURCE zone=east\r\nPING\r\n");
     daemon.counter_reaches("pings", 3);
-    assert!([&whole, &half_closed, &collector].into_iter().all(has_said_nothing));
+    assert!([&whole, &half_closed, &collector].into_iter().all(nothing_received));
     answer_watches(relay);
     for client in [&mut whole, &mut half_closed, &mut collector] {
         assert_eq!(client.line().as_deref(), Some("PONG\r\n"));
@@ -224,20 +227,20 @@
     assert_eq!(ping(&mut whole), "PONG\r\n");
 }
 
-/// Guards against an answer that is withheld because the end of the connection came with the question.
+/// Guards against leaving a `PING` unanswered because the connection's end arrived with it.
 #[test]
 fn a_ping_directly_before_fin_is_answered() {
     let site = Site::up();
     let mut client = site.daemon.dial();
-    crate::while_it_stands_still(&site.daemon, || {
+    crate::while_stopped(&site.daemon, || {
         client.write(b"PING\r\nPING\r\n");
         client.stream.shutdown(Shutdown::Write).expect("half-closed");
     });
     assert_eq!(closed(&mut client), "PONG\r\nPONG\r\n");
 }
 
-/// Guards the daemon against somebody who asked before the watch stood and reset the connection since: the answer finds
-/// nobody, and others get theirs.
+/// Guards against harm from a client that sent a `PING` before the watch was open and has reset its
+/// connection since: its answer is discarded, and others get theirs.
 #[test]
 fn a_ping_whose_sender_is_gone_when_the_watch_stands_harms_nobody() {
     let (daemon, relay) = without_a_watch();
--- a/crates/steward/tests/crossing_lifecycle/main.rs
+++ b/crates/steward/tests/crossing_lifecycle/main.rs
@@ -1,6 +1,6 @@
-//! Shutdown, restart and reload beside what else is under way: pairs of events that can cross, on real connections
-//! against the program itself. `docs/crossing-events.md` has the table. Each test forces its order by what its
-//! stand-ins say and withhold.
+//! Shutdown, restart and reload while other events are in progress: pairs of events that can cross, over
+//! real connections to the amberarch binary. `docs/crossing-events.md` has the table. Each test forces the
+//! order of events by what its stand-ins send and withhold.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,12 +16,12 @@
 #[path = "../stand_in/mod.rs"]
 mod stand_in;
 
-/// Between SIGTERM and SIGKILL on the platform.
+/// The platform's time between SIGTERM and SIGKILL.
 const TERM_TO_KILL: Duration = Duration::from_millis(700);
-/// The service page: nine in ten restarted processes are ready within it.
+/// By the service's documentation, nine in ten restarted processes are ready within this time.
 const READY: Duration = Duration::from_secs(10);
 
-/// A host in service that nobody dials in these tests.
+/// A host in service that nobody connects to in these tests.
 fn serving(name: &str) -> Value {
     host(name, SocketAddr::from((Ipv4Addr::LOCALHOST, 9)), "east")
 }
@@ -32,25 +32,26 @@
     row
 }
 
-/// Two hosts are known from the start, in version 7 of the list, and nobody probes them.
+/// Two hosts are known from the start, in version 7 of the list, and are not probed.
 fn configuration(relay: SocketAddr, discovery: SocketAddr) -> Configuration {
     Configuration::new(relay, discovery)
         .with("/settings/policyLimits/mayProbe", json!(false))
-        .knowing(7, &[serving("one"), serving("two")])
+        .with_known_hosts(7, &[serving("one"), serving("two")])
 }
 
-/// A daemon whose proxy 0 is bound, its relay, and the relay's watch.
-fn settled(discovery: &Peer) -> (Daemon, Configuration, Relay, RelayWatch) {
+/// A daemon whose proxy 0 is bound, its configuration, its relay, and the relay watch.
+fn with_bound_proxy(discovery: &Peer) -> (Daemon, Configuration, Relay, RelayWatch) {
     let relay = Relay::listening();
     let configuration = configuration(relay.address(), discovery.address);
-    let daemon = Daemon::up(&configuration);
+    let daemon = Daemon::start_and_wait(&configuration);
     let watch = relay.watch();
     watch.joined(0, "east", true);
     bound(&relay, &[0], "one");
     (daemon, configuration, relay, watch)
 }
 
-/// Takes calls until each of these proxies is bound to a table that holds that host; gives the orders of all of them.
+/// Accepts calls until each of these proxies is bound to a table that contains that host; returns the
+/// orders of all these calls.
 fn bound(relay: &Relay, proxies: &[u16], server: &str) -> Vec<Value> {
     let mut tables: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     let (mut binds, mut seen) = (BTreeMap::new(), Vec::new());
@@ -85,27 +86,27 @@
     seen
 }
 
-/// Takes calls until that host is shut out.
+/// Accepts calls until that host is withdrawn.
 fn withdrawn(relay: &Relay, server: &str) {
     take(relay.call_with(|order| order["op"] == "withdraw" && order["server"] == server));
 }
 
-/// Ended by itself, with exit code 0 and before SIGKILL would come.
-fn ended_well(daemon: &mut Daemon) {
+/// Checks that it ended by itself, with exit code 0 and before the platform would send SIGKILL.
+fn assert_exits_cleanly(daemon: &mut Daemon) {
     let (code, took) = daemon.ended();
     assert_eq!(code, Some(0), "{}", daemon.log().join("\n"));
     assert!(took < TERM_TO_KILL, "{took:?}");
 }
 
-fn terminated_well(daemon: &mut Daemon) {
+fn terminate_cleanly(daemon: &mut Daemon) {
     daemon.signal("-TERM");
-    ended_well(daemon);
+    assert_exits_cleanly(daemon);
 }
 
-/// Holds the daemon still while `what` is done, so that it finds all of that at once.
-fn at_once(daemon: &Daemon, what: impl FnOnce()) {
+/// Stops the daemon (SIGSTOP) while `what` runs, so that it finds all the results at once.
+fn while_stopped(daemon: &Daemon, what: impl FnOnce()) {
     daemon.signal("-STOP");
-    let until = Instant::now() + stand_in::BOUND;
+    let until = Instant::now() + stand_in::TEST_TIMEOUT;
     let state = || {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", daemon.id())).expect("its state");
         stat.rsplit(") ").next().and_then(|rest| rest.chars().next())
@@ -118,17 +119,17 @@
     daemon.signal("-CONT");
 }
 
-/// Waits until the daemon has closed it; gives what it said before.
+/// Waits until the daemon has closed the connection; returns what was received before.
 fn closed(client: &mut Client) -> String {
     let begun = Instant::now();
     let said = client.ended();
-    assert!(begun.elapsed() < stand_in::BOUND, "the connection still stands");
+    assert!(begun.elapsed() < stand_in::TEST_TIMEOUT, "the connection still stands");
     said
 }
 
-/// A counter of the last line, after the end; `asked` times the counters were asked for before.
-fn at_the_end(daemon: &Daemon, asked: usize, name: &str) -> u64 {
-    let line = daemon.says_times("counters: ", asked + 1);
+/// A counter of the line that is logged at the end; the counters were requested `asked` times before.
+fn final_counter(daemon: &Daemon, asked: usize, name: &str) -> u64 {
+    let line = daemon.wait_for_log_count("counters: ", asked + 1);
     let value = line.split(&format!(" {name}=")).nth(1).and_then(|rest| rest.split(' ').next());
     value.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no counter {name} in {line}"))
 }
--- a/crates/steward/tests/crossing_lifecycle/reload.rs
+++ b/crates/steward/tests/crossing_lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP beside lists, calls and news that are under way.
+//! SIGHUP while lists, calls and watch lines are in progress.
 
 use std::net::TcpListener;
 use std::time::Instant;
@@ -6,11 +6,12 @@
 use serde_json::{json, Value};
 
 use crate::stand_in::{
-    list, nobody, orders, take, Configuration, Connection, Daemon, Exchange, Peer, Relay, RelayWatch,
+    list, orders, refusing_address, take, Configuration, Connection, Daemon, Exchange, Peer, Relay,
+    RelayWatch,
 };
-use crate::{at_once, closed, configuration, serving, settled, terminating, withdrawn};
+use crate::{closed, configuration, serving, terminating, while_stopped, with_bound_proxy, withdrawn};
 
-/// Answers a watch with the drain of that host.
+/// Answers a list watch with the drain of that host.
 fn drain(exchange: Exchange, seq: u64, host: &str) -> Connection {
     exchange.answer(200, &list(seq, false, &[terminating(host)]).to_string())
 }
@@ -24,22 +25,22 @@
     Configuration { discovery: discovery.address, ..configuration.clone() }
 }
 
-/// Names a proxy among those that stand, before any sign of life.
-fn stands(watch: &mut Connection, proxy: u16) {
+/// Reports a proxy as part of the watch's initial state, before any keepalive.
+fn report_connected(watch: &mut Connection, proxy: u16) {
     let object = json!({"proxy": proxy, "zone": "east", "weight": 20.0, "fresh": false});
     watch.chunk(&format!("{}\n", json!({"type": "SUBSCRIBE", "object": object})));
 }
 
 fn listening_at(address: std::net::SocketAddr) -> Peer {
-    Peer::on(TcpListener::bind(address).expect("the address is free"))
+    Peer::from_listener(TcpListener::bind(address).expect("the address is free"))
 }
 
-/// Guards against a new discovery that is asked late or whose first word is passed over; and against a watch on the old
-/// one that stays open.
+/// Guards against requesting the list from a new discovery late, ignoring its first answer, or keeping a
+/// watch on the old one open.
 #[test]
 fn a_drain_that_the_new_discovery_tells_at_once_is_carried_out() {
     let (old, new) = (Peer::listening(), Peer::listening());
-    let (daemon, configuration, relay, _watch) = settled(&old);
+    let (daemon, configuration, relay, _watch) = with_bound_proxy(&old);
     let asked = old.request("GET /v1/servers?after=7&");
     reload(&daemon, &moved(&configuration, &new));
     drain(new.request("GET /v1/servers?after=7&"), 8, "one");
@@ -48,10 +49,11 @@
     new.request("GET /v1/servers?after=8&");
 }
 
-/// Two reloads of a daemon, each done by a call, in one of the orders that they can come in.
+/// Runs two reloads of a daemon, each by a call, in one of the possible timings.
 type TwoReloads = fn(&Daemon, &dyn Fn(), &dyn Fn());
 
-/// Guards against a reload that is lost, or undone by the one before it, where two come in quick succession.
+/// Guards against a reload that is lost, or undone by the one before it, where two follow in quick
+/// succession.
 #[test]
 fn the_last_of_two_reloads_holds() {
     let both: [TwoReloads; 3] = [
@@ -61,11 +63,11 @@
         },
         |daemon, first, second| {
             first();
-            daemon.says("a new configuration");
+            daemon.wait_for_log("a new configuration");
             second();
         },
         |daemon, first, second| {
-            at_once(daemon, || {
+            while_stopped(daemon, || {
                 first();
                 second();
             })
@@ -73,14 +75,14 @@
     ];
     for how in both {
         let (old, first, last) = (Peer::listening(), Peer::listening(), Peer::listening());
-        let (daemon, configuration, relay, _watch) = settled(&old);
+        let (daemon, configuration, relay, _watch) = with_bound_proxy(&old);
         let asked = old.request("GET /v1/servers?after=7&");
         let to = |discovery: &Peer| reload(&daemon, &moved(&configuration, discovery));
         how(&daemon, &|| to(&first), &|| to(&last));
         drain(last.request("GET /v1/servers?after=7&"), 8, "one");
         withdrawn(&relay, "one");
         assert_eq!(old.closed(asked.connection.number), 0);
-        // Where the one between was dialled at all, nothing stands there.
+        // If the daemon connected to the discovery in between at all, that connection is closed.
         if let Some(asked) = first.request_within("GET", std::time::Duration::ZERO) {
             first.closed(asked.connection.number);
         }
@@ -88,11 +90,11 @@
     }
 }
 
-/// Guards against a file that can't be used and ends the program, moves something, or floods the log.
+/// Guards against an invalid file that ends the process, changes an address, or floods the log.
 #[test]
 fn a_file_that_can_not_be_used_leaves_the_old_one_in_force() {
     let discovery = Peer::listening();
-    let (daemon, configuration, relay, watch) = settled(&discovery);
+    let (daemon, configuration, relay, watch) = with_bound_proxy(&discovery);
     let asked = discovery.request("GET /v1/servers?after=7&");
     let text = moved(&configuration, &Peer::listening()).text();
     let mut lacking: Value = serde_json::from_str(&text).expect("JSON");
@@ -105,39 +107,40 @@
             None => std::fs::remove_file(daemon.configuration()).expect("a file"),
         }
         daemon.signal("-HUP");
-        daemon.says_times("the new configuration can't be used, the old stays", place + 1);
+        daemon.wait_for_log_count("the new configuration can't be used, the old stays", place + 1);
         assert_eq!(daemon.counter("reloads_failed"), place as u64 + 1);
         let lines = daemon.log().into_iter().filter(|line| line.contains("the new configuration"));
         assert_eq!(lines.count(), place + 1);
     }
     assert_eq!(daemon.counter("reloads"), 0);
-    // All that stood stands.
+    // The former connections are still in use.
     drain(asked, 8, "one");
     withdrawn(&relay, "one");
     watch.joined(1, "east", true);
-    bound_further(&relay, 1);
+    accept_until_bound(&relay, 1);
 }
 
-/// Takes calls until that proxy is bound; its table was filled before.
-fn bound_further(relay: &Relay, proxy: u16) -> Vec<Value> {
+/// Accepts calls until that proxy is bound; its table was filled before.
+fn accept_until_bound(relay: &Relay, proxy: u16) -> Vec<Value> {
     let call = relay.call_with(|order| order["op"] == "bind" && order["proxy"] == json!(proxy));
     let all = orders(&call);
     take(call);
     all
 }
 
-/// Guards against orders that are lost, or overtaken by later ones, where the relay they were written to is left.
+/// Guards against losing orders, or sending later ones first, when the relay that they were written to is
+/// replaced.
 #[test]
 fn a_call_that_is_open_when_the_relay_moves_is_repeated_at_the_new_one() {
     let discovery = Peer::listening();
     let (old, new) = (Relay::listening(), Relay::listening());
     let configuration = configuration(old.address(), discovery.address);
-    let daemon = Daemon::up(&configuration);
+    let daemon = Daemon::start_and_wait(&configuration);
     let watch = old.watch();
     watch.joined(0, "east", true);
     let open = old.call();
     reload(&daemon, &Configuration { relay: new.address(), ..configuration });
-    daemon.says("a new configuration");
+    daemon.wait_for_log("a new configuration");
     let new_watch = new.watch();
     new_watch.joined(0, "east", false);
     let again = new.call();
@@ -147,16 +150,18 @@
     old.peer.closed(watch.number);
 }
 
-/// Guards against news that is lost between two relays, and proxies that count as left because a watch was moved.
+/// Guards against losing watch events between two relays, and against counting proxies as left because the
+/// watch moved.
 #[test]
 fn the_watch_on_the_old_relay_is_heard_until_the_new_one_stands() {
-    let (daemon, configuration, old, watch) = settled(&Peer::listening());
+    let (daemon, configuration, old, watch) = with_bound_proxy(&Peer::listening());
     let new = Relay::listening();
     reload(&daemon, &Configuration { relay: new.address(), ..configuration });
-    // Dialled and not answered: what the old one says holds, and orders go to the new one.
+    // The new relay is connected and has not answered: the old one's watch is in force, and orders go
+    // to the new one.
     let mut dialled = new.peer.request("GET /watch");
     watch.joined(1, "east", true);
-    bound_further(&new, 1);
+    accept_until_bound(&new, 1);
     dialled.connection.begin_chunked();
     for proxy in [0, 1] {
         let stands = json!({"type": "SUBSCRIBE", "object": {"proxy": proxy, "zone": "east", "weight": 20.0, "fresh": false}});
@@ -167,138 +172,141 @@
     dialled.connection.chunk(
         "{\"type\":\"SUBSCRIBE\",\"object\":{\"proxy\":2,\"zone\":\"east\",\"weight\":20.0,\"fresh\":true}}\n",
     );
-    bound_further(&new, 2);
+    accept_until_bound(&new, 2);
     assert_eq!(daemon.counter("left"), 0);
 }
 
-/// Guards against news that stays with a relay which was named for a moment and never answers.
+/// Guards against staying with a relay that was configured for a moment and never answers.
 #[test]
 fn a_relay_that_is_named_for_a_moment_and_is_silent_keeps_nobody_from_the_last() {
-    let (daemon, configuration, old, watch) = settled(&Peer::listening());
+    let (daemon, configuration, old, watch) = with_bound_proxy(&Peer::listening());
     let (silent, last) = (Relay::listening(), Relay::listening());
     reload(&daemon, &Configuration { relay: silent.address(), ..configuration.clone() });
     let dialled = silent.peer.request("GET /watch");
     reload(&daemon, &Configuration { relay: last.address(), ..configuration });
-    daemon.says_times("a new configuration", 2);
+    daemon.wait_for_log_count("a new configuration", 2);
     let moved = Instant::now();
-    // Until then the first one is heard, and orders go to the last.
+    // Until then the watch of the first relay is in force, and orders go to the last.
     watch.joined(1, "east", true);
-    bound_further(&last, 1);
+    accept_until_bound(&last, 1);
     let last_watch = last.watch();
     println!("the last relay's news was asked for {:?} after it was named", moved.elapsed());
     last_watch.joined(2, "east", true);
-    bound_further(&last, 2);
+    accept_until_bound(&last, 2);
     old.peer.closed(watch.number);
     silent.peer.closed(dialled.connection.number);
 }
 
-/// Guards against a daemon that waits for the old relay's news, which has broken, before it takes the new one's.
+/// Guards against waiting for the old relay's watch, which has broken, before the new one's is used.
 #[test]
 fn the_news_of_the_new_relay_is_taken_where_the_old_one_breaks_meanwhile() {
-    let (daemon, configuration, _old, watch) = settled(&Peer::listening());
+    let (daemon, configuration, _old, watch) = with_bound_proxy(&Peer::listening());
     let new = Relay::listening();
     reload(&daemon, &Configuration { relay: new.address(), ..configuration });
     let mut dialled = new.peer.request("GET /watch");
     watch.reset();
     dialled.connection.begin_chunked();
-    stands(&mut dialled.connection, 1);
-    bound_further(&new, 1);
+    report_connected(&mut dialled.connection, 1);
+    accept_until_bound(&new, 1);
 }
 
-/// Guards against an answer that is lost because discovery moved before it was read: it counts as told, and the new
-/// address may never say it again.
+/// Guards against losing an answer because discovery moved before it was read: discovery counts it as
+/// delivered, and the new address may never repeat it.
 #[test]
 fn an_answer_that_was_written_before_discovery_moved_is_heard() {
     let (old, new) = (Peer::listening(), Peer::listening());
-    let (daemon, configuration, relay, _watch) = settled(&old);
+    let (daemon, configuration, relay, _watch) = with_bound_proxy(&old);
     let asked = old.request("GET /v1/servers?after=7&");
     let number = asked.connection.number;
-    at_once(&daemon, || {
+    while_stopped(&daemon, || {
         drain(asked, 8, "one");
         reload(&daemon, &moved(&configuration, &new));
     });
     withdrawn(&relay, "one");
     assert_eq!(old.closed(number), 0);
-    // What it told is not asked for once more.
+    // What was received is not requested again.
     new.request("GET /v1/servers?after=8&");
     assert_eq!(daemon.counter("list_answers"), 1);
 }
 
-/// Guards against an old discovery that is heard beside the new one, and a change that is taken twice.
+/// Guards against using the old discovery beside the new one, and applying a change twice.
 #[test]
 fn an_answer_that_the_old_discovery_writes_after_the_move_is_not_heard() {
     let (old, new) = (Peer::listening(), Peer::listening());
-    let (daemon, configuration, relay, _watch) = settled(&old);
+    let (daemon, configuration, relay, _watch) = with_bound_proxy(&old);
     let asked = old.request("GET /v1/servers?after=7&");
     let number = asked.connection.number;
     reload(&daemon, &moved(&configuration, &new));
-    let asked_anew = new.request("GET /v1/servers?after=7&");
+    let asked_new = new.request("GET /v1/servers?after=7&");
     assert_eq!(old.closed(number), 0);
     drain(asked, 9, "two");
-    drain(asked_anew, 8, "one");
+    drain(asked_new, 8, "one");
     withdrawn(&relay, "one");
     new.request("GET /v1/servers?after=8&");
     assert_eq!(daemon.counter("list_answers"), 1);
 }
 
-/// Guards against half an answer that is taken, or whose version is, because discovery moved before the rest came.
+/// Guards against using an incomplete answer, or its version, because discovery moved before the rest
+/// arrived.
 #[test]
 fn half_an_answer_of_the_old_discovery_is_asked_for_at_the_new_one() {
     let (old, new) = (Peer::listening(), Peer::listening());
-    let (daemon, configuration, relay, _watch) = settled(&old);
+    let (daemon, configuration, relay, _watch) = with_bound_proxy(&old);
     let mut asked = old.request("GET /v1/servers?after=7&");
     let body = list(8, false, &[terminating("one")]).to_string();
     asked.connection.begin_chunked();
     asked.connection.chunk(&body[..body.len() / 2]);
-    // What came before this signal was there when the daemon looked at its connections.
+    // What arrived before this signal was available when the daemon polled its connections.
     daemon.counter("list_asks");
     reload(&daemon, &moved(&configuration, &new));
-    let asked_anew = new.request("GET /v1/servers?after=7&");
+    let asked_new = new.request("GET /v1/servers?after=7&");
     assert_eq!(old.closed(asked.connection.number), 0);
-    drain(asked_anew, 8, "one");
+    drain(asked_new, 8, "one");
     withdrawn(&relay, "one");
 }
 
-/// Guards against a list that is given up because the new discovery is down, and against one that is not asked again.
+/// Guards against discarding the list because the new discovery is down, and against not requesting it
+/// again.
 #[test]
 fn the_old_list_stands_while_the_new_discovery_is_dead() {
     let old = Peer::listening();
-    let (daemon, configuration, relay, watch) = settled(&old);
+    let (daemon, configuration, relay, watch) = with_bound_proxy(&old);
     old.request("GET /v1/servers?after=7&");
-    let dead = nobody();
+    let dead = refusing_address();
     reload(&daemon, &Configuration { discovery: dead, ..configuration });
-    daemon.says_times("a call for the list failed", 2);
+    daemon.wait_for_log_count("a call for the list failed", 2);
     watch.joined(1, "east", true);
-    bound_further(&relay, 1);
+    accept_until_bound(&relay, 1);
     let new = listening_at(dead);
     drain(new.request("GET /v1/servers?after=7&"), 8, "one");
     withdrawn(&relay, "one");
 }
 
-/// Guards against news that is not heard, and orders that are lost, while the new relay is down.
+/// Guards against missing watch events and losing orders while the new relay is down.
 #[test]
 fn orders_wait_and_the_old_news_is_heard_while_the_new_relay_is_dead() {
-    let (daemon, configuration, old, watch) = settled(&Peer::listening());
-    let dead = nobody();
+    let (daemon, configuration, old, watch) = with_bound_proxy(&Peer::listening());
+    let dead = refusing_address();
     reload(&daemon, &Configuration { relay: dead, ..configuration });
-    daemon.says("no news yet");
+    daemon.wait_for_log("no news yet");
     watch.joined(1, "east", true);
-    daemon.says("how: not sent");
+    daemon.wait_for_log("how: not sent");
     let new = Relay { peer: listening_at(dead) };
-    bound_further(&new, 1);
+    accept_until_bound(&new, 1);
     let new_watch: RelayWatch = new.watch();
     new_watch.joined(0, "east", false);
     new_watch.joined(1, "east", false);
     old.peer.closed(watch.number);
     new_watch.joined(2, "east", true);
-    bound_further(&new, 2);
+    accept_until_bound(&new, 2);
 }
 
-/// Guards against a reload that takes over half of another deployment: names that lines, lists and orders use.
+/// Guards against a reload that applies a part of another deployment: names that reports, lists and orders
+/// use.
 #[test]
 fn a_reload_takes_over_the_two_addresses_alone() {
     let (old, new) = (Peer::listening(), Peer::listening());
-    let (daemon, configuration, relay, watch) = settled(&old);
+    let (daemon, configuration, relay, watch) = with_bound_proxy(&old);
     let mut other = moved(&configuration, &new)
         .with("/name", json!("another"))
         .with("/settings/dcs", json!(["north", "south"]))
@@ -308,9 +316,9 @@
         .with("/settings/familyInfo/agents", json!(1))
         .with("/settings/rules/askWithin", json!(4_000_000_000_u64))
         .with("/known", list(90, true, &[]));
-    other.listen = nobody();
+    other.listen = refusing_address();
     reload(&daemon, &other);
-    // The version of the list and the wait are those of the old file.
+    // The version of the list and the wait time are those of the old file.
     let asked = new.request("GET /v1/servers?after=7&wait_ms=5000");
     let mut collector = daemon.dial();
     collector.write(b"SOURCE zone=east\r\nRATE proxy=0 class=look tries=19 failed=0 span_ms=1000.0\r\n");
@@ -320,7 +328,7 @@
     assert_eq!(closed(&mut stranger), "NACK\r\n");
     asked.answer(200, &list(8, false, &[serving("three")]).to_string());
     watch.joined(1, "east", true);
-    let orders = bound_further(&relay, 1);
+    let orders = accept_until_bound(&relay, 1);
     assert!(!orders.iter().any(|order| order.to_string().contains("browse")), "{orders:?}");
     assert_eq!(daemon.counter("lines_skipped"), 0);
     assert_eq!(daemon.counter("news_skipped"), 0);
--- a/crates/steward/tests/crossing_lifecycle/restart.rs
+++ b/crates/steward/tests/crossing_lifecycle/restart.rs
@@ -1,4 +1,4 @@
-//! A start beside the process before it, beside its own signals, and beside a discovery that does not answer.
+//! A start while the former process still runs, while signals arrive, and while discovery does not answer.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -10,21 +10,22 @@
 use serde_json::{json, Value};
 
 use crate::stand_in::{
-    address, list, nobody, orders, take, Client, Configuration, Daemon, Peer, Relay, BOUND,
+    address, list, orders, refusing_address, take, Client, Configuration, Daemon, Peer, Relay, TEST_TIMEOUT,
 };
 use crate::{
-    at_once, at_the_end, bound, closed, configuration, ended_well, serving, settled, terminated_well, READY,
+    assert_exits_cleanly, bound, closed, configuration, final_counter, serving, terminate_cleanly,
+    while_stopped, with_bound_proxy, READY,
 };
 
-/// Opening a FIFO for writing fails until somebody has opened it for reading.
+/// Makes opening a FIFO for writing fail until somebody has opened it for reading.
 const O_NONBLOCK: i32 = 0o4_000;
 
-/// A daemon that is reading its configuration, which is a FIFO, and the FIFO to write it to.
+/// A daemon that is reading its configuration from a FIFO, and the FIFO to write it to.
 fn reading_its_configuration(configuration: &Configuration) -> (Daemon, File) {
     let daemon = Daemon::start_from(configuration, |path| {
         assert!(Command::new("mkfifo").arg(path).status().expect("a FIFO").success());
     });
-    let until = Instant::now() + BOUND;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let opened = OpenOptions::new().write(true).custom_flags(O_NONBLOCK).open(daemon.configuration());
         match opened {
@@ -35,21 +36,21 @@
     }
 }
 
-/// Guards against a signal that kills a program which does not hear it yet.
+/// Guards against a signal that kills a process which has not installed its handlers yet.
 #[test]
 fn a_sigterm_before_the_configuration_is_read_is_an_end_and_no_crash() {
     for signal in ["-TERM", "-INT"] {
-        let configuration = configuration(nobody(), nobody());
+        let configuration = configuration(refusing_address(), refusing_address());
         let (mut daemon, mut fifo) = reading_its_configuration(&configuration);
         daemon.signal(signal);
-        // Where it has ended already nobody takes this.
+        // If the process has ended already, nobody reads this.
         let _ = fifo.write_all(configuration.text().as_bytes());
         drop(fifo);
-        ended_well(&mut daemon);
+        assert_exits_cleanly(&mut daemon);
     }
 }
 
-/// Guards against a reload that kills a program which is starting, or that it forgets.
+/// Guards against a reload signal that kills a starting process, or is forgotten.
 #[test]
 fn a_sighup_before_the_configuration_is_read_is_a_reload_after_the_start() {
     let (relay, first, second) = (Relay::listening(), Peer::listening(), Peer::listening());
@@ -60,26 +61,26 @@
     daemon.rewrite(&moved.text());
     let _ = fifo.write_all(configuration.text().as_bytes());
     drop(fifo);
-    daemon.says(" started, ");
-    daemon.says("a new configuration");
+    daemon.wait_for_log(" started, ");
+    daemon.wait_for_log("a new configuration");
     second.request("GET /v1/servers");
-    terminated_well(&mut daemon);
+    terminate_cleanly(&mut daemon);
 }
 
-/// Guards against a restart that fails because the former process still holds the address.
+/// Guards against a restart that fails because the former process still listens at the address.
 #[test]
 fn a_process_whose_former_one_holds_the_address_is_ready_soon_after_its_end() {
     let discovery = Peer::listening();
-    let (mut former, configuration, relay, _watch) = settled(&discovery);
+    let (mut former, configuration, relay, _watch) = with_bound_proxy(&discovery);
     let new_relay = Relay::listening();
     let new = Daemon::start(&Configuration { relay: new_relay.address(), ..configuration });
-    new.says("is held by another process");
-    // The former one is as it was: it answers, and has lost neither its watch nor a proxy.
+    new.wait_for_log("is held by another process");
+    // The former process is unaffected: it answers, and has lost neither its watch nor a proxy.
     former.ready();
     assert!(relay.peer.request_within("GET /watch", Duration::ZERO).is_none());
     assert_eq!(former.counter("left"), 0);
     let ended = Instant::now();
-    terminated_well(&mut former);
+    terminate_cleanly(&mut former);
     let _new_watch = new_relay.watch();
     new.ready();
     println!("ready {:?} after the end of the former process", ended.elapsed());
@@ -90,33 +91,33 @@
 #[test]
 fn a_sigterm_while_another_process_holds_the_address_is_an_end_and_no_crash() {
     for signal in ["-TERM", "-INT"] {
-        // Bound once: a port that is let go in between may be another test's by then.
+        // Bound once and kept: a port that is released in between may be taken by another test.
         let held = TcpListener::bind((address::own(), 0)).expect("an address");
         let listen = held.local_addr().expect("its address");
-        let configuration = Configuration { listen, ..configuration(nobody(), nobody()) };
+        let configuration = Configuration { listen, ..configuration(refusing_address(), refusing_address()) };
         let mut daemon = Daemon::start(&configuration);
-        daemon.says("is held by another process");
+        daemon.wait_for_log("is held by another process");
         daemon.signal(signal);
-        ended_well(&mut daemon);
+        assert_exits_cleanly(&mut daemon);
     }
 }
 
-/// Guards against a reload that is lost, or ends the program, while it waits for its address.
+/// Guards against a reload that is lost, or ends the process, while it waits for its address.
 #[test]
 fn a_sighup_while_another_process_holds_the_address_is_a_reload_after_the_start() {
     let (relay, first, second) = (Relay::listening(), Peer::listening(), Peer::listening());
     let configuration = configuration(relay.address(), first.address);
     let held = TcpListener::bind(configuration.listen).expect("the address");
     let daemon = Daemon::start(&configuration);
-    daemon.says("is held by another process");
+    daemon.wait_for_log("is held by another process");
     daemon.rewrite(&Configuration { discovery: second.address, ..configuration }.text());
     daemon.signal("-HUP");
     drop(held);
-    daemon.says("a new configuration");
+    daemon.wait_for_log("a new configuration");
     second.request("GET /v1/servers");
 }
 
-/// Starts it again where it was, and waits until it is ready.
+/// Starts the daemon again at its address, and waits until it is ready.
 fn ready_again(configuration: &Configuration, relay: &Relay) -> Daemon {
     let daemon = Daemon::start(configuration);
     let _watch = relay.watch();
@@ -125,13 +126,13 @@
     daemon
 }
 
-/// Guards against a start that fails because connections of the killed process still stand.
+/// Guards against a start that fails because connections of the killed process are still open.
 #[test]
 fn a_kill_right_after_connections_were_taken_leaves_the_address_free() {
-    let (daemon, configuration, relay, _watch) = settled(&Peer::listening());
+    let (daemon, configuration, relay, _watch) = with_bound_proxy(&Peer::listening());
     let mut clients: Vec<Client> = vec![daemon.dial()];
     daemon.counter_reaches("connections", 1);
-    // This one is known to the kernel alone.
+    // This connection is accepted by the kernel only.
     daemon.signal("-STOP");
     clients.push(daemon.dial());
     drop(daemon);
@@ -139,12 +140,12 @@
     assert!(clients.iter_mut().all(|client| closed(client).is_empty()));
 }
 
-/// Guards against a start that takes over what the killed process had under way, or that its calls hold up.
+/// Guards against a start that repeats what the killed process had in progress, or is blocked by its calls.
 #[test]
 fn a_kill_right_after_a_call_was_written_leaves_the_address_free() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
     let configuration = configuration(relay.address(), discovery.address);
-    let daemon = Daemon::up(&configuration);
+    let daemon = Daemon::start_and_wait(&configuration);
     let watch = relay.watch();
     watch.joined(0, "east", true);
     let call = relay.call();
@@ -153,13 +154,13 @@
     ready_again(&configuration, &relay);
 }
 
-/// Guards against proxies that are passed over because they joined before there was a host to bind them to.
+/// Guards against ignoring proxies that joined before there was a host to bind them to.
 #[test]
 fn proxies_that_join_before_the_first_list_are_bound_once_it_comes() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
     let configuration = Configuration::new(relay.address(), discovery.address)
         .with("/settings/policyLimits/mayProbe", json!(false));
-    let daemon = Daemon::up(&configuration);
+    let daemon = Daemon::start_and_wait(&configuration);
     let asked = discovery.request("GET /v1/servers");
     let watch = relay.watch();
     watch.joined(0, "east", false);
@@ -174,12 +175,13 @@
     orders.iter().find(|order| order["op"] == "mark")?["nonce_out"].as_u64()
 }
 
-/// Whom the orders bind.
+/// The proxies that the orders bind.
 fn binds(orders: &[Value]) -> Vec<u64> {
     orders.iter().filter(|order| order["op"] == "bind").filter_map(|order| order["proxy"].as_u64()).collect()
 }
 
-/// So slow a channel that its queue holds the bind of one proxy: that of another waits for an answer to its mark.
+/// A channel so slow that its queue has room for the bind of one proxy only: the next bind waits for the
+/// acknowledgement of a mark.
 fn narrow_channel(relay: &Relay, discovery: &Peer, seed: &str) -> Configuration {
     configuration(relay.address(), discovery.address)
         .with("/seed", json!(seed))
@@ -187,15 +189,16 @@
         .with("/settings/familyInfo/backlog", json!(26.0))
 }
 
-/// Guards against answers to marks of the former process that count as answers to the same numbers of this one.
+/// Guards against acknowledgements for the former process that count for marks of this process with the
+/// same numbers.
 #[test]
 fn answers_to_marks_of_the_former_process_change_nothing() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
     // Both proxies join before the first of them is bound.
     let first_call = |configuration: &Configuration| {
-        let daemon = Daemon::up(configuration);
+        let daemon = Daemon::start_and_wait(configuration);
         let watch = relay.watch();
-        at_once(&daemon, || {
+        while_stopped(&daemon, || {
             watch.joined(0, "east", true);
             watch.joined(1, "east", true);
         });
@@ -216,14 +219,14 @@
     let calls = daemon.counter("calls");
     watch.applied(bound, foreign);
     daemon.counter_reaches("applied", 1);
-    // What was decided on that answer is a call by now.
+    // Any order that resulted from that acknowledgement would have been sent by now.
     assert_eq!(daemon.counter("calls"), calls, "the queue counts as emptied");
     assert!(relay.peer.request_within("POST /txn", Duration::ZERO).is_none());
     watch.applied(bound, own);
     take(relay.call_with(|order| order["op"] == "bind" && order["proxy"] == json!(1 - bound)));
 }
 
-/// Guards against a start that is not ready before it has the list.
+/// Guards against a start that is ready only once it has the list.
 #[test]
 fn a_start_is_ready_whatever_discovery_says_and_withholds() {
     let ready_with = |how: &str, discovery: SocketAddr, then: &dyn Fn()| {
@@ -240,11 +243,11 @@
     drop(ready_with("accepts and says nothing", silent.address, &|| {
         silent.connected();
     }));
-    drop(ready_with("refuses", nobody(), &|| {}));
+    drop(ready_with("refuses", refusing_address(), &|| {}));
     let errs = Peer::listening();
     let decline = || drop(errs.request("GET /v1/servers").answer(503, ""));
     drop(ready_with("answers 503", errs.address, &decline));
-    // Half of its answer comes before the daemon is ready, the rest after.
+    // Half of the answer arrives before the daemon is ready, the rest afterwards.
     let slow = Peer::listening();
     let body = list(9, true, &[serving("one")]).to_string();
     let rest = std::cell::RefCell::new(None);
@@ -257,10 +260,11 @@
     let mut connection = rest.take().expect("a connection");
     connection.chunk(&body[body.len() / 2..]);
     connection.write(b"0\r\n\r\n");
-    daemon.says("seq: 9");
+    daemon.wait_for_log("seq: 9");
 }
 
-/// Guards against a relay or a machine at whose start many processes start, of which some then wait for long.
+/// Guards against long waits of some processes where many start at the same time beside one relay on one
+/// machine.
 #[test]
 fn nine_in_ten_of_thirty_processes_that_start_at_once_are_ready_in_time() {
     const PROCESSES: usize = 30;
@@ -280,7 +284,7 @@
     println!("the slowest of {PROCESSES} processes was ready after {:?}", ready[PROCESSES - 1].1);
     assert!(ready[PROCESSES * 9 / 10 - 1].1 < READY, "{:?}", ready[PROCESSES * 9 / 10 - 1].1);
     let mut last = ready.pop().expect("thirty").0;
-    terminated_well(&mut last);
-    assert_eq!(at_the_end(&last, 0, "panics"), 0);
+    terminate_cleanly(&mut last);
+    assert_eq!(final_counter(&last, 0, "panics"), 0);
     assert!(TcpStream::connect(last.listen).is_err());
 }
--- a/crates/steward/tests/crossing_lifecycle/shutdown.rs
+++ b/crates/steward/tests/crossing_lifecycle/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM beside what else is under way.
+//! SIGTERM while other events are in progress.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,12 +11,15 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::stand_in::{
-    address, host, list, nobody, take, Client, Configuration, Connection, Daemon, Peer, Relay, RelayWatch,
-    BOUND,
+    address, host, list, refusing_address, take, Client, Configuration, Connection, Daemon, Peer, Relay,
+    RelayWatch, TEST_TIMEOUT,
+};
+use crate::{
+    assert_exits_cleanly, closed, configuration, final_counter, serving, terminate_cleanly, while_stopped,
+    with_bound_proxy,
 };
-use crate::{at_once, at_the_end, closed, configuration, ended_well, serving, settled, terminated_well};
 
-/// Reads the request for news that comes there, and answers the head of the news.
+/// Reads the watch request on that connection, and writes the head of its answer.
 fn watch_on(mut stream: TcpStream) -> RelayWatch {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -29,49 +32,49 @@
     RelayWatch::new(connection)
 }
 
-/// Guards against an end that waits for an answer.
+/// Guards against a shutdown that waits for an answer.
 #[test]
 fn a_call_that_was_written_and_is_unanswered_holds_no_end_up() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
-    let mut daemon = Daemon::up(&configuration(relay.address(), discovery.address));
+    let mut daemon = Daemon::start_and_wait(&configuration(relay.address(), discovery.address));
     let watch = relay.watch();
     watch.joined(0, "east", true);
     let call = relay.call();
-    terminated_well(&mut daemon);
+    terminate_cleanly(&mut daemon);
     assert_eq!(relay.peer.closed(call.connection.number), 0);
 }
 
-/// Guards against an end that first reads what has come, or repeats a call that was answered.
+/// Guards against a shutdown that first reads what has arrived, or repeats a call that was answered.
 #[test]
 fn a_call_that_was_answered_and_is_unread_holds_no_end_up() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
-    let mut daemon = Daemon::up(&configuration(relay.address(), discovery.address));
+    let mut daemon = Daemon::start_and_wait(&configuration(relay.address(), discovery.address));
     let watch = relay.watch();
     watch.joined(0, "east", true);
     let call = relay.call();
     let number = call.connection.number;
-    at_once(&daemon, || {
+    while_stopped(&daemon, || {
         take(call);
         daemon.signal("-TERM");
     });
-    ended_well(&mut daemon);
+    assert_exits_cleanly(&mut daemon);
     assert_eq!(relay.peer.closed(number), 0);
 }
 
-/// Guards against an end that tries on until the relay takes the call.
+/// Guards against a shutdown that retries until the relay accepts the call.
 #[test]
 fn a_call_that_the_relay_refuses_to_connect_for_holds_no_end_up() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
-    let mut daemon = Daemon::up(&configuration(relay.address(), discovery.address));
+    let mut daemon = Daemon::start_and_wait(&configuration(relay.address(), discovery.address));
     let watch = relay.watch();
     relay.peer.refuse();
     watch.joined(0, "east", true);
-    daemon.says("how: not sent");
-    terminated_well(&mut daemon);
-    assert_eq!(at_the_end(&daemon, 0, "calls_unsure"), 0);
+    daemon.wait_for_log("how: not sent");
+    terminate_cleanly(&mut daemon);
+    assert_eq!(final_counter(&daemon, 0, "calls_unsure"), 0);
 }
 
-/// Guards against an end that waits for a connection to come up.
+/// Guards against a shutdown that waits until a connection is established.
 #[test]
 fn a_call_that_the_relay_takes_no_connection_for_holds_no_end_up() {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -79,19 +82,19 @@
     socket.listen(0).expect("it listens");
     let listening = TcpListener::from(socket);
     let at = listening.local_addr().expect("an address");
-    let mut daemon = Daemon::up(&configuration(at, Peer::listening().address));
+    let mut daemon = Daemon::start_and_wait(&configuration(at, Peer::listening().address));
     let watch = watch_on(listening.accept().expect("a watch").0);
-    // This one waits to be accepted, for good, so there is no room for another.
+    // This connection is never accepted, so the listener's queue has no room for another.
     let _waiting = TcpStream::connect(at).expect("room for one");
     watch.joined(0, "east", true);
-    daemon.says("the connection did not come up");
-    terminated_well(&mut daemon);
-    assert_eq!(at_the_end(&daemon, 0, "calls_unsure"), 0);
+    daemon.wait_for_log("the connection did not come up");
+    terminate_cleanly(&mut daemon);
+    assert_eq!(final_counter(&daemon, 0, "calls_unsure"), 0);
 }
 
-/// A relay whose watch stands and names a proxy. It reads no call, and its window and segments are so small that a long
-/// one does not fit into what the kernels of both sides hold: the daemon can't write all of it. The connections that
-/// carry calls come by the channel.
+/// A relay with an open watch that reports one joined proxy. It reads no call, and its window and segments
+/// are so small that a long call does not fit into the kernel buffers of both sides, so the daemon can't
+/// write all of it. The connections that carry calls are sent to the channel.
 fn narrow_relay() -> (SocketAddr, Receiver<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(1).expect("an option");
@@ -105,7 +108,7 @@
         let mut watches = Vec::new();
         for stream in listening.incoming().flatten() {
             let mut first = [0; 4];
-            stream.set_read_timeout(Some(BOUND)).expect("a time limit");
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
             while matches!(stream.peek(&mut first), Ok(1..4)) {
                 std::thread::yield_now();
             }
@@ -121,8 +124,9 @@
     (at, calls)
 }
 
-/// The length that the head of a request promises, and how much of its body came before the end of the connection.
-fn promised_and_came(mut stream: TcpStream) -> (usize, usize) {
+/// The length that the head of a request states, and how much of its body arrived before the end of the
+/// connection.
+fn stated_and_received(mut stream: TcpStream) -> (usize, usize) {
     let mut came = Vec::new();
     let _ = stream.read_to_end(&mut came);
     let head = came.windows(4).position(|four| four == b"\r\n\r\n").map_or(came.len(), |at| at + 4);
@@ -132,46 +136,48 @@
     (promised.expect("a length"), came.len() - head)
 }
 
-/// Guards against an end that writes on until the relay reads, and against a call that is closed as if it were whole.
+/// Guards against a shutdown that keeps writing until the relay reads, and against closing an incomplete
+/// call as if it were complete.
 #[test]
 fn a_call_that_is_half_written_holds_no_end_up_and_never_becomes_whole() {
     let (at, calls) = narrow_relay();
-    let hosts: Vec<Value> = (0..12).map(|place| host(&format!("{place:08000}"), nobody(), "east")).collect();
-    let configuration = configuration(at, Peer::listening().address).knowing(7, &hosts);
-    let mut daemon = Daemon::up(&configuration);
-    let first = calls.recv_timeout(BOUND).expect("a call");
-    terminated_well(&mut daemon);
+    let hosts: Vec<Value> =
+        (0..12).map(|place| host(&format!("{place:08000}"), refusing_address(), "east")).collect();
+    let configuration = configuration(at, Peer::listening().address).with_known_hosts(7, &hosts);
+    let mut daemon = Daemon::start_and_wait(&configuration);
+    let first = calls.recv_timeout(TEST_TIMEOUT).expect("a call");
+    terminate_cleanly(&mut daemon);
     for call in std::iter::once(first).chain(calls.try_iter()) {
-        let (promised, came) = promised_and_came(call);
+        let (promised, came) = stated_and_received(call);
         assert!(promised > 30_000, "the call is small, {promised}");
         assert!(came < promised, "all {came} of {promised} bytes came");
     }
 }
 
-/// Guards against half a line that is taken for a whole one when its connection ends with the program.
+/// Guards against accepting an incomplete line when its connection ends with the process.
 #[test]
 fn half_a_line_of_a_collector_holds_no_end_up_and_is_not_taken() {
-    let (mut daemon, ..) = settled(&Peer::listening());
+    let (mut daemon, ..) = with_bound_proxy(&Peer::listening());
     let mut collector = daemon.dial();
     collector.write(b"SOURCE zone=east\r\nRATE proxy=0 class=look tries=19 failed=0 span_ms=10");
-    // The rest came with the line that joined it.
+    // The incomplete line arrived together with the line that identified the collector.
     daemon.counter_reaches("connections_joined", 1);
     let asked = daemon.log().iter().filter(|line| line.contains("counters: ")).count();
-    terminated_well(&mut daemon);
+    terminate_cleanly(&mut daemon);
     assert_eq!(closed(&mut collector), "");
-    assert_eq!(at_the_end(&daemon, asked, "lines_taken"), 0);
-    assert_eq!(at_the_end(&daemon, asked, "lines_skipped"), 0);
+    assert_eq!(final_counter(&daemon, asked, "lines_taken"), 0);
+    assert_eq!(final_counter(&daemon, asked, "lines_skipped"), 0);
 }
 
-/// Guards against half an answer, and against an end that waits for whoever asked.
+/// Guards against an incomplete answer, and against a shutdown that waits for the client.
 #[test]
 fn a_ping_in_the_instant_of_the_end_is_answered_whole_or_not_at_all() {
     for ping_first in [true, false] {
-        let (mut daemon, ..) = settled(&Peer::listening());
+        let (mut daemon, ..) = with_bound_proxy(&Peer::listening());
         let mut client = daemon.dial();
         client.write(b"PING\r\n");
         assert_eq!(client.line().as_deref(), Some("PONG\r\n"));
-        at_once(&daemon, || {
+        while_stopped(&daemon, || {
             if ping_first {
                 client.write(b"PING\r\n");
             }
@@ -180,62 +186,64 @@
                 client.write(b"PING\r\n");
             }
         });
-        ended_well(&mut daemon);
+        assert_exits_cleanly(&mut daemon);
         let said = closed(&mut client);
         assert!(said.is_empty() || said == "PONG\r\n", "{said:?}");
     }
 }
 
-/// Guards against connections that hang because the program ended before it had taken them.
+/// Guards against connections that hang because the process ended before it accepted them.
 #[test]
 fn connections_that_were_not_taken_yet_end_with_the_program() {
-    let (mut daemon, ..) = settled(&Peer::listening());
+    let (mut daemon, ..) = with_bound_proxy(&Peer::listening());
     let mut clients: Vec<Client> = Vec::new();
-    at_once(&daemon, || {
+    while_stopped(&daemon, || {
         clients = (0..100).map(|_| daemon.dial()).collect();
         clients.iter_mut().for_each(|client| client.write(b"SOURCE zone=east\r\n"));
         daemon.signal("-TERM");
     });
-    ended_well(&mut daemon);
+    assert_exits_cleanly(&mut daemon);
     assert!(clients.iter_mut().all(|client| closed(client).is_empty()));
 }
 
-/// Guards against a start that can't be ended before it is through, and a `PONG` from one that never was ready.
+/// Guards against a start that can't be ended before it is complete, and against a `PONG` from a process
+/// that never was ready.
 #[test]
 fn a_first_list_and_a_watch_that_do_not_come_hold_no_end_up() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
-    let mut daemon = Daemon::up(&Configuration::new(relay.address(), discovery.address));
+    let mut daemon = Daemon::start_and_wait(&Configuration::new(relay.address(), discovery.address));
     let watch = relay.peer.request("GET /watch");
     let asked = discovery.request("GET /v1/servers");
     let mut client = daemon.dial();
     client.write(b"PING\r\n");
     daemon.counter_reaches("pings", 1);
-    terminated_well(&mut daemon);
+    terminate_cleanly(&mut daemon);
     assert_eq!(closed(&mut client), "");
     assert_eq!(relay.peer.closed(watch.connection.number), 0);
     assert_eq!(discovery.closed(asked.connection.number), 0);
 }
 
-/// Guards against half a list that is taken for a whole one when the program ends.
+/// Guards against using an incomplete list when the process ends.
 #[test]
 fn half_an_answer_of_discovery_holds_no_end_up_and_is_not_taken() {
     let (relay, discovery) = (Relay::listening(), Peer::listening());
-    let mut daemon = Daemon::up(&Configuration::new(relay.address(), discovery.address));
+    let mut daemon = Daemon::start_and_wait(&Configuration::new(relay.address(), discovery.address));
     let mut asked = discovery.request("GET /v1/servers");
     let body = list(9, true, &[serving("one")]).to_string();
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
     asked.connection.write((head + &body[..body.len() / 2]).as_bytes());
-    // What came before this signal was there when the daemon looked at its connections.
+    // What arrived before this signal was available when the daemon polled its connections.
     daemon.counter("list_asks");
-    terminated_well(&mut daemon);
+    terminate_cleanly(&mut daemon);
     assert_eq!(discovery.closed(asked.connection.number), 0);
-    assert_eq!(at_the_end(&daemon, 1, "list_answers"), 0);
+    assert_eq!(final_counter(&daemon, 1, "list_answers"), 0);
 }
 
-/// One of the orders in which two signals can come.
+/// Sends two signals in one of the possible timings.
 type SignalOrder = fn(&Daemon, &dyn Fn(&Daemon, &str, &str));
 
-/// Guards against a reload that keeps the end from being heard, or the end that a SIGHUP turns into a death by signal.
+/// Guards against a reload that blocks the shutdown, and against a SIGHUP during shutdown that kills the
+/// process.
 #[test]
 fn a_reload_beside_the_end_does_not_change_it() {
     let both = |daemon: &Daemon, first: &str, second: &str| {
@@ -243,36 +251,36 @@
         daemon.signal(second);
     };
     let each: [SignalOrder; 4] = [
-        |daemon, both| at_once(daemon, || both(daemon, "-HUP", "-TERM")),
+        |daemon, both| while_stopped(daemon, || both(daemon, "-HUP", "-TERM")),
         |daemon, both| both(daemon, "-HUP", "-TERM"),
         |daemon, both| both(daemon, "-TERM", "-HUP"),
         |daemon, _| {
             daemon.signal("-HUP");
-            daemon.says("a new configuration");
+            daemon.wait_for_log("a new configuration");
             daemon.signal("-TERM");
         },
     ];
     for how in each {
-        let (mut daemon, ..) = settled(&Peer::listening());
+        let (mut daemon, ..) = with_bound_proxy(&Peer::listening());
         how(&daemon, &both);
-        ended_well(&mut daemon);
+        assert_exits_cleanly(&mut daemon);
     }
 }
 
-/// Guards against a second signal that ends the program as if it had crashed.
+/// Guards against a second signal that ends the process as if it had crashed.
 #[test]
 fn a_second_signal_to_end_does_not_change_the_first() {
     for second in ["-TERM", "-INT"] {
-        let (mut daemon, ..) = settled(&Peer::listening());
+        let (mut daemon, ..) = with_bound_proxy(&Peer::listening());
         daemon.signal("-TERM");
         daemon.signal(second);
-        ended_well(&mut daemon);
-        let (mut daemon, ..) = settled(&Peer::listening());
-        at_once(&daemon, || {
+        assert_exits_cleanly(&mut daemon);
+        let (mut daemon, ..) = with_bound_proxy(&Peer::listening());
+        while_stopped(&daemon, || {
             daemon.signal("-TERM");
             daemon.signal(second);
         });
-        ended_well(&mut daemon);
+        assert_exits_cleanly(&mut daemon);
     }
 }
 
@@ -281,7 +289,7 @@
     files.filter_map(|file| file.metadata().ok()).map(|data| data.len()).sum()
 }
 
-/// Guards against an end in the middle of a write that leaves state nobody can read.
+/// Guards against a shutdown in the middle of a write that leaves unreadable state.
 #[test]
 fn state_that_is_being_written_at_the_end_can_be_read_after_it() {
     let parent = tempfile::tempdir().expect("a folder");
@@ -290,16 +298,16 @@
         let (relay, discovery) = (Relay::listening(), Peer::listening());
         let mut configuration = configuration(relay.address(), discovery.address);
         configuration.operator = format!("[state]\nfolder = {state:?}\nevery = \"100ms\"\n");
-        let mut daemon = Daemon::up(&configuration);
+        let mut daemon = Daemon::start_and_wait(&configuration);
         let hosts: Vec<Value> =
             (0..3_000).map(|place| serving(&format!("life-{life}-host-{place}"))).collect();
         let before = bytes_in(&state);
         discovery.request("GET /v1/servers").answer(200, &list(7 + life, true, &hosts).to_string());
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + TEST_TIMEOUT;
         while bytes_in(&state) == before {
             assert!(Instant::now() < until, "nothing is kept");
         }
-        terminated_well(&mut daemon);
+        terminate_cleanly(&mut daemon);
         let mut verify = Command::new(crate::stand_in::program());
         let verified = verify.args(["state", "verify"]).arg(&state).output().expect("a start");
         assert_eq!(verified.status.code(), Some(0), "{verified:?}");
@@ -307,14 +315,15 @@
     }
 }
 
-/// Guards against a second SIGTERM that goes unheard, or counts as a crash, while the fleet is told of the first.
+/// Guards against a second SIGTERM that is ignored, or counts as a crash, while the first one is being
+/// announced to the fleet.
 #[test]
 fn a_second_sigterm_while_the_fleet_is_told_ends_the_program_at_once() {
     let parent = tempfile::tempdir().expect("a folder");
     let policy = parent.path().join("policy.toml");
     std::fs::write(&policy, "revision = 1\n").expect("a file");
-    // Of its two voters nobody is up.
-    let members: Vec<SocketAddr> = (0..3).map(|_| nobody()).collect();
+    // Neither of its two voters is up.
+    let members: Vec<SocketAddr> = (0..3).map(|_| refusing_address()).collect();
     let mut operator = format!(
         "[fleet]\nname = \"m0\"\nid = \"ends\"\nlisten = \"{}\"\nfolder = {:?}\npolicy = {policy:?}\n\
          govern = [\"look\"]\nacts = \"1100ms\"\nknows = \"2700ms\"\nslack = \"30ms\"\ndrift = 0.01\n\
@@ -330,13 +339,13 @@
     }
     let mut configuration = configuration(Relay::listening().address(), Peer::listening().address);
     configuration.operator = operator;
-    let mut daemon = Daemon::up(&configuration);
+    let mut daemon = Daemon::start_and_wait(&configuration);
     daemon.signal("-TERM");
-    daemon.says("this steward lets go");
+    daemon.wait_for_log("this steward lets go");
     let second = Instant::now();
     daemon.signal("-TERM");
-    ended_well(&mut daemon);
+    assert_exits_cleanly(&mut daemon);
     assert!(second.elapsed() < Duration::from_millis(400), "{:?}", second.elapsed());
-    daemon.says("counters: ");
+    daemon.wait_for_log("counters: ");
     assert!(!daemon.log().iter().any(|line| line.contains("ends unheard")), "{}", daemon.log().join("\n"));
 }
--- a/crates/steward/tests/crossing_lists/lists.rs
+++ b/crates/steward/tests/crossing_lists/lists.rs
@@ -1,4 +1,4 @@
-//! Lists that hold something other than what was asked for or known, and the pace of the calls for them.
+//! Lists that differ from what was requested or known, and the rate of the calls for them.
 
 use std::time::{Duration, Instant};
 
@@ -9,11 +9,12 @@
 
 const WHOLE: &str = "GET /v1/servers";
 
-/// Guards against hosts that stay in service though a whole list, which came where changes were asked for, lacks them.
+/// Guards against hosts that stay in service although a full list lacks them, where changes were requested
+/// and a full list was sent.
 #[test]
 fn a_whole_list_in_the_place_of_changes_is_not_taken_for_changes() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
-    scene.tell(2, true, &[listed("a"), listed("c")]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
+    scene.answer_next(2, true, &[listed("a"), listed("c")]);
     scene.orders.withdrawn("b");
     let next = scene.next_call();
     assert!(next.line.contains("after=2&"), "{}", next.line);
@@ -22,10 +23,11 @@
     assert!(!scene.withdrawn("a"));
 }
 
-/// Guards against one spoilt answer that takes every host out of service: an empty whole list is asked for once more.
+/// Guards against one corrupted answer that takes every host out of service: an empty full list is
+/// requested once more before it is believed.
 #[test]
 fn an_empty_list_that_the_next_answer_contradicts_takes_no_host_out() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     scene.next_call().answer(200, &list(2, true, &[]).to_string());
     let again = scene.next_call();
     assert_eq!(again.line, WHOLE);
@@ -34,10 +36,10 @@
     assert!(!scene.withdrawn("a") && !scene.withdrawn("b"));
 }
 
-/// Guards against a daemon that never believes that all hosts are gone.
+/// Guards against a daemon that never accepts that all hosts are gone.
 #[test]
 fn an_empty_list_that_the_next_answer_confirms_is_not_doubted_on() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     scene.next_call().answer(200, &list(2, true, &[]).to_string());
     let again = scene.next_call();
     assert_eq!(again.line, WHOLE);
@@ -47,10 +49,10 @@
     assert!(next.line.contains("after=2&"), "{}", next.line);
 }
 
-/// Guards against an empty list that is believed because the call that should confirm it fails.
+/// Guards against an empty list that is believed although the call that should confirm it fails.
 #[test]
 fn an_empty_list_whose_confirmation_fails_takes_no_host_out() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     scene.next_call().answer(200, &list(2, true, &[]).to_string());
     let again = scene.next_call();
     assert_eq!(again.line, WHOLE);
@@ -62,10 +64,10 @@
     assert!(!scene.withdrawn("a") && !scene.withdrawn("b"));
 }
 
-/// Guards against changes that are dropped because the version stands still.
+/// Guards against changes that are dropped because the version is unchanged.
 #[test]
 fn changes_without_a_newer_version_are_not_dropped() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     scene.drain(1, "b");
     let next = scene.next_call();
     assert!(next.line.contains("after=1&"), "{}", next.line);
@@ -73,10 +75,11 @@
     scene.orders.withdrawn("c");
 }
 
-/// Guards against changes to an older list that are applied to this one, as after a discovery that started over.
+/// Guards against changes to an older list that are applied to the current one, as after a restart of
+/// discovery.
 #[test]
 fn changes_to_an_older_version_are_not_applied_to_this_one() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     scene.next_call().answer(200, &list(40, false, &[]).to_string());
     scene.next_call().answer(200, &drain(3, "a"));
     let whole = scene.next_call();
@@ -90,24 +93,24 @@
     assert!(!scene.withdrawn("a"), "the changes to the older list were applied");
 }
 
-/// Guards against a whole list that is dropped because its version is older: it says by itself what holds.
+/// Guards against a full list that is dropped because its version is older: a full list is valid by itself.
 #[test]
 fn a_whole_list_of_an_older_version_is_not_dropped() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     scene.next_call().answer(200, &list(40, false, &[]).to_string());
-    scene.tell(3, true, &[listed("a"), listed("c")]);
+    scene.answer_next(3, true, &[listed("a"), listed("c")]);
     scene.orders.withdrawn("b");
     let next = scene.next_call();
     assert!(next.line.contains("after=3&"), "{}", next.line);
 }
 
-/// Guards against a new start that the list tells only by its time: the host was gone and back between two answers, and
-/// is cold now, so it carries a quarter of its weight four seconds after that start.
+/// Guards against missing a restart of a host that only its start time shows: the host was gone and back
+/// between two answers. It is cold, so it has a quarter of its weight four seconds after its start.
 #[test]
 fn a_host_that_went_and_came_back_between_two_answers_does_not_count_as_warm() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     let unix_ms = std::time::SystemTime::UNIX_EPOCH.elapsed().expect("a clock").as_millis() as f64;
-    scene.tell(2, false, &[changed(listed("b"), "born_ms", json!(unix_ms - 4_000.0))]);
+    scene.answer_next(2, false, &[changed(listed("b"), "born_ms", json!(unix_ms - 4_000.0))]);
     let eased = |order: &serde_json::Value| {
         order["op"] == "share" && order["server"] == "b" && order["weight"] == 0.25
     };
@@ -116,12 +119,13 @@
     assert!(!scene.withdrawn("a"));
 }
 
-/// Guards against a watch that lapses between two calls, and against a discovery that is overrun: forty answers come at
-/// once. After 200 ms a call begins a new watch, and what changed in between is lost.
+/// Guards against a watch that lapses between two calls, and against overloading discovery, when forty
+/// answers arrive in a row. A call that is made more than 200 ms after the last answer begins a new watch,
+/// and changes in between are lost.
 #[test]
 fn a_watch_does_not_lapse_between_two_calls() {
     const CALLS: u32 = 40;
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     let mut call = scene.fresh_call();
     let (first, mut longest) = (Instant::now(), Duration::ZERO);
     for seq in 2..CALLS + 2 {
@@ -132,16 +136,17 @@
         assert!(idle < Duration::from_millis(200), "the next call came {idle:?} after answer {seq}");
         longest = longest.max(idle);
     }
-    // The first call may have been seen late, and the sum is short by as much then.
+    // The first call may have been observed late, which shortens the measured total by as much.
     let least = Duration::from_millis(100) * CALLS - Duration::from_millis(50);
     assert!(first.elapsed() >= least, "{CALLS} calls in {:?}", first.elapsed());
     eprintln!("{CALLS} calls in {:?}, none later than {longest:?} after the last answer", first.elapsed());
 }
 
-/// Guards against the same pause where discovery held the answer for longer than the pause: there is none then.
+/// Guards against a pause after an answer that discovery held for longer than the usual pause: there is
+/// none in this case.
 #[test]
 fn a_watch_does_not_lapse_behind_an_answer_that_was_held() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     for seq in 2..8 {
         let call = scene.next_call();
         std::thread::sleep(Duration::from_millis(150));
--- a/crates/steward/tests/crossing_lists/main.rs
+++ b/crates/steward/tests/crossing_lists/main.rs
@@ -1,6 +1,6 @@
-//! Discovery's list and the probes of hosts beside what can happen to them: pairs of events that can cross, on real
-//! connections against the program itself. `docs/crossing-events.md` has the table. Each test forces its order by what
-//! its stand-ins say and withhold.
+//! Discovery's list and the probes of hosts, in pairs of events that can cross, over real connections to
+//! the amberarch binary. `docs/crossing-events.md` has the table. Each test forces the order of events by
+//! what its stand-ins send and withhold.
 
 mod broken_answers;
 mod endings;
--- a/crates/steward/tests/crossing_lists/probes.rs
+++ b/crates/steward/tests/crossing_lists/probes.rs
@@ -1,4 +1,5 @@
-//! Probes beside their time limit, the end of their connection, and the end of their host's entry in the list.
+//! Probes that cross their timeout, the end of their connection, or the removal of their host from the
+//! list.
 
 use std::time::{Duration, Instant};
 
@@ -8,10 +9,10 @@
 use crate::stand_in::{host, Exchange, Peer};
 
 pub const PROBE: &str = "GET /healthz";
-/// So many failures in a row shut a host out.
+/// Consecutive failures after which a host is withdrawn.
 const FAILS: usize = 3;
 
-/// Host a, whose probes are the test's to answer, and b, c and d, which pass theirs.
+/// Host a, whose probes the test answers, and b, c and d, which pass theirs.
 pub struct Probed {
     pub scene: Scene,
     pub a: Peer,
@@ -20,25 +21,25 @@
 
 impl Probed {
     pub fn new() -> Probed {
-        let (scene, a) = (Scene::of_probes(), Peer::listening());
+        let (scene, a) = (Scene::for_probes(), Peer::listening());
         let others = ["b", "c", "d"].map(|name| host(name, healthy(), "east")).to_vec();
-        scene.learn(&[vec![host("a", a.address, "east")], others.clone()].concat());
+        scene.answer_first_list(&[vec![host("a", a.address, "east")], others.clone()].concat());
         Probed { scene, a, others }
     }
 
-    /// The entry of a.
+    /// The list entry of host a.
     pub fn entry(&self) -> Value {
         host("a", self.a.address, "east")
     }
 
-    /// The next probe of a.
+    /// The next probe of host a.
     pub fn probe(&self) -> Exchange {
         self.a.request(PROBE)
     }
 }
 
-/// Three probes of a come to that, one after another, and a is withdrawn for it.
-fn shuts_out(spoil: impl Fn(&Peer, Exchange)) {
+/// Three consecutive probes of a end as given, and a is withdrawn for it.
+fn assert_withdraws(spoil: impl Fn(&Peer, Exchange)) {
     let Probed { scene, a, .. } = Probed::new();
     for _ in 0..FAILS {
         assert!(!scene.withdrawn("a"), "withdrawn too soon");
@@ -49,8 +50,8 @@
     scene.orders.restored("a");
 }
 
-/// Probes of a come to that, more than would shut it out, and it stays in service.
-fn stays_in(answer: impl Fn(&Peer, Exchange)) {
+/// More probes of a end as given than failures would withdraw it, and a stays in service.
+fn assert_stays_in_service(answer: impl Fn(&Peer, Exchange)) {
     let Probed { scene, a, .. } = Probed::new();
     (0..=FAILS).for_each(|_| answer(&a, a.request(PROBE)));
     passes_from_now_on(a);
@@ -58,27 +59,27 @@
     assert!(!scene.withdrawn("a"), "its answers were not heard");
 }
 
-/// Guards against an answer that counts though its time was over when it was written, or that is taken for the answer to
-/// the next probe.
+/// Guards against an answer that counts although its probe had timed out when it was written, or that is
+/// taken for the answer to the next probe.
 #[test]
 fn an_answer_behind_its_timeout_does_not_pass() {
-    shuts_out(|a, probe| {
+    assert_withdraws(|a, probe| {
         a.closed(probe.connection.number);
         probe.answer(200, "");
     });
 }
 
-/// Guards against a probe that ends before its time: the answer comes 0.2 s after it, of 0.3 s.
+/// Guards against a probe that times out too early: the answer is sent after 0.2 s of the allowed 0.3 s.
 #[test]
 fn an_answer_ahead_of_its_timeout_does_not_fail() {
-    stays_in(|_, probe| {
+    assert_stays_in_service(|_, probe| {
         std::thread::sleep(Duration::from_millis(200));
         probe.answer(200, "");
     });
 }
 
-/// Guards against a probe without an outcome, or with two, where its answer and its timeout come in the same instant:
-/// such probes pass or fail, the host is probed on, and is in service once it passes.
+/// Guards against a probe without a result, or with two, where its answer and its timeout occur at the same
+/// time. Such a probe passes or fails, the host is probed further, and is in service once it passes.
 #[test]
 fn an_answer_in_the_same_instant_as_its_timeout_does_not_end_the_probes() {
     let Probed { scene, a, .. } = Probed::new();
@@ -97,51 +98,51 @@
     scene.drain(2, "d");
     let ended = scene.daemon.counter("probes_passed") + scene.daemon.counter("probes_failed");
     let begun = scene.daemon.counter("probes");
-    // Each of the hosts may have one under way.
+    // Each of the four hosts may have a probe in progress.
     assert!(ended <= begun && begun <= ended + 4, "{begun} probes, {ended} outcomes");
     assert_eq!(scene.daemon.counter("panics"), 0);
 }
 
-/// Guards against a head that counts as an answer though it broke off.
+/// Guards against an answer that counts although its head broke off.
 #[test]
 fn an_answer_cut_in_its_head_does_not_pass() {
-    shuts_out(|_, probe| write_and_end(probe, b"HTTP/1.1 200 OK\r\ncontent-", End::Fin));
-    shuts_out(|_, probe| write_and_end(probe, b"HTTP/1.1 200 OK\r\ncontent-", End::Rst));
+    assert_withdraws(|_, probe| write_and_end(probe, b"HTTP/1.1 200 OK\r\ncontent-", End::Fin));
+    assert_withdraws(|_, probe| write_and_end(probe, b"HTTP/1.1 200 OK\r\ncontent-", End::Rst));
 }
 
-/// Guards against a head that counts for a whole answer whose body broke off.
+/// Guards against an answer that counts although its body broke off.
 #[test]
 fn an_answer_cut_in_its_body_does_not_pass() {
     let cut = b"HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n{\"infl";
-    shuts_out(|_, probe| write_and_end(probe, cut, End::Fin));
-    shuts_out(|_, probe| write_and_end(probe, cut, End::Rst));
+    assert_withdraws(|_, probe| write_and_end(probe, cut, End::Fin));
+    assert_withdraws(|_, probe| write_and_end(probe, cut, End::Rst));
 }
 
-/// Guards against a head that counts for a whole answer whose body never ends.
+/// Guards against an answer that counts although its body never ends.
 #[test]
 fn an_answer_silent_in_its_body_does_not_pass() {
-    shuts_out(|a, mut probe| {
+    assert_withdraws(|a, mut probe| {
         probe.connection.write(b"HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n{\"infl");
         a.closed(probe.connection.number);
     });
 }
 
-/// Guards against an answer lost with its connection, which ends right behind it.
+/// Guards against an answer that is lost because its connection ends directly after it.
 #[test]
 fn an_answer_right_ahead_of_its_connections_end_does_not_fail() {
-    stays_in(|_, probe| write_and_end(probe, &with_length("{}"), End::Fin));
-    stays_in(|_, probe| write_and_end(probe, &with_length("{}"), End::Rst));
+    assert_stays_in_service(|_, probe| write_and_end(probe, &with_length("{}"), End::Fin));
+    assert_stays_in_service(|_, probe| write_and_end(probe, &with_length("{}"), End::Rst));
 }
 
-/// How the list drops a host.
+/// How the list removes a host.
 #[derive(Clone, Copy)]
 enum Dropped {
     Change,
     WholeWithout,
 }
 
-/// Drops a from the list while its probe is open, which then ends as told. Nothing comes of that; a is probed and let in
-/// once more when it is listed again.
+/// Removes a from the list while its probe is open; the probe then ends as given. Its result is ignored,
+/// and a is probed and restored when it is listed again.
 fn ends_after_its_host_was_dropped(dropped: Dropped, end: impl FnOnce(&Probed, Exchange)) {
     let all = Probed::new();
     all.probe().answer(200, "");
@@ -155,7 +156,7 @@
     }
     all.scene.orders.withdrawn("a");
     end(&all, probe);
-    all.scene.tell(3, false, &[all.entry()]);
+    all.scene.answer_next(3, false, &[all.entry()]);
     let Probed { scene, a, .. } = all;
     a.request(PROBE).answer(200, "");
     passes_from_now_on(a);
@@ -165,8 +166,8 @@
     assert_eq!(scene.daemon.counter("panics"), 0);
 }
 
-/// Guards against a daemon that trips over a probe which passes after its host was dropped, or never lets the host in
-/// again.
+/// Guards against a panic from a probe that passes after its host was removed, and against never restoring
+/// that host.
 #[test]
 fn a_probe_that_passes_after_its_host_was_dropped_is_no_trouble() {
     for dropped in [Dropped::Change, Dropped::WholeWithout] {
@@ -177,7 +178,7 @@
     }
 }
 
-/// Guards against the same for one that fails: the host would be kept out when it is listed again.
+/// Guards against the same for a probe that fails: the host would stay withdrawn when it is listed again.
 #[test]
 fn a_probe_that_fails_after_its_host_was_dropped_is_no_trouble() {
     for dropped in [Dropped::Change, Dropped::WholeWithout] {
--- a/crates/steward/tests/crossing_lists/scene.rs
+++ b/crates/steward/tests/crossing_lists/scene.rs
@@ -1,4 +1,5 @@
-//! A daemon with one joined proxy, a discovery whose answers are the test's, and a relay that takes every order.
+//! A daemon with one joined proxy, a discovery whose answers the test writes, and a relay that accepts
+//! every order.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
@@ -7,13 +8,15 @@
 use serde_json::{json, Value};
 
 use crate::stand_in::{
-    host, list, nobody, orders, take, Configuration, Daemon, Exchange, Peer, Relay, RelayWatch, BOUND,
+    host, list, orders, refusing_address, take, Configuration, Daemon, Exchange, Peer, Relay, RelayWatch,
+    TEST_TIMEOUT,
 };
 
-/// After a failure the list is asked for again 450 ms later at the soonest, so what comes sooner was asked at once.
-pub const AT_ONCE: Duration = Duration::from_millis(400);
-/// A failed call is followed by the next no sooner than that.
-pub const PAUSE: Duration = Duration::from_millis(430);
+/// After a failure the list is requested again no sooner than 450 ms later, so a call within this time was
+/// made without a pause.
+pub const IMMEDIATE: Duration = Duration::from_millis(400);
+/// The shortest time between a failed call and the next one.
+pub const RETRY_PAUSE: Duration = Duration::from_millis(430);
 
 pub struct Scene {
     pub daemon: Daemon,
@@ -31,8 +34,9 @@
 }
 
 impl Scene {
-    /// Watches wait for 0.5 s and count as silent after 2.5 s; no host is probed.
-    pub fn of_lists() -> Scene {
+    /// A daemon whose list watches wait for 0.5 s and count as silent after 2.5 s, and which probes no
+    /// host.
+    pub fn for_lists() -> Scene {
         Scene::start(|configuration| {
             configuration
                 .with("/settings/rules/askWithin", json!(1_000_000_000_u64))
@@ -40,8 +44,9 @@
         })
     }
 
-    /// The hosts are probed each second; no watch counts as silent before 32 s are over.
-    pub fn of_probes() -> Scene {
+    /// A daemon that probes its hosts each second and whose list watch counts as silent only after 32
+    /// s.
+    pub fn for_probes() -> Scene {
         Scene::start(|configuration| {
             configuration.with("/settings/rules/askWithin", json!(60_000_000_000_u64))
         })
@@ -49,115 +54,115 @@
 
     fn start(change: impl FnOnce(Configuration) -> Configuration) -> Scene {
         let (relay, discovery) = (Relay::listening(), Peer::listening());
-        let daemon = Daemon::up(&change(Configuration::new(relay.address(), discovery.address)));
+        let daemon = Daemon::start_and_wait(&change(Configuration::new(relay.address(), discovery.address)));
         let watch = relay.watch();
         watch.joined(0, "east", true);
         Scene { daemon, discovery, orders: Orders::taken_at(relay), _watch: watch }
     }
 
-    /// The lists' scene, where version 1 holds these hosts and the proxy is bound to their table.
-    pub fn knowing(names: &[&str]) -> Scene {
-        let scene = Scene::of_lists();
-        scene.learn(&names.iter().map(|name| listed(name)).collect::<Vec<_>>());
+    /// A scene for lists, where version 1 has these hosts and the proxy is bound to their table.
+    pub fn with_hosts(names: &[&str]) -> Scene {
+        let scene = Scene::for_lists();
+        scene.answer_first_list(&names.iter().map(|name| listed(name)).collect::<Vec<_>>());
         scene
     }
 
-    /// Tells version 1 and waits until the proxy is bound.
-    pub fn learn(&self, hosts: &[Value]) {
+    /// Answers with version 1 of the list and waits until the proxy is bound.
+    pub fn answer_first_list(&self, hosts: &[Value]) {
         self.next_call().answer(200, &list(1, true, hosts).to_string());
         self.orders.wait("a bind", |order| order["op"] == "bind");
     }
 
-    /// The next call for the list, of whichever kind.
+    /// The next call for the list, full or for changes.
     pub fn next_call(&self) -> Exchange {
         self.discovery.request("GET /v1/servers")
     }
 
-    /// A call of the lists' scene that has just begun: the one that is under way is answered without news.
+    /// A call that has just begun: the one in progress is answered with no changes.
     pub fn fresh_call(&self) -> Exchange {
         self.next_call().answer(200, &list(1, false, &[]).to_string());
         self.next_call()
     }
 
-    /// Answers the next call, and waits until the daemon's decisions have heard of that version.
-    pub fn tell(&self, seq: u64, whole: bool, hosts: &[Value]) {
+    /// Answers the next call, and waits until the controller has received that version.
+    pub fn answer_next(&self, seq: u64, whole: bool, hosts: &[Value]) {
         let call = self.next_call();
         self.answer(call, seq, whole, hosts);
     }
 
-    /// Answers a call that was held, and waits until the daemon's decisions have heard of that version.
+    /// Answers a held call, and waits until the controller has received that version.
     pub fn answer(&self, call: Exchange, seq: u64, whole: bool, hosts: &[Value]) {
         call.answer(200, &list(seq, whole, hosts).to_string());
-        self.heard_of(seq);
+        self.wait_for_version(seq);
     }
 
-    /// Waits until the daemon's decisions have heard of that version.
-    pub fn heard_of(&self, seq: u64) {
-        self.daemon.says(&format!("seq: {seq},"));
+    /// Waits until the controller has received that version.
+    pub fn wait_for_version(&self, seq: u64) {
+        self.daemon.wait_for_log(&format!("seq: {seq},"));
     }
 
-    /// Answers the next call with the drain of a host, and waits until that host is withdrawn at the relay. Whatever
-    /// was ordered before it has then been seen.
+    /// Answers the next call with the drain of a host, and waits until the relay receives its
+    /// withdrawal. All orders before it have then been received too.
     pub fn drain(&self, seq: u64, name: &str) {
         self.next_call().answer(200, &drain(seq, name));
         self.orders.withdrawn(name);
     }
 
     pub fn withdrawn(&self, name: &str) -> bool {
-        self.orders.any(|order| names(order, "withdraw", name))
+        self.orders.any(|order| is_order_for(order, "withdraw", name))
     }
 }
 
-/// A host in service that nobody probes.
+/// A host in service at an address that refuses connections.
 pub fn listed(name: &str) -> Value {
-    host(name, nobody(), "east")
+    host(name, refusing_address(), "east")
 }
 
-/// That host once more, with what is changed.
+/// The host entry with one field changed.
 pub fn changed(mut host: Value, field: &str, to: Value) -> Value {
     host[field] = to;
     host
 }
 
-/// An answer with changes: one host is to be drained.
+/// An answer with one change: the host is draining.
 pub fn drain(seq: u64, name: &str) -> String {
     list(seq, false, &[changed(listed(name), "health", json!("terminating"))]).to_string()
 }
 
-/// A whole answer, byte by byte, with its length stated.
+/// A complete answer with its length stated.
 pub fn with_length(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// A whole answer in one chunk.
+/// A complete answer in one chunk.
 pub fn in_chunks(body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n")
         .into_bytes()
 }
 
-/// A whole answer that ends with its connection.
-pub fn until_the_end(body: &str) -> Vec<u8> {
+/// A complete answer that is delimited by the close of its connection.
+pub fn until_close(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{body}").into_bytes()
 }
 
-/// How a stand-in ends a connection right behind what it wrote.
+/// How a stand-in ends a connection directly after what it wrote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
     Fin,
     Rst,
 }
 
-/// Writes that much of an answer and ends the connection.
+/// Writes these bytes of an answer and ends the connection.
 pub fn write_and_end(mut call: Exchange, bytes: &[u8], end: End) {
     call.connection.write(bytes);
     match end {
-        End::Fin => call.connection.finish(),
+        End::Fin => call.connection.half_close(),
         End::Rst => call.connection.reset(),
     }
 }
 
-/// A host that passes every probe, for as long as the test runs.
+/// The address of a host that passes every probe for the rest of the test.
 pub fn healthy() -> SocketAddr {
     let peer = Peer::listening();
     let address = peer.address;
@@ -167,17 +172,17 @@
 
 pub fn passes_from_now_on(peer: Peer) {
     std::thread::spawn(move || loop {
-        if let Some(probe) = peer.request_within("GET /healthz", BOUND) {
+        if let Some(probe) = peer.request_within("GET /healthz", TEST_TIMEOUT) {
             probe.answer(200, "");
         }
     });
 }
 
-pub fn names(order: &Value, op: &str, server: &str) -> bool {
+pub fn is_order_for(order: &Value, op: &str, server: &str) -> bool {
     order["op"] == op && order["server"] == server
 }
 
-/// What the relay was ordered. It takes each call at once.
+/// The orders that the relay received. It accepts each call at once.
 pub struct Orders {
     taken: Arc<(Mutex<Vec<Value>>, Condvar)>,
 }
@@ -199,9 +204,9 @@
         Orders { taken }
     }
 
-    /// Waits for the first order that is wanted.
+    /// Waits for the first order that matches.
     pub fn wait(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
-        let (until, (taken, news)) = (Instant::now() + BOUND, &*self.taken);
+        let (until, (taken, changed)) = (Instant::now() + TEST_TIMEOUT, &*self.taken);
         let mut taken = taken.lock().expect("the orders");
         loop {
             if let Some(order) = taken.iter().find(|order| wanted(order)) {
@@ -209,19 +214,19 @@
             }
             let left = until.saturating_duration_since(Instant::now());
             assert!(!left.is_zero(), "no order came for {what}: {taken:?}");
-            taken = news.wait_timeout(taken, left).expect("the orders").0;
+            taken = changed.wait_timeout(taken, left).expect("the orders").0;
         }
     }
 
     pub fn withdrawn(&self, name: &str) {
-        self.wait(&format!("withdraw {name}"), |order| names(order, "withdraw", name));
+        self.wait(&format!("withdraw {name}"), |order| is_order_for(order, "withdraw", name));
     }
 
     pub fn restored(&self, name: &str) {
-        self.wait(&format!("restore {name}"), |order| names(order, "restore", name));
+        self.wait(&format!("restore {name}"), |order| is_order_for(order, "restore", name));
     }
 
-    /// Whether such an order has come so far.
+    /// Whether a matching order was received so far.
     pub fn any(&self, wanted: impl Fn(&Value) -> bool) -> bool {
         self.taken.0.lock().expect("the orders").iter().any(wanted)
     }
--- a/crates/steward/tests/crossing_lists/silences.rs
+++ b/crates/steward/tests/crossing_lists/silences.rs
@@ -1,16 +1,16 @@
-//! Watches that fall silent, and answers that come in the same instant as the end of the time for them.
+//! List watches that stay silent, and answers that arrive at the same time as their timeout.
 
 use std::time::{Duration, Instant};
 
-use crate::scene::{drain, with_length, Scene, AT_ONCE};
+use crate::scene::{drain, with_length, Scene, IMMEDIATE};
 use crate::stand_in::{list, Exchange};
 
-/// A watch that waits 0.5 s has 2 s more.
+/// A watch that waits 0.5 s is allowed 2 s more.
 const SILENT_AFTER: Duration = Duration::from_millis(2_500);
 
-/// Says that much of an answer and nothing more; gives the call that comes next, which has to come at once after the
-/// daemon has given this one up.
-fn silent_behind(scene: &Scene, mut call: Exchange, said: &[u8]) -> Exchange {
+/// Writes these bytes of an answer and nothing more. Once the daemon has abandoned that call, the next one
+/// has to be made immediately; returns it.
+fn silent_after(scene: &Scene, mut call: Exchange, said: &[u8]) -> Exchange {
     let begun = Instant::now();
     call.connection.write(said);
     scene.discovery.closed(call.connection.number);
@@ -18,73 +18,74 @@
     let took = given_up - begun;
     assert!(took >= SILENT_AFTER - Duration::from_millis(100), "given up after {took:?}");
     let again = scene.next_call();
-    assert!(given_up.elapsed() < AT_ONCE, "asked again only after {:?}", given_up.elapsed());
+    assert!(given_up.elapsed() < IMMEDIATE, "asked again only after {:?}", given_up.elapsed());
     assert_eq!(again.line, call.line);
     again
 }
 
-/// The drain that may have been told meanwhile is told by the next answer, and is carried out.
-fn a_drain_comes_through_behind(said: &[u8]) {
-    let scene = Scene::knowing(&["a", "b", "c"]);
-    let again = silent_behind(&scene, scene.fresh_call(), said);
+/// The drain that the silent answer may have carried is in the next answer, and is carried out.
+fn assert_drain_arrives_after(said: &[u8]) {
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
+    let again = silent_after(&scene, scene.fresh_call(), said);
     again.answer(200, &drain(2, "b"));
     scene.orders.withdrawn("b");
 }
 
-/// Guards against a drain that is late by a failure's pause on top of the silence: what discovery has to tell counts as
-/// told once the time for its answer is over.
+/// Guards against a drain that is delayed by the pause after a failed call on top of the timeout: a drain
+/// counts as reported once the time for the answer is over.
 #[test]
 fn a_watch_silent_before_its_head_is_not_asked_for_late() {
-    a_drain_comes_through_behind(b"");
+    assert_drain_arrives_after(b"");
 }
 
 #[test]
 fn a_watch_silent_in_its_head_is_not_asked_for_late() {
-    a_drain_comes_through_behind(b"HTTP/1.1 200 OK\r\ncontent-");
+    assert_drain_arrives_after(b"HTTP/1.1 200 OK\r\ncontent-");
 }
 
 #[test]
 fn a_watch_silent_after_its_head_is_not_asked_for_late() {
-    a_drain_comes_through_behind(b"HTTP/1.1 200 OK\r\ncontent-length: 200\r\n\r\n");
+    assert_drain_arrives_after(b"HTTP/1.1 200 OK\r\ncontent-length: 200\r\n\r\n");
 }
 
 #[test]
 fn a_watch_silent_in_its_body_is_not_asked_for_late() {
     let answer = with_length(&drain(2, "b"));
-    a_drain_comes_through_behind(&answer[..answer.len() - 1]);
+    assert_drain_arrives_after(&answer[..answer.len() - 1]);
 }
 
 #[test]
 fn a_watch_silent_between_two_chunks_is_not_asked_for_late() {
-    a_drain_comes_through_behind(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n8\r\n{\"seq\":2\r\n");
+    assert_drain_arrives_after(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n8\r\n{\"seq\":2\r\n");
 }
 
-/// Guards against a daemon that trusts a watch for having been good for long: the silence comes after thirty answers.
+/// Guards against a daemon that waits longer on a watch that worked so far: the silence begins after thirty
+/// answers.
 #[test]
 fn a_watch_silent_after_many_answers_is_not_asked_for_late() {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     for seq in 2..32 {
         let call = scene.next_call();
         assert!(call.line.contains(&format!("after={}&", seq - 1)), "{}", call.line);
         call.answer(200, &list(seq, false, &[]).to_string());
     }
     let said = b"HTTP/1.1 200 OK\r\ncontent-length: 200\r\n\r\n{\"seq\":32,";
-    let again = silent_behind(&scene, scene.next_call(), said);
+    let again = silent_after(&scene, scene.next_call(), said);
     assert!(again.line.contains("after=31&"), "{}", again.line);
     again.answer(200, &drain(32, "b"));
     scene.orders.withdrawn("b");
 }
 
-/// What of the answer comes in the last instant.
+/// Which part of the answer arrives at the timeout.
 #[derive(Clone, Copy, Debug)]
 enum Late {
     All,
     LastByte,
 }
 
-/// An answer of which something comes that long after the call; whether it was heard.
+/// Completes an answer that long after the call; returns whether it was received.
 fn answered_after(late: Late, wait: Duration) -> bool {
-    let scene = Scene::knowing(&["a", "b", "c"]);
+    let scene = Scene::with_hosts(&["a", "b", "c"]);
     let mut call = scene.fresh_call();
     let begun = Instant::now();
     let answer = with_length(&drain(2, "b"));
@@ -112,8 +113,9 @@
     heard
 }
 
-/// Guards against an answer that is half heard, or taken for the answer to the call after it: it comes in the same
-/// instant as the end of its time. Heard or asked for again, the drain in it is carried out, and so is the next one.
+/// Guards against an answer that is used in part, or taken for the answer to the next call, where it
+/// arrives at the same time as its timeout. Whether it is received or requested again, its drain is carried
+/// out, and so is the next one.
 #[test]
 fn an_answer_in_the_same_instant_as_its_timeout_is_not_half_heard() {
     let waits = [2_480, 2_500, 2_504, 2_508, 2_530].map(Duration::from_millis);
--- a/crates/steward/tests/crossing_lists/together.rs
+++ b/crates/steward/tests/crossing_lists/together.rs
@@ -1,13 +1,13 @@
-//! Many daemons at one discovery that fails and comes back.
+//! Many daemons that use one discovery which fails and comes back.
 
 use std::time::{Duration, Instant};
 
 use serde_json::json;
 
-use crate::stand_in::{list, nobody, Configuration, Daemon, Exchange, Peer};
+use crate::stand_in::{list, refusing_address, Configuration, Daemon, Exchange, Peer};
 
 const DAEMONS: usize = 10;
-/// So many calls may come within so short a time.
+/// How many calls may arrive within `SHORT`.
 const FEW: usize = 4;
 const SHORT: Duration = Duration::from_millis(20);
 
@@ -15,28 +15,29 @@
     std::thread::scope(|scope| {
         let starts: Vec<_> = (0..DAEMONS)
             .map(|number| {
-                let configuration = Configuration::new(nobody(), discovery.address)
+                let configuration = Configuration::new(refusing_address(), discovery.address)
                     .with("/seed", json!(format!("8c1f30d27a5be9{number:02x}")));
-                scope.spawn(move || Daemon::up(&configuration))
+                scope.spawn(move || Daemon::start_and_wait(&configuration))
             })
             .collect();
         starts.into_iter().map(|start| start.join().expect("a daemon")).collect()
     })
 }
 
-/// One call of each daemon, and when they came.
+/// One call of each daemon, and its arrival times.
 fn one_of_each(discovery: &Peer) -> (Vec<Exchange>, Vec<Instant>) {
     (0..DAEMONS).map(|_| (discovery.request("GET /v1/servers"), Instant::now())).unzip()
 }
 
-/// The most calls within a short time.
+/// The largest number of calls that arrived within `SHORT`.
 fn crowd(times: &[Instant]) -> usize {
     let within = |first: &Instant| times.iter().filter(|at| **at >= *first && **at - *first < SHORT).count();
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// Guards against daemons that lost discovery in the same moment and come back to it in step: it works through calls in
-/// turn, and the last in a crowd would wait. All fail at once, three times in a row, and then are answered.
+/// Guards against daemons that lose discovery at the same time and retry in step: discovery processes calls
+/// in turn, so the last of a burst would wait. All calls fail at once, three times in a row, and are then
+/// answered.
 #[test]
 fn daemons_that_lost_discovery_together_do_not_come_back_in_step() {
     let discovery = Peer::listening();
@@ -55,9 +56,10 @@
     for call in calls {
         call.answer(200, &list(1, false, &[]).to_string());
     }
-    // All are back: each goes on with its watch.
+    // All have recovered: each continues with its watch.
     one_of_each(&discovery);
-    // In step they come in crowds after one failure as after the next; a stall of the machine bunches those of one.
+    // Daemons in step send bursts after each failure; a stall of the machine bunches only the calls
+    // after one failure.
     let in_step = crowds.iter().filter(|crowd| **crowd > FEW).count();
     assert!(in_step < 2, "in step: {crowds:?}");
 }
--- a/crates/steward/tests/daemon/mod.rs
+++ b/crates/steward/tests/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The program itself, its log read as it comes.
+//! Starts the amberarch binary and collects its log.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Ends with the test.
+/// A running daemon, killed when it is dropped.
 pub struct Daemon {
     pub child: Child,
     said: Arc<Mutex<String>>,
@@ -21,7 +21,7 @@
 }
 
 impl Daemon {
-    /// Starts it in that folder, which holds its `operator.toml`.
+    /// Starts it in a folder that contains its `operator.toml`.
     pub fn start(dir: &Path, config: &Path, discovery: SocketAddr) -> Daemon {
         let mut child = Command::new(env!("CARGO_BIN_EXE_amberarch"))
             .args(["--operator", "operator.toml"])
@@ -47,7 +47,7 @@
         self.said.lock().expect("the log").clone()
     }
 
-    /// Waits until that is so, and gives how long it took.
+    /// Waits until the condition holds; returns how long that took.
     pub fn wait(&self, what: &str, until: impl Fn() -> bool) -> Duration {
         let start = Instant::now();
         while !until() {
--- a/crates/steward/tests/drill/mod.rs
+++ b/crates/steward/tests/drill/mod.rs
@@ -1,15 +1,17 @@
-//! Plays drills with the program under test and says what is wrong with each.
+//! Runs drills (recorded fault-injection runs) with the binary under test and reports what is wrong with
+//! each.
 
 use std::sync::{Condvar, Mutex};
 
 use amberarch_rig::drill::{drill, DrillPlan, Drilled};
 
-/// Drills that run at one time, whatever tests they belong to: more of them stand still beside other work and are void.
+/// How many drills run at a time, over all tests of the binary. With more, the drills' own event loops
+/// stall beside other work, and a stalled drill is void.
 const AT_ONCE: usize = 16;
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
-/// One of the drills that run; its place is free again when it is dropped.
+/// A slot for a running drill, freed when it is dropped.
 struct Place;
 
 impl Place {
@@ -31,7 +33,7 @@
     }
 }
 
-/// The program under test: the one that was built with the tests, or another that the environment names.
+/// The binary under test: the one that was built with the tests, or another that the environment names.
 fn program() -> std::path::PathBuf {
     match std::env::var_os("AMBERARCH_UNDER_TEST") {
         Some(other) => other.into(),
@@ -39,10 +41,10 @@
     }
 }
 
-/// A drill that stood still itself proves nothing, so it is played again, so often at the most.
+/// How often a drill is run at most. A drill that stalled itself proves nothing and is run again.
 const PLAYS_MOST: usize = 3;
 
-/// Plays it until a play is not void; the last one is given back in any case.
+/// Runs the drill until a run is not void; the last run is returned in any case.
 pub fn play(plan: &DrillPlan) -> Drilled {
     let play_once = || {
         let _place = Place::take();
@@ -60,7 +62,7 @@
     drilled
 }
 
-/// Plays them side by side.
+/// Runs the drills in parallel.
 pub fn play_all(plans: &[DrillPlan]) -> Vec<Drilled> {
     std::thread::scope(|scope| {
         let drills: Vec<_> = plans.iter().map(|plan| scope.spawn(|| play(plan))).collect();
@@ -68,20 +70,21 @@
     })
 }
 
-/// What a drill showed.
+/// The result of a drill.
 #[derive(Debug, PartialEq)]
 pub enum Outcome {
     Kept,
-    /// What is wrong, the first few of it.
+    /// The first few faults that were found.
     Broken(Vec<String>),
-    /// Each play stood still itself.
+    /// The drill stalled itself in each run, so that none counts.
     Void,
 }
 
-/// So much is told of what is wrong.
+/// How many faults of a kind are reported.
 const TOLD_MOST: usize = 3;
 
-/// Rules or limits of the channel that were broken, a crash, or nothing to look at.
+/// Checks a drill for broken rules, exceeded channel limits, a crash, and a history without any drain to
+/// check.
 pub fn outcome(drilled: &Drilled) -> Outcome {
     if drilled.is_void() {
         return Outcome::Void;
@@ -107,10 +110,10 @@
     }
 }
 
-/// So many late drains are accounted for.
+/// For how many violations the details are printed.
 const ACCOUNTS_MOST: usize = 8;
 
-/// Prints all that tells why a drill broke something.
+/// Prints everything that helps to find out why a drill broke a rule.
 pub fn print_details(plan: &DrillPlan, drilled: &Drilled) {
     let Drilled { most_waiting, backlog, calls, log, lag, .. } = drilled;
     let seed = plan.settings.seed;
--- a/crates/steward/tests/stand_in/daemon.rs
+++ b/crates/steward/tests/stand_in/daemon.rs
@@ -1,4 +1,5 @@
-//! The program itself, started with a configuration of the test's, its log and its end.
+//! Starts the amberarch binary with a test configuration and gives access to its log, counters and exit
+//! status.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,17 +10,17 @@
 
 use serde_json::{json, Value};
 
-use crate::stand_in::BOUND;
+use crate::stand_in::TEST_TIMEOUT;
 
-/// What the daemon is told: the example's configuration with the addresses of the test's stand-ins.
+/// The daemon's configuration: the example's configuration with the addresses of the test's stand-ins.
 #[derive(Clone)]
 pub struct Configuration {
     pub relay: SocketAddr,
     pub discovery: SocketAddr,
     pub listen: SocketAddr,
-    /// Further values by JSON pointer, such as `/settings/rules/askWithin`.
-    pub changed: Vec<(String, Value)>,
-    /// The operator's file.
+    /// Overridden values by JSON pointer, such as `/settings/rules/askWithin`.
+    pub overrides: Vec<(String, Value)>,
+    /// The text of the operator's file.
     pub operator: String,
 }
 
@@ -27,16 +28,16 @@
     pub fn new(relay: SocketAddr, discovery: SocketAddr) -> Configuration {
         let listener = std::net::TcpListener::bind((crate::stand_in::address::own(), 0)).expect("an address");
         let listen = listener.local_addr().expect("an address");
-        Configuration { relay, discovery, listen, changed: Vec::new(), operator: String::new() }
+        Configuration { relay, discovery, listen, overrides: Vec::new(), operator: String::new() }
     }
 
     pub fn with(mut self, pointer: &str, value: Value) -> Configuration {
-        self.changed.push((pointer.into(), value));
+        self.overrides.push((pointer.into(), value));
         self
     }
 
-    /// Hosts that the daemon knows of from its start.
-    pub fn knowing(self, seq: u64, hosts: &[Value]) -> Configuration {
+    /// Sets the hosts that the daemon knows at its start.
+    pub fn with_known_hosts(self, seq: u64, hosts: &[Value]) -> Configuration {
         self.with("/known", list(seq, true, hosts))
     }
 
@@ -46,7 +47,7 @@
         all["relay"]["address"] = json!(self.relay.to_string());
         all["discovery"] = json!(self.discovery.to_string());
         all["listen"] = json!(self.listen.to_string());
-        for (pointer, value) in &self.changed {
+        for (pointer, value) in &self.overrides {
             *all.pointer_mut(pointer).unwrap_or_else(|| panic!("no {pointer} in the example")) =
                 value.clone();
         }
@@ -54,19 +55,19 @@
     }
 }
 
-/// A host as discovery lists it, in service for long.
+/// A host entry of discovery's list, in service since the epoch, so that slow start is over.
 pub fn host(name: &str, at: SocketAddr, zone: &str) -> Value {
     json!({"host": name, "dial": at.to_string(), "site": zone, "class": "plain", "block": 0,
         "health": "in_service", "share": 1.0, "born_ms": 0})
 }
 
-/// An answer of discovery.
+/// The body of an answer of discovery: a full list if `whole`, otherwise changes.
 pub fn list(seq: u64, whole: bool, hosts: &[Value]) -> Value {
     json!({"seq": seq, "whole": whole, "hosts": hosts})
 }
 
-/// The program under test: the one that was built with the tests, or another that the environment names, such as an older
-/// one that a test has to fail against.
+/// The binary under test: the one that was built with the tests, or another that the environment names,
+/// such as an older build that a test has to fail against.
 pub fn program() -> PathBuf {
     match std::env::var_os("AMBERARCH_UNDER_TEST") {
         Some(other) => other.into(),
@@ -76,7 +77,7 @@
 
 type Log = Arc<(Mutex<Vec<String>>, Condvar)>;
 
-/// Killed at the end of the test.
+/// A running daemon, killed when it is dropped.
 pub struct Daemon {
     child: Child,
     log: Log,
@@ -98,7 +99,7 @@
         Daemon::start_from(configuration, write)
     }
 
-    /// Its configuration is what `place` puts at that path, such as a FIFO.
+    /// Starts it with the configuration that `place` puts at that path, such as a FIFO.
     pub fn start_from(configuration: &Configuration, place: impl FnOnce(&Path)) -> Daemon {
         let folder = tempfile::tempdir().expect("a folder");
         std::fs::write(folder.path().join("operator.toml"), &configuration.operator).expect("a file");
@@ -125,10 +126,10 @@
         Daemon { child, log, folder, listen: configuration.listen, started }
     }
 
-    /// Started, and far enough that it hears signals.
-    pub fn up(configuration: &Configuration) -> Daemon {
+    /// Starts it and waits until it handles signals.
+    pub fn start_and_wait(configuration: &Configuration) -> Daemon {
         let daemon = Daemon::start(configuration);
-        daemon.says(" started, ");
+        daemon.wait_for_log(" started, ");
         daemon
     }
 
@@ -141,7 +142,7 @@
         self.folder.path().join("config.json")
     }
 
-    /// Another configuration in the place of the one it started with, whole at once.
+    /// Replaces the configuration file atomically.
     pub fn rewrite(&self, text: &str) {
         let beside = self.folder.path().join("config.new");
         std::fs::write(&beside, text).expect("a file");
@@ -152,22 +153,22 @@
         self.log.0.lock().expect("the log").clone()
     }
 
-    /// Waits until its log holds that; gives the line.
-    pub fn says(&self, what: &str) -> String {
-        self.says_times(what, 1)
+    /// Waits until the log contains the text; returns the line.
+    pub fn wait_for_log(&self, what: &str) -> String {
+        self.wait_for_log_count(what, 1)
     }
 
-    /// Waits until its log holds that so often; gives the last of these lines.
-    pub fn says_times(&self, what: &str, times: usize) -> String {
-        let (until, (lines, news)) = (Instant::now() + BOUND, &*self.log);
+    /// Waits until that many lines of the log contain the text; returns the last of these lines.
+    pub fn wait_for_log_count(&self, what: &str, times: usize) -> String {
+        let (until, (lines, changed_log)) = (Instant::now() + TEST_TIMEOUT, &*self.log);
         let mut lines = lines.lock().expect("the log");
         loop {
             if let Some(line) = lines.iter().filter(|line| line.contains(what)).nth(times - 1) {
                 return line.clone();
             }
             let left = until.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "it has not said {what:?} {times} times:\n{}", lines.join("\n"));
-            lines = news.wait_timeout(lines, left).expect("the log").0;
+            assert!(!left.is_zero(), "it has not received {what:?} {times} times:\n{}", lines.join("\n"));
+            lines = changed_log.wait_timeout(lines, left).expect("the log").0;
         }
     }
 
@@ -176,65 +177,67 @@
         assert!(sent.success(), "{signal} was not sent");
     }
 
-    /// Asks for the counters by SIGUSR1 and gives that one.
+    /// Requests the counters by SIGUSR1 and returns the named one.
     pub fn counter(&self, name: &str) -> u64 {
         let before = self.log().iter().filter(|line| line.contains("counters: ")).count();
         self.signal("-USR1");
-        let line = self.says_times("counters: ", before + 1);
+        let line = self.wait_for_log_count("counters: ", before + 1);
         let sample = format!(" {name}=");
         let value = line.split(&sample).nth(1).and_then(|rest| rest.split([' ', ',']).next());
         let value = value.unwrap_or_else(|| panic!("no counter {name} in {line}"));
         value.parse().expect("a count")
     }
 
-    /// Waits until a counter is at least so high; asking is the only step, so nothing is slept for.
+    /// Waits until a counter has reached a value, by requesting the counters repeatedly.
     pub fn counter_reaches(&self, name: &str, least: u64) -> u64 {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             let count = self.counter(name);
             if count >= least {
                 return count;
             }
             assert!(Instant::now() < until, "{name} is {count}, not {least}:\n{}", self.log().join("\n"));
-            // Asking without a pause would take the time that other tests' stand-ins have for their answers.
+            // Polling without a pause would take CPU time from the stand-ins of tests that run
+            // in parallel.
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Waits for its end; gives its exit code (none: a signal ended it) and how long that took.
+    /// Waits until the process has ended; returns its exit code (none if a signal ended it) and how
+    /// long the wait took.
     pub fn ended(&mut self) -> (Option<i32>, Duration) {
         let begun = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("its end") {
                 return (status.code(), begun.elapsed());
             }
-            assert!(begun.elapsed() < BOUND, "it lives on:\n{}", self.log().join("\n"));
+            assert!(begun.elapsed() < TEST_TIMEOUT, "it lives on:\n{}", self.log().join("\n"));
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    pub fn is_up(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("its state").is_none()
     }
 
-    /// SIGTERM, its exit code and how long it lived on.
+    /// Sends SIGTERM; returns the exit code and how long the process took to end.
     pub fn terminate(&mut self) -> (Option<i32>, Duration) {
         self.signal("-TERM");
         self.ended()
     }
 
-    /// A connection to its address; it listens from before it says that it has started.
+    /// Connects to its address; the daemon listens before it logs that it has started.
     pub fn dial(&self) -> Client {
         let stream = TcpStream::connect(self.listen).expect("it listens");
-        stream.set_read_timeout(Some(BOUND)).expect("a time limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
         stream.set_nodelay(true).expect("an option");
         Client { reading: BufReader::new(stream.try_clone().expect("a descriptor")), stream }
     }
 
-    /// Dials until the daemon answers a `PING`; gives how long after its start that was.
+    /// Connects until the daemon answers a `PING`; returns how long after the start that was.
     pub fn ready(&self) -> Duration {
         loop {
-            assert!(self.started.elapsed() < BOUND, "not ready:\n{}", self.log().join("\n"));
+            assert!(self.started.elapsed() < TEST_TIMEOUT, "not ready:\n{}", self.log().join("\n"));
             if let Ok(stream) = TcpStream::connect(self.listen) {
                 stream.set_read_timeout(Some(Duration::from_millis(500))).expect("a time limit");
                 let reading = BufReader::new(stream.try_clone().expect("a descriptor"));
@@ -249,7 +252,7 @@
     }
 }
 
-/// Someone who connects to the daemon's address.
+/// A client connection to the daemon's address.
 pub struct Client {
     pub stream: TcpStream,
     reading: BufReader<TcpStream>,
@@ -260,7 +263,8 @@
         let _ = self.stream.write_all(bytes);
     }
 
-    /// The next line with its end; none once the daemon has closed or the time is over.
+    /// The next line including its line end; none once the daemon has closed the connection or the read
+    /// timed out.
     pub fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.reading.read_line(&mut line) {
@@ -269,10 +273,10 @@
         }
     }
 
-    /// Waits until the daemon has closed or reset it; gives what it said before.
+    /// Waits until the daemon has closed or reset the connection; returns what was received before.
     pub fn ended(&mut self) -> String {
-        let mut said = Vec::new();
-        let _ = self.reading.read_to_end(&mut said);
-        String::from_utf8_lossy(&said).into_owned()
+        let mut received = Vec::new();
+        let _ = self.reading.read_to_end(&mut received);
+        String::from_utf8_lossy(&received).into_owned()
     }
 }
--- a/crates/steward/tests/stand_in/mod.rs
+++ b/crates/steward/tests/stand_in/mod.rs
@@ -1,6 +1,6 @@
-//! The stand-ins that a test drives: each says and withholds what the test tells it to.
+//! Stand-ins for discovery, hosts and the relay: each sends and withholds what the test tells it to.
 
-// Each test binary that includes this module uses another part of it.
+// Each test binary that includes this module uses a different part of it.
 #![allow(dead_code, unused_imports)]
 
 #[path = "../address/mod.rs"]
@@ -10,10 +10,10 @@
 mod relay;
 
 pub use daemon::{host, list, program, Client, Configuration, Daemon};
-pub use peer::{nobody, Connection, Exchange, Peer, Seen};
+pub use peer::{refusing_address, Connection, Exchange, Peer, PeerEvent};
 pub use relay::{orders, take, Relay, RelayWatch};
 
 use std::time::Duration;
 
-/// Nothing that a test waits for takes so long; also on a machine with much else to do.
-pub const BOUND: Duration = Duration::from_secs(20);
+/// The limit for everything that a test waits for; generous, so that it holds on a busy machine too.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/steward/tests/stand_in/peer.rs
+++ b/crates/steward/tests/stand_in/peer.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server whose every answer, byte by byte, is the test's own.
+//! An HTTP/1.1 server whose answers are written byte by byte by the test.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -7,33 +7,34 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 
-use crate::stand_in::BOUND;
+use crate::stand_in::TEST_TIMEOUT;
 
-/// One side of a connection that the daemon opened.
+/// The server's side of a connection that the daemon opened.
 pub struct Connection {
     stream: TcpStream,
-    /// Counts the connections of its peer, from zero.
+    /// The number of the connection at its server, from zero.
     pub number: usize,
 }
 
 impl Connection {
-    /// One that a test accepted itself.
+    /// Wraps a connection that the test accepted itself.
     pub fn on(stream: TcpStream, number: usize) -> Connection {
         Connection { stream, number }
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
-        // The daemon may have closed it already, which is then what the test looks for.
+        // Errors are ignored: the daemon may have closed the connection already, and then the test
+        // checks that.
         let _ = self.stream.write_all(bytes).and_then(|()| self.stream.flush());
     }
 
-    /// A whole answer.
+    /// Writes a complete answer.
     pub fn answer(&mut self, status: u16, body: &str) {
         let length = body.len();
         self.write(format!("HTTP/1.1 {status} said\r\ncontent-length: {length}\r\n\r\n{body}").as_bytes());
     }
 
-    /// The head of an answer that comes in chunks.
+    /// Writes the head of an answer in chunked transfer encoding.
     pub fn begin_chunked(&mut self) {
         self.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
     }
@@ -42,30 +43,31 @@
         self.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
-    /// FIN behind what was written; what the daemon writes is still read.
-    pub fn finish(&mut self) {
+    /// Sends FIN after the bytes that were written; what the daemon writes is still read.
+    pub fn half_close(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// RST behind what was written.
+    /// Sends RST after the bytes that were written.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
         let _ = socket.set_linger(Some(Duration::ZERO));
-        // Only ends the thread that reads; ending what is written would send a FIN ahead of the RST.
+        // Ends the reading thread only; a shutdown of the writing side would send a FIN before the
+        // RST.
         let _ = self.stream.shutdown(Shutdown::Read);
     }
 
-    /// Both directions; the thread that reads ends too.
+    /// Closes both directions, which ends the reading thread too.
     pub fn close(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    pub fn another(&self) -> Connection {
+    pub fn duplicate(&self) -> Connection {
         Connection { stream: self.stream.try_clone().expect("a descriptor"), number: self.number }
     }
 }
 
-/// A request, read whole, and the connection to answer it on.
+/// A request that was read completely, and the connection to answer it on.
 pub struct Exchange {
     /// `GET /v1/servers?after=41&wait_ms=5000`
     pub line: String,
@@ -80,78 +82,81 @@
     }
 }
 
-/// What a peer sees.
-pub enum Seen {
+/// What a server observes on its connections.
+pub enum PeerEvent {
     Connected(usize),
     Request(Exchange),
-    /// The daemon closed it; so many bytes of a request that is not whole had come.
+    /// The daemon closed the connection; `partial_bytes` bytes of an incomplete request had been
+    /// received.
     Closed {
         number: usize,
-        in_part: usize,
+        partial_bytes: usize,
     },
 }
 
-/// Listens at an address of its own and hands each request to the test.
+/// Listens at its own address and hands each request to the test.
 pub struct Peer {
     pub address: SocketAddr,
     listener: TcpListener,
-    seen: Receiver<Seen>,
-    /// Seen and not asked for yet.
-    aside: RefCell<VecDeque<Seen>>,
+    event: Receiver<PeerEvent>,
+    /// Events that were received and that no call has consumed yet.
+    unclaimed: RefCell<VecDeque<PeerEvent>>,
 }
 
 impl Peer {
     pub fn listening() -> Peer {
-        Peer::on(TcpListener::bind((crate::stand_in::address::own(), 0)).expect("an address"))
+        Peer::from_listener(TcpListener::bind((crate::stand_in::address::own(), 0)).expect("an address"))
     }
 
-    /// At an address that was kept or was let go.
-    pub fn on(listener: TcpListener) -> Peer {
+    /// Serves on a listener that the test bound itself.
+    pub fn from_listener(listener: TcpListener) -> Peer {
         let address = listener.local_addr().expect("an address");
-        let kept = listener.try_clone().expect("a descriptor");
-        let (tell, seen) = channel();
+        let listener_copy = listener.try_clone().expect("a descriptor");
+        let (events, event) = channel();
         std::thread::spawn(move || {
-            let stands = |stream: &std::io::Result<TcpStream>| {
-                // So it is answered once nothing listens any more.
+            let still_listens = |stream: &std::io::Result<TcpStream>| {
+                // `accept` fails with EINVAL once the socket no longer listens.
                 !stream.as_ref().is_err_and(|why| why.kind() == ErrorKind::InvalidInput)
             };
-            for (number, stream) in listener.incoming().take_while(stands).flatten().enumerate() {
-                let tell = tell.clone();
-                if tell.send(Seen::Connected(number)).is_err() {
+            for (number, stream) in listener.incoming().take_while(still_listens).flatten().enumerate() {
+                let events = events.clone();
+                if events.send(PeerEvent::Connected(number)).is_err() {
                     return;
                 }
-                std::thread::spawn(move || read(stream, number, &tell));
+                std::thread::spawn(move || read(stream, number, &events));
             }
         });
-        Peer { address, listener: kept, seen, aside: RefCell::default() }
+        Peer { address, listener: listener_copy, event, unclaimed: RefCell::default() }
     }
 
-    /// From now on its address refuses connections, until something listens there again; those that stand go on.
+    /// Makes the address refuse connections until something listens there again; open connections
+    /// continue.
     pub fn refuse(&self) {
         socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both).expect("it listened");
     }
 
-    /// The first thing seen that `wanted` makes something of; what is passed over stays for later calls.
+    /// Waits for the first event that `wanted` accepts; events that are passed over stay for later
+    /// calls.
     pub fn find<T>(
         &self,
         what: &str,
         within: Duration,
-        mut wanted: impl FnMut(Seen) -> Result<T, Seen>,
+        mut wanted: impl FnMut(PeerEvent) -> Result<T, PeerEvent>,
     ) -> Option<T> {
         let until = Instant::now() + within;
-        let passed_over = self.aside.borrow().len();
-        for place in 0..passed_over {
-            let seen = self.aside.borrow_mut().remove(place).expect("as many as were counted");
-            match wanted(seen) {
+        let unclaimed_count = self.unclaimed.borrow().len();
+        for place in 0..unclaimed_count {
+            let event = self.unclaimed.borrow_mut().remove(place).expect("as many as were counted");
+            match wanted(event) {
                 Ok(found) => return Some(found),
-                Err(seen) => self.aside.borrow_mut().insert(place, seen),
+                Err(event) => self.unclaimed.borrow_mut().insert(place, event),
             }
         }
         loop {
-            match self.seen.recv_timeout(until.saturating_duration_since(Instant::now())) {
-                Ok(seen) => match wanted(seen) {
+            match self.event.recv_timeout(until.saturating_duration_since(Instant::now())) {
+                Ok(event) => match wanted(event) {
                     Ok(found) => return Some(found),
-                    Err(seen) => self.aside.borrow_mut().push_back(seen),
+                    Err(event) => self.unclaimed.borrow_mut().push_back(event),
                 },
                 Err(RecvTimeoutError::Timeout) => return None,
                 Err(RecvTimeoutError::Disconnected) => panic!("the listener is gone: {what}"),
@@ -159,32 +164,33 @@
         }
     }
 
-    /// The next request whose line begins so.
+    /// The next request whose line begins with the prefix.
     pub fn request(&self, prefix: &str) -> Exchange {
-        let found = self.request_within(prefix, BOUND);
-        found.unwrap_or_else(|| panic!("no request {prefix} in {BOUND:?}"))
+        let found = self.request_within(prefix, TEST_TIMEOUT);
+        found.unwrap_or_else(|| panic!("no request {prefix} in {TEST_TIMEOUT:?}"))
     }
 
     pub fn request_within(&self, prefix: &str, within: Duration) -> Option<Exchange> {
-        self.find(prefix, within, |seen| match seen {
-            Seen::Request(exchange) if exchange.line.starts_with(prefix) => Ok(exchange),
+        self.find(prefix, within, |event| match event {
+            PeerEvent::Request(exchange) if exchange.line.starts_with(prefix) => Ok(exchange),
             other => Err(other),
         })
     }
 
-    /// Waits until the daemon has closed that connection; gives how many bytes of a further request had come.
+    /// Waits until the daemon has closed that connection; returns how many bytes of a further request
+    /// had been received.
     pub fn closed(&self, number: usize) -> usize {
-        let found = self.find("closed", BOUND, |seen| match seen {
-            Seen::Closed { number: closed, in_part } if closed == number => Ok(in_part),
+        let found = self.find("closed", TEST_TIMEOUT, |event| match event {
+            PeerEvent::Closed { number: closed, partial_bytes } if closed == number => Ok(partial_bytes),
             other => Err(other),
         });
-        found.unwrap_or_else(|| panic!("connection {number} still stands after {BOUND:?}"))
+        found.unwrap_or_else(|| panic!("connection {number} still stands after {TEST_TIMEOUT:?}"))
     }
 
-    /// Waits for the next connection that has not been asked for.
+    /// Waits for the next new connection; returns its number.
     pub fn connected(&self) -> usize {
-        let found = self.find("connected", BOUND, |seen| match seen {
-            Seen::Connected(number) => Ok(number),
+        let found = self.find("connected", TEST_TIMEOUT, |event| match event {
+            PeerEvent::Connected(number) => Ok(number),
             other => Err(other),
         });
         found.expect("a connection")
@@ -192,20 +198,20 @@
 }
 
 /// An address that refuses connections until something listens there.
-pub fn nobody() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     let listener = TcpListener::bind((crate::stand_in::address::own(), 0)).expect("an address");
     listener.local_addr().expect("an address")
 }
 
-fn read(stream: TcpStream, number: usize, tell: &Sender<Seen>) {
+fn read(stream: TcpStream, number: usize, events: &Sender<PeerEvent>) {
     let _ = stream.set_nodelay(true);
     let mut reading = BufReader::new(stream.try_clone().expect("a descriptor"));
     loop {
-        let (mut line, mut length, mut in_part) = (String::new(), 0, 0);
+        let (mut line, mut length, mut partial_bytes) = (String::new(), 0, 0);
         let whole = loop {
             let mut header = String::new();
             match reading.read_line(&mut header) {
-                Ok(count @ 1..) => in_part += count,
+                Ok(count @ 1..) => partial_bytes += count,
                 _ => break false,
             }
             let header = header.trim_end();
@@ -228,13 +234,13 @@
             }
         }
         if !whole || read < length {
-            let _ = tell.send(Seen::Closed { number, in_part: in_part + read });
+            let _ = events.send(PeerEvent::Closed { number, partial_bytes: partial_bytes + read });
             return;
         }
         let stream = stream.try_clone().expect("a descriptor");
         let body = String::from_utf8(body).expect("text");
         let exchange = Exchange { line, body, connection: Connection { stream, number } };
-        if tell.send(Seen::Request(exchange)).is_err() {
+        if events.send(PeerEvent::Request(exchange)).is_err() {
             return;
         }
     }
