--- a/crates/steward/tests/stand_in/relay.rs
+++ b/crates/steward/tests/stand_in/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: proxies that join and leave by the test's word, calls that are answered at once or held.
+//! A stand-in for the relay: the test lets proxies join and leave, and answers calls at once or holds them.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,8 +9,8 @@
 
 use crate::stand_in::{Connection, Exchange, Peer};
 
-/// Sooner than the daemon takes the news for silent.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(300);
+/// Shorter than the time after which the daemon takes the relay watch for silent.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(300);
 
 pub struct Relay {
     pub peer: Peer,
@@ -25,15 +25,15 @@
         self.peer.address
     }
 
-    /// Takes the next watch and answers its head.
+    /// Accepts the next watch request and writes the head of its answer.
     pub fn watch(&self) -> RelayWatch {
         let mut exchange = self.peer.request("GET /watch");
         exchange.connection.begin_chunked();
         RelayWatch::new(exchange.connection)
     }
 
-    /// The next call with orders, which is answered by the test or never. Inquiries before it, which order nothing, are
-    /// answered.
+    /// The next call that carries orders, for the test to answer or not. Calls before it that carry no
+    /// orders are answered.
     pub fn call(&self) -> Exchange {
         loop {
             let call = self.peer.request("POST /txn");
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes calls until one holds an order that is wanted; gives that call, unanswered. Those before it are taken.
+    /// Accepts calls until one carries a wanted order; returns that call unanswered.
     pub fn call_with(&self, wanted: impl Fn(&Value) -> bool) -> Exchange {
         loop {
             let call = self.call();
@@ -56,77 +56,79 @@
     }
 }
 
-/// The orders of a call.
+/// The orders that a call carries.
 pub fn orders(call: &Exchange) -> Vec<Value> {
     let body: Value = serde_json::from_str(&call.body).expect("a call of JSON");
     body["changes"].as_array().expect("a list of orders").clone()
 }
 
-/// Answers that all orders were taken.
+/// Answers a call as accepted, with all of its orders.
 pub fn take(call: Exchange) -> Connection {
     let taken = orders(&call).len();
     call.answer(200, &format!("{{\"taken\":{taken}}}"))
 }
 
-/// A watch that stands and gives signs of life until it is dropped or told to be silent.
+/// An open watch that sends keepalives until it is dropped or told to stop.
 pub struct RelayWatch {
     connection: Arc<Mutex<Connection>>,
-    lives: Arc<AtomicBool>,
+    keepalives: Arc<AtomicBool>,
     pub number: usize,
 }
 
 impl RelayWatch {
-    /// On a connection whose answer has a head already.
+    /// Wraps a connection on which the head of the answer has been written already.
     pub fn new(connection: Connection) -> RelayWatch {
         let number = connection.number;
-        let (connection, lives) = (Arc::new(Mutex::new(connection)), Arc::new(AtomicBool::new(true)));
-        let (signs, live) = (connection.clone(), lives.clone());
+        let (connection, keepalives) = (Arc::new(Mutex::new(connection)), Arc::new(AtomicBool::new(true)));
+        let (shared, enabled) = (connection.clone(), keepalives.clone());
         std::thread::spawn(move || {
-            while Arc::strong_count(&signs) > 1 {
-                if live.load(Ordering::SeqCst) {
-                    signs.lock().expect("a connection").chunk("{}\n");
+            while Arc::strong_count(&shared) > 1 {
+                if enabled.load(Ordering::SeqCst) {
+                    shared.lock().expect("a connection").chunk("{}\n");
                 }
-                std::thread::sleep(SIGN_OF_LIFE);
+                std::thread::sleep(KEEPALIVE_INTERVAL);
             }
         });
-        RelayWatch { connection, lives, number }
+        RelayWatch { connection, keepalives, number }
     }
 
-    /// No further sign of life.
-    pub fn silent(&self) {
-        self.lives.store(false, Ordering::SeqCst);
+    /// Stops the keepalives.
+    pub fn stop_keepalives(&self) {
+        self.keepalives.store(false, Ordering::SeqCst);
     }
 
-    pub fn say(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         self.connection.lock().expect("a connection").chunk(&format!("{line}\n"));
     }
 
     pub fn joined(&self, proxy: u16, zone: &str, fresh: bool) {
-        self.say(&format!(
+        self.send_line(&format!(
             r#"{{"type":"SUBSCRIBE","object":{{"proxy":{proxy},"zone":"{zone}","weight":20.0,"fresh":{fresh}}}}}"#
         ));
     }
 
     pub fn left(&self, proxy: u16) {
-        self.say(&format!(r#"{{"type":"CLOSED","object":{{"proxy":{proxy}}}}}"#));
+        self.send_line(&format!(r#"{{"type":"CLOSED","object":{{"proxy":{proxy}}}}}"#));
     }
 
     pub fn applied(&self, proxy: u16, mark: u64) {
-        self.say(&format!(r#"{{"type":"ACK","object":{{"proxy":{proxy},"mark":{mark},"took_ms":200.0}}}}"#));
+        self.send_line(&format!(
+            r#"{{"type":"ACK","object":{{"proxy":{proxy},"mark":{mark},"took_ms":200.0}}}}"#
+        ));
     }
 
-    /// Bytes of its own on the connection.
+    /// Writes raw bytes to the connection.
     pub fn write(&self, bytes: &[u8]) {
         self.connection.lock().expect("a connection").write(bytes);
     }
 
     pub fn reset(self) {
-        self.silent();
-        self.connection.lock().expect("a connection").another().reset();
+        self.stop_keepalives();
+        self.connection.lock().expect("a connection").duplicate().reset();
     }
 
     pub fn close(self) {
-        self.silent();
-        self.connection.lock().expect("a connection").another().close();
+        self.stop_keepalives();
+        self.connection.lock().expect("a connection").duplicate().close();
     }
 }
