--- a/crates/steward/tests/command.rs
+++ b/crates/steward/tests/command.rs
@@ -1,4 +1,4 @@
-//! The program itself: its command line, and the intake switched on by an operator's file.
+//! The amberarch binary: its command line, and the features that an operator's file enables.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -12,8 +12,8 @@
         .env_remove("GW_CONFIG")
         .output()
         .expect("the program starts");
-    let said = [stdout, stderr].concat();
-    (status.code(), String::from_utf8_lossy(&said).into_owned())
+    let output = [stdout, stderr].concat();
+    (status.code(), String::from_utf8_lossy(&output).into_owned())
 }
 
 #[test]
@@ -28,7 +28,7 @@
         std::fs::write(dir.path().join(name), text).expect("a file");
     }
     std::fs::write(dir.path().join("binary.toml"), [0xff, 0xfe]).expect("a file");
-    let mut said = String::new();
+    let mut output = String::new();
     for args in [
         &["check", "none.toml"][..],
         &["check", "on.toml"],
@@ -39,7 +39,7 @@
         &["check", "absent.toml"],
     ] {
         let (code, text) = amberarch(dir.path(), args);
-        said += &format!("{} -> {code:?} {text}", args.join(" "));
+        output += &format!("{} -> {code:?} {text}", args.join(" "));
     }
     expect![[r#"
         check none.toml -> Some(0) fine, nothing is switched on
@@ -49,7 +49,7 @@
         check bad.toml --json -> Some(2) {"fault":"bad.toml:3:17: invalid type: string \"many\", expected u32","fine":false}
         check binary.toml -> Some(2) amberarch: binary.toml: not UTF-8
         check absent.toml -> Some(2) amberarch: absent.toml: No such file or directory (os error 2)
-    "#]].assert_eq(&said);
+    "#]].assert_eq(&output);
 }
 
 #[test]
@@ -68,15 +68,16 @@
     };
     let absent = start(&["run", "--operator", "absent.toml"]);
     assert_eq!(absent, "Some(2) amberarch: absent.toml: No such file or directory (os error 2)\n");
-    // The usual place is looked at without being named.
+    // The default path is read without being named.
     std::fs::write(dir.path().join("deploy/amberarch.toml"), "\n[intake]\nlisten = 1\n").expect("a file");
     let usual = start(&[]);
-    let told =
+    let expected =
         "Some(2) amberarch: deploy/amberarch.toml:3:10: invalid type: integer `1`, expected socket address\n";
-    assert_eq!(usual, told);
+    assert_eq!(usual, expected);
 }
 
-/// Guards against a start that can never keep a collector, and against one that says so in more than a line.
+/// Guards against starting with limits that can never serve a collector, and against reporting that in more
+/// than one line.
 #[test]
 fn a_configuration_with_too_few_descriptors_ends_the_start_with_one_line() {
     let dir = tempfile::tempdir().expect("a folder");
@@ -92,9 +93,9 @@
         let mut start = Command::new(env!("CARGO_BIN_EXE_amberarch"));
         let ended =
             start.current_dir(dir.path()).env("GW_CONFIG", &path).output().expect("the program starts");
-        let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert_eq!(ended.status.code(), Some(2), "{said}");
-        assert!(said.lines().count() == 1 && said.contains(named), "{said}");
+        let output = String::from_utf8_lossy(&ended.stderr).into_owned();
+        assert_eq!(ended.status.code(), Some(2), "{output}");
+        assert!(output.lines().count() == 1 && output.contains(named), "{output}");
     }
 }
 
@@ -128,7 +129,7 @@
         String::from_utf8_lossy(&[stdout, stderr].concat()).into_owned()
     };
     let same = |text: &str| text.to_string();
-    let said = [
+    let output = [
         check(&same, true),
         check(&same, false),
         check(&|text| text.replace("look = 0.0", "lok = 0.0"), true),
@@ -153,10 +154,10 @@
         amberarch: levels.toml:9:56: invalid value: string "6 sheep", expected a duration
         amberarch: levels.toml:8:21: unknown variant `presure`, expected one of `pressure`, `voided`, `late`, `out`, `unseen`, `load`
         amberarch: levels.toml:5:1: level no-looks keeps 0.6 to 0.3 of a product; expected 0 to 1, the lesser first
-    "#]].assert_eq(&said.concat());
+    "#]].assert_eq(&output.concat());
 }
 
-/// A daemon beside nobody, ended with the test.
+/// A daemon without relay or discovery, killed when it is dropped.
 struct Daemon(std::process::Child);
 
 impl Drop for Daemon {
@@ -189,32 +190,33 @@
     assert_eq!(ask(&[]).0, Some(2), "nobody answers yet");
     let running = daemon(dir.path());
     let until = std::time::Instant::now() + std::time::Duration::from_secs(10);
-    let mut said = String::new();
-    while !said.contains("\"level\":\"full\"") && std::time::Instant::now() < until {
+    let mut output = String::new();
+    while !output.contains("\"level\":\"full\"") && std::time::Instant::now() < until {
         std::thread::sleep(std::time::Duration::from_millis(100));
-        said = ask(&["--json"]).1;
+        output = ask(&["--json"]).1;
     }
-    // The example's proxies take no levels: all is told, nothing is bounded.
-    assert!(said.contains("\"level\":\"full\"") && said.contains("\"acts\":false"), "{said}");
-    let (code, said) = ask(&["pin", "no-looks", "--for", "2m"]);
-    assert!(code == Some(0) && said.starts_with("level no-looks, for 0 s"), "{said}");
-    assert!(said.contains("full -> no-looks: pinned until"), "{said}");
-    assert!(said.contains("lifted by  pressure under 0.5 for 6 s in all zones"), "{said}");
-    let (code, said) = ask(&["pin", "dark", "--for", "2m"]);
+    // The example's proxies support no service levels: levels are reported, nothing is limited.
+    assert!(output.contains("\"level\":\"full\"") && output.contains("\"acts\":false"), "{output}");
+    let (code, output) = ask(&["pin", "no-looks", "--for", "2m"]);
+    assert!(code == Some(0) && output.starts_with("level no-looks, for 0 s"), "{output}");
+    assert!(output.contains("full -> no-looks: pinned until"), "{output}");
+    assert!(output.contains("lifted by  pressure under 0.5 for 6 s in all zones"), "{output}");
+    let (code, output) = ask(&["pin", "dark", "--for", "2m"]);
     assert_eq!(
-        (code, said.as_str()),
+        (code, output.as_str()),
         (Some(2), "amberarch: no level is named dark; there are full, no-looks\n")
     );
-    let (code, said) = ask(&["pin", "full", "--for", "2d"]);
-    assert!(code == Some(2) && said.contains("at most 86400 seconds"), "{said}");
-    let (code, said) = ask(&["unpin"]);
-    assert!(code == Some(0) && !said.contains("is pinned"), "{said}");
-    // A second daemon does not take the place of one that answers.
+    let (code, output) = ask(&["pin", "full", "--for", "2d"]);
+    assert!(code == Some(2) && output.contains("at most 86400 seconds"), "{output}");
+    let (code, output) = ask(&["unpin"]);
+    assert!(code == Some(0) && !output.contains("is pinned"), "{output}");
+    // A second daemon does not take over the socket of one that answers.
     let second = daemon(dir.path());
     let ended = ended(second);
     assert!(ended.contains("another daemon answers there"), "{ended}");
     assert_eq!(ask(&["show"]).0, Some(0));
-    // One that was killed leaves its socket behind; the next puts it away, but nothing that is no socket.
+    // A killed daemon leaves its socket behind; the next one removes it, but no file that is not a
+    // socket.
     drop(running);
     assert!(socket.exists());
     let third = daemon(dir.path());
@@ -233,10 +235,10 @@
 
 fn ended(mut daemon: Daemon) -> String {
     use std::io::Read;
-    let mut said = String::new();
-    daemon.0.stderr.take().expect("its log").read_to_string(&mut said).expect("its log");
-    assert_eq!(daemon.0.wait().expect("an end").code(), Some(2), "{said}");
-    said
+    let mut output = String::new();
+    daemon.0.stderr.take().expect("its log").read_to_string(&mut output).expect("its log");
+    assert_eq!(daemon.0.wait().expect("an end").code(), Some(2), "{output}");
+    output
 }
 
 const FLEET: &str = r#"[fleet]
@@ -253,7 +255,7 @@
 votes = true
 "#;
 
-/// Guards against a policy that is found wrong only once it is proposed, at the peak.
+/// Guards against a policy whose errors are found only when it is proposed, at the peak.
 #[test]
 fn a_fleet_is_checked_with_the_policy_that_it_names_or_a_policy_alone() {
     let dir = tempfile::tempdir().expect("a folder");
@@ -269,11 +271,11 @@
     };
     let rule = "revision = 3\n[[residency.rule]]\nname = \"home\"\nproducts = [\"pay\"]\nfrom = [\"east\"]\npermit = [\"east\"]\n";
     write("operator.toml", FLEET);
-    let mut said = check("operator.toml", false);
+    let mut output = check("operator.toml", false);
     write("policy.toml", rule);
     for known in [false, true] {
-        said += &check("operator.toml", known);
-        said += &check("policy.toml", known);
+        output += &check("operator.toml", known);
+        output += &check("policy.toml", known);
     }
     for (from, to) in [
         ("revision = 3", "revision = 0"),
@@ -283,13 +285,13 @@
         ("permit", "permits"),
     ] {
         write("policy.toml", &rule.replace(from, to));
-        said += &check("operator.toml", true);
+        output += &check("operator.toml", true);
     }
     write("policy.toml", rule);
     write("operator.toml", &FLEET.replace("\"look\"", "\"lok\""));
-    said += &check("operator.toml", true);
+    output += &check("operator.toml", true);
     write("operator.toml", &FLEET.replace("name = \"a\"\nid", "id"));
-    said += &check("operator.toml", true);
+    output += &check("operator.toml", true);
     expect![[r#"
         amberarch: policy.toml: No such file or directory (os error 2)
         fine, on: fleet
@@ -305,10 +307,10 @@
         amberarch: policy.toml:6:1: unknown field `permits`, expected one of `name`, `customer`, `products`, `from`, `permit`, `forbid`, `fallback`, `never`, `until`, `declined`
         amberarch: operator.toml:7:18: no product is named lok; there are look, pay
         amberarch: operator.toml:2:6: no member is named try, as this steward is
-    "#]].assert_eq(&said);
+    "#]].assert_eq(&output);
 }
 
-/// Guards against examples that the program itself refuses.
+/// Guards against examples that the binary itself refuses.
 #[test]
 fn the_examples_under_deploy_are_fine_also_with_their_fleet_switched_on() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
@@ -320,8 +322,8 @@
     let fleet: Vec<&str> = fleet.map(|line| line.strip_prefix("# ").unwrap_or("")).collect();
     assert!(fleet.len() > 20);
     std::fs::write(dir.path().join("fleet.toml"), fleet.join("\n")).expect("a file");
-    let (code, said) = amberarch(dir.path(), &["check", "fleet.toml"]);
-    assert!(code == Some(0) && said.starts_with("fine, on: fleet"), "{said}");
-    let (code, said) = amberarch(dir.path(), &["check", "deploy/policy.toml"]);
-    assert!(code == Some(0) && said.starts_with("fine, revision 1"), "{said}");
+    let (code, output) = amberarch(dir.path(), &["check", "fleet.toml"]);
+    assert!(code == Some(0) && output.starts_with("fine, on: fleet"), "{output}");
+    let (code, output) = amberarch(dir.path(), &["check", "deploy/policy.toml"]);
+    assert!(code == Some(0) && output.starts_with("fine, revision 1"), "{output}");
 }
--- a/crates/steward/tests/crossing_connections/bad_configuration.rs
+++ b/crates/steward/tests/crossing_connections/bad_configuration.rs
@@ -33,7 +33,7 @@
         if begun.elapsed() > TEST_TIMEOUT {
             let _ = child.kill();
             let _ = child.wait();
-            panic!("it lives on");
+            panic!("the process has not ended");
         }
         std::thread::sleep(Duration::from_millis(2));
     }
@@ -79,17 +79,17 @@
         (Some(with("/limits/sockets", Some(json!(47)))), vec!["expected at least 48 at /limits/sockets"]),
         (Some(with("/listen", Some(json!("192.0.2.1:3000")))), vec!["192.0.2.1:3000", "this machine"]),
     ];
-    for (content, told) in cases {
+    for (content, expected) in cases {
         match content {
             Some(content) => std::fs::write(&path, content).expect("a file"),
             None => assert!(!path.exists()),
         }
         let mut child = start(folder.path(), Some(&path), Stdio::piped());
         let code = ended(&mut child);
-        let mut said = String::new();
-        child.stderr.take().expect("its log").read_to_string(&mut said).expect("text");
-        assert_eq!((code, said.lines().count()), (Some(2), 1), "{told:?}: {said}");
-        assert!(told.iter().all(|told| said.contains(told)), "{told:?}: {said}");
+        let mut output = String::new();
+        child.stderr.take().expect("its log").read_to_string(&mut output).expect("text");
+        assert_eq!((code, output.lines().count()), (Some(2), 1), "{expected:?}: {output}");
+        assert!(expected.iter().all(|expected| output.contains(expected)), "{expected:?}: {output}");
     }
 }
 
@@ -127,9 +127,9 @@
         let mut stream = TcpStream::connect(configuration.listen).expect("it listens");
         stream.write_all(b"PING\r\n").expect("it is read");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
-        let mut said = [0; 6];
-        stream.read_exact(&mut said).unwrap_or_else(|why| panic!("round {round}: {why}"));
-        assert_eq!(&said, b"PONG\r\n");
+        let mut output = [0; 6];
+        stream.read_exact(&mut output).unwrap_or_else(|why| panic!("round {round}: {why}"));
+        assert_eq!(&output, b"PONG\r\n");
     }
     let sent = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().expect("a signal");
     assert!(sent.success());
--- a/crates/steward/tests/crossing_connections/bad_input.rs
+++ b/crates/steward/tests/crossing_connections/bad_input.rs
@@ -66,9 +66,9 @@
     let mut bystander = site.collector();
     for bytes in INVALID_LINES {
         let before = site.daemon.counter("connections_refused");
-        let mut stranger = site.daemon.dial();
-        stranger.write(&[bytes, b"\r\n"].concat());
-        assert_eq!(closed(&mut stranger), "NACK\r\n", "{bytes:?}");
+        let mut unidentified = site.daemon.dial();
+        unidentified.write(&[bytes, b"\r\n"].concat());
+        assert_eq!(closed(&mut unidentified), "NACK\r\n", "{bytes:?}");
         assert_eq!(site.daemon.counter("connections_refused"), before + 1, "{bytes:?}");
         let mut collector = site.collector();
         collector.write(&[bytes, b"\r\n", HOST_REPORT.as_bytes()].concat());
@@ -197,7 +197,7 @@
     let site = Site::up();
     let mut collector = site.collector();
     let at = healthy_host();
-    let spoilt = |key: &str, value: Value| {
+    let invalid_row = |key: &str, value: Value| {
         let mut row = host("s-1", at, "east");
         row[key] = value;
         list(2, true, &[row]).to_string()
@@ -211,11 +211,11 @@
         r#"{"seq":1e999,"whole":true,"hosts":[]}"#.into(),
         r#"{"seq":2,"whole":"yes","hosts":[]}"#.into(),
         r#"{"seq":2,"whole":true,"hosts":{}}"#.into(),
-        spoilt("health", json!("asleep")),
-        spoilt("share", json!("1")),
-        spoilt("share", json!(null)),
-        spoilt("block", json!(-1)),
-        spoilt("dial", json!(7)),
+        invalid_row("health", json!("asleep")),
+        invalid_row("share", json!("1")),
+        invalid_row("share", json!(null)),
+        invalid_row("block", json!(-1)),
+        invalid_row("dial", json!(7)),
     ];
     for body in rows {
         let before = site.daemon.counter("list_failures");
@@ -350,20 +350,20 @@
     site.assert_still_serves(&mut collector);
     let before = peak_memory(&site.daemon);
     let unknown = HOST_REPORT.replace("s-1", "s-2");
-    let spoilt =
+    let invalid_lines =
         format!("LOAD zone=east\r\n{unknown}RATE proxy=70000 class=a tries=1 failed=0 span_ms=1\r\n");
-    let news =
+    let watch_lines =
         "not JSON\n{\"type\":\"ACK\",\"object\":{\"proxy\":9,\"mark\":1,\"took_ms\":-1.0}}\n".repeat(100);
-    let news = format!("{:x}\r\n{news}\r\n", news.len());
+    let watch_lines = format!("{:x}\r\n{watch_lines}\r\n", watch_lines.len());
     for (lines, most) in [(LINES / 10, 50), (LINES, 100)] {
         let skipped = site.daemon.counter("lines_skipped");
-        collector.write(spoilt.repeat(lines as usize / 3).as_bytes());
+        collector.write(invalid_lines.repeat(lines as usize / 3).as_bytes());
         site.daemon.counter_reaches("lines_skipped", skipped + lines / 3 * 3);
         let skipped = site.daemon.counter("news_skipped");
-        site.watch.write(news.repeat(lines as usize / 200).as_bytes());
+        site.watch.write(watch_lines.repeat(lines as usize / 200).as_bytes());
         site.daemon.counter_reaches("news_skipped", skipped + lines);
-        let said = logged(&site.daemon, "skipped ") + logged(&site.daemon, "skipped,");
-        assert!(said < most, "{said} lines of the log");
+        let logged_lines = logged(&site.daemon, "skipped ") + logged(&site.daemon, "skipped,");
+        assert!(logged_lines < most, "{logged_lines} lines of the log");
         site.assert_still_serves(&mut collector);
     }
     let grown = peak_memory(&site.daemon) - before;
--- a/crates/steward/tests/crossing_connections/collectors.rs
+++ b/crates/steward/tests/crossing_connections/collectors.rs
@@ -119,8 +119,8 @@
     collector.write(format!("{}\r{HOST_REPORT}", HOST_REPORT.trim_end()).as_bytes());
     collector.write(b"PING\rPING\r\n");
     assert_eq!(collector.line().as_deref(), Some("PONG\r\n"));
-    let heard = site.daemon.counter("lines_taken") + site.daemon.counter("lines_skipped");
-    assert_eq!(heard, 2, "one line for a bare LF, one for all up to the CRLF");
+    let lines = site.daemon.counter("lines_taken") + site.daemon.counter("lines_skipped");
+    assert_eq!(lines, 2, "one line for a bare LF, one for all up to the CRLF");
     assert_eq!(site.daemon.counter("pings"), 1);
     site.assert_still_serves(&mut collector);
 }
@@ -160,8 +160,8 @@
         });
         wait_until_read(&mut joined(&site));
     }
-    let heard = site.daemon.counter("lines_taken") + site.daemon.counter("lines_skipped");
-    assert_eq!(heard, 0);
+    let lines = site.daemon.counter("lines_taken") + site.daemon.counter("lines_skipped");
+    assert_eq!(lines, 0);
     site.assert_still_serves(&mut joined(&site));
 }
 
@@ -191,7 +191,7 @@
     let begun = Instant::now();
     let dripping = std::thread::spawn(move || {
         while drips.stream.write_all(b"L").is_ok() {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "it still stands");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "it is still open");
             std::thread::sleep(Duration::from_millis(100));
         }
         begun.elapsed()
--- a/crates/steward/tests/crossing_connections/main.rs
+++ b/crates/steward/tests/crossing_connections/main.rs
@@ -88,17 +88,17 @@
 /// Waits until the daemon has closed that connection; returns what was received before.
 fn closed(client: &mut Client) -> String {
     let begun = Instant::now();
-    let said = client.ended();
-    assert!(begun.elapsed() < TEST_TIMEOUT - Duration::from_secs(1), "the connection still stands");
-    said
+    let received = client.ended();
+    assert!(begun.elapsed() < TEST_TIMEOUT - Duration::from_secs(1), "the connection is still open");
+    received
 }
 
 /// Whether nothing from the daemon is waiting to be read.
 fn nothing_received(client: &Client) -> bool {
     client.stream.set_nonblocking(true).expect("an option");
-    let said = client.stream.peek(&mut [0]);
+    let received = client.stream.peek(&mut [0]);
     client.stream.set_nonblocking(false).expect("an option");
-    said.is_err_and(|why| why.kind() == std::io::ErrorKind::WouldBlock)
+    received.is_err_and(|why| why.kind() == std::io::ErrorKind::WouldBlock)
 }
 
 /// Closes the connection with an RST after what was written.
--- a/crates/steward/tests/crossing_connections/relay_connections.rs
+++ b/crates/steward/tests/crossing_connections/relay_connections.rs
@@ -95,7 +95,7 @@
         let repeat = site.relay.call();
         assert!(begun.elapsed() >= REPEAT_PAUSE, "{answer:?}: repeated after {:?}", begun.elapsed());
         assert_ne!(repeat.connection.number, number, "{answer:?}");
-        assert_eq!(orders(&repeat)[..first.len()], first, "{answer:?}: it is repeated whole and first");
+        assert_eq!(orders(&repeat)[..first.len()], first, "{answer:?}: it is repeated in whole and first");
         take(repeat);
         site.daemon.counter_reaches("calls_unsure", before + 1);
     }
@@ -157,12 +157,12 @@
 /// it is bound again whichever of these the daemon has received.
 #[test]
 fn a_watch_that_breaks_between_leaving_and_joining_binds_the_proxy_again() {
-    for (leaving_heard, fresh) in [(true, false), (false, false), (false, true)] {
+    for (leaving_received, fresh) in [(true, false), (false, false), (false, true)] {
         let site = Site::up();
         site.watch.joined(0, "east", true);
         take(call_that_binds(&site.relay, 0));
         let Site { daemon, relay, watch, discovery: _discovery } = site;
-        if leaving_heard {
+        if leaving_received {
             watch.left(0);
             daemon.counter_reaches("left", 1);
             watch.close();
@@ -194,7 +194,7 @@
         watch.write(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes());
         watch.close();
         let again = relay.watch();
-        assert_eq!(daemon.counter("joined"), 1, "half a line was heard");
+        assert_eq!(daemon.counter("joined"), 1, "half a line was used");
         again.joined(0, "east", false);
         again.joined(1, "east", true);
         take(call_that_binds(&relay, 1));
@@ -255,7 +255,7 @@
         watch = relay.watch();
         watch.joined(proxy, "east", true);
         take(call_that_binds(&relay, proxy));
-        assert_eq!(daemon.counter("joined"), u64::from(proxy) + 1, "a line that is too long was heard");
+        assert_eq!(daemon.counter("joined"), u64::from(proxy) + 1, "a line that is too long was used");
     }
     assert!(logged(&daemon, "a line over 1 MiB") >= 1);
 }
--- a/crates/steward/tests/crossing_connections/strangers.rs
+++ b/crates/steward/tests/crossing_connections/strangers.rs
@@ -37,7 +37,7 @@
 
     fn end(self) {
         self.ends.store(true, Ordering::SeqCst);
-        self.threads.into_iter().for_each(|thread| thread.join().expect("a stranger"));
+        self.threads.into_iter().for_each(|thread| thread.join().expect("a flooding thread"));
     }
 }
 
@@ -117,7 +117,7 @@
         // The daemon may have answered before it closed the connection, so writing fails only some
         // bytes later.
         while slow.write_all(b"P").is_ok() {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "a slow stranger still stands");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "a slow connection is still open");
             std::thread::sleep(Duration::from_millis(100));
         }
         begun.elapsed()
@@ -142,12 +142,12 @@
     // Half of the descriptors are for new connections. All arrive while the daemon is stopped, so none
     // has been closed for its silence before the last has arrived.
     let dial_all = || (0..60).map(|_| dial(site.daemon.listen).expect("room in its queue")).collect();
-    let strangers: Vec<TcpStream> = crate::while_stopped(&site.daemon, dial_all);
+    let unidentified: Vec<TcpStream> = crate::while_stopped(&site.daemon, dial_all);
     site.daemon.counter_reaches("connections", 62);
     assert!(site.daemon.counter("connections_shed") >= 60 - 24, "{:?}", site.daemon.log());
     assert_eq!(ping(&mut other), "PONG\r\n");
     assert_reports_read(&site, &mut collector, 10);
-    drop(strangers);
+    drop(unidentified);
     site.assert_still_serves(&mut collector);
 }
 
@@ -157,17 +157,17 @@
 fn a_collector_that_comes_with_more_strangers_than_descriptors_is_taken() {
     for (ahead, behind) in [(60, 0), (30, 30), (0, 60)] {
         let site = Site::with(|configuration| configuration.with("/limits/sockets", 48.into()));
-        let strangers =
+        let unidentified =
             |count| -> Vec<_> { (0..count).map(|_| dial(site.daemon.listen).expect("room")).collect() };
-        let (mut collector, _strangers) = crate::while_stopped(&site.daemon, || {
-            let first = strangers(ahead);
+        let (mut collector, _unidentified) = crate::while_stopped(&site.daemon, || {
+            let first = unidentified(ahead);
             let collector = site.collector();
-            (collector, (first, strangers(behind)))
+            (collector, (first, unidentified(behind)))
         });
         site.daemon.counter_reaches("connections", 61);
         collector.write(b"PING\r\n");
         let answer = collector.line();
-        assert_eq!(answer.as_deref(), Some("PONG\r\n"), "{ahead} strangers ahead of it, {behind} behind");
+        assert_eq!(answer.as_deref(), Some("PONG\r\n"), "{ahead} unidentified ahead of it, {behind} behind");
     }
 }
 
@@ -198,11 +198,11 @@
 /// Answers every watch request: the daemon may have abandoned one that waited too long.
 fn answer_watches(relay: Relay) {
     std::thread::spawn(move || {
-        let mut stand = Vec::new();
+        let mut open = Vec::new();
         while let Some(mut watch) = relay.peer.request_within("GET /watch", TEST_TIMEOUT) {
             watch.connection.begin_chunked();
             watch.connection.chunk("{}\n");
-            stand.push(watch);
+            open.push(watch);
         }
     });
 }
--- a/crates/steward/tests/crossing_lifecycle/main.rs
+++ b/crates/steward/tests/crossing_lifecycle/main.rs
@@ -112,7 +112,7 @@
         stat.rsplit(") ").next().and_then(|rest| rest.chars().next())
     };
     while state() != Some('T') {
-        assert!(Instant::now() < until, "it does not stand still");
+        assert!(Instant::now() < until, "it does not stop");
         std::thread::yield_now();
     }
     what();
@@ -122,9 +122,9 @@
 /// Waits until the daemon has closed the connection; returns what was received before.
 fn closed(client: &mut Client) -> String {
     let begun = Instant::now();
-    let said = client.ended();
-    assert!(begun.elapsed() < stand_in::TEST_TIMEOUT, "the connection still stands");
-    said
+    let received = client.ended();
+    assert!(begun.elapsed() < stand_in::TEST_TIMEOUT, "the connection is still open");
+    received
 }
 
 /// A counter of the line that is logged at the end; the counters were requested `asked` times before.
--- a/crates/steward/tests/crossing_lifecycle/reload.rs
+++ b/crates/steward/tests/crossing_lifecycle/reload.rs
@@ -99,9 +99,9 @@
     let text = moved(&configuration, &Peer::listening()).text();
     let mut lacking: Value = serde_json::from_str(&text).expect("JSON");
     lacking["settings"]["rules"].as_object_mut().expect("rules").remove("askWithin");
-    let spoilt = [None, Some(&text[..text.len() / 2]), Some("")];
+    let invalid = [None, Some(&text[..text.len() / 2]), Some("")];
     let lacking = lacking.to_string();
-    for (place, text) in spoilt.into_iter().chain([Some(&*lacking)]).enumerate() {
+    for (place, text) in invalid.into_iter().chain([Some(&*lacking)]).enumerate() {
         match text {
             Some(text) => daemon.rewrite(text),
             None => std::fs::remove_file(daemon.configuration()).expect("a file"),
@@ -164,8 +164,8 @@
     accept_until_bound(&new, 1);
     dialled.connection.begin_chunked();
     for proxy in [0, 1] {
-        let stands = json!({"type": "SUBSCRIBE", "object": {"proxy": proxy, "zone": "east", "weight": 20.0, "fresh": false}});
-        dialled.connection.chunk(&format!("{stands}\n"));
+        let joined = json!({"type": "SUBSCRIBE", "object": {"proxy": proxy, "zone": "east", "weight": 20.0, "fresh": false}});
+        dialled.connection.chunk(&format!("{joined}\n"));
     }
     old.peer.closed(watch.number);
     dialled.connection.chunk("{}\n");
@@ -185,12 +185,12 @@
     let dialled = silent.peer.request("GET /watch");
     reload(&daemon, &Configuration { relay: last.address(), ..configuration });
     daemon.wait_for_log_count("a new configuration", 2);
-    let moved = Instant::now();
+    let configured = Instant::now();
     // Until then the watch of the first relay is in force, and orders go to the last.
     watch.joined(1, "east", true);
     accept_until_bound(&last, 1);
     let last_watch = last.watch();
-    println!("the last relay's news was asked for {:?} after it was named", moved.elapsed());
+    println!("the last relay's watch was requested {:?} after it was configured", configured.elapsed());
     last_watch.joined(2, "east", true);
     accept_until_bound(&last, 2);
     old.peer.closed(watch.number);
@@ -323,9 +323,9 @@
     let mut collector = daemon.dial();
     collector.write(b"SOURCE zone=east\r\nRATE proxy=0 class=look tries=19 failed=0 span_ms=1000.0\r\n");
     daemon.counter_reaches("lines_taken", 1);
-    let mut stranger = daemon.dial();
-    stranger.write(b"SOURCE zone=north\r\n");
-    assert_eq!(closed(&mut stranger), "NACK\r\n");
+    let mut unidentified = daemon.dial();
+    unidentified.write(b"SOURCE zone=north\r\n");
+    assert_eq!(closed(&mut unidentified), "NACK\r\n");
     asked.answer(200, &list(8, false, &[serving("three")]).to_string());
     watch.joined(1, "east", true);
     let orders = accept_until_bound(&relay, 1);
--- a/crates/steward/tests/crossing_lifecycle/restart.rs
+++ b/crates/steward/tests/crossing_lifecycle/restart.rs
@@ -30,7 +30,7 @@
         let opened = OpenOptions::new().write(true).custom_flags(O_NONBLOCK).open(daemon.configuration());
         match opened {
             Ok(fifo) => return (daemon, fifo),
-            Err(why) => assert!(Instant::now() < until, "nobody reads it: {why}"),
+            Err(why) => assert!(Instant::now() < until, "nobody opened it for reading: {why}"),
         }
         std::thread::yield_now();
     }
@@ -220,7 +220,7 @@
     watch.applied(bound, foreign);
     daemon.counter_reaches("applied", 1);
     // Any order that resulted from that acknowledgement would have been sent by now.
-    assert_eq!(daemon.counter("calls"), calls, "the queue counts as emptied");
+    assert_eq!(daemon.counter("calls"), calls, "the queue counts as empty");
     assert!(relay.peer.request_within("POST /txn", Duration::ZERO).is_none());
     watch.applied(bound, own);
     take(relay.call_with(|order| order["op"] == "bind" && order["proxy"] == json!(1 - bound)));
@@ -245,8 +245,8 @@
     }));
     drop(ready_with("refuses", refusing_address(), &|| {}));
     let errs = Peer::listening();
-    let decline = || drop(errs.request("GET /v1/servers").answer(503, ""));
-    drop(ready_with("answers 503", errs.address, &decline));
+    let reject = || drop(errs.request("GET /v1/servers").answer(503, ""));
+    drop(ready_with("answers 503", errs.address, &reject));
     // Half of the answer arrives before the daemon is ready, the rest afterwards.
     let slow = Peer::listening();
     let body = list(9, true, &[serving("one")]).to_string();
--- a/crates/steward/tests/crossing_lifecycle/shutdown.rs
+++ b/crates/steward/tests/crossing_lifecycle/shutdown.rs
@@ -103,7 +103,7 @@
     socket.listen(64).expect("it listens");
     let listening = TcpListener::from(socket);
     let at = listening.local_addr().expect("an address");
-    let (tell, calls) = channel();
+    let (sender, calls) = channel();
     std::thread::spawn(move || {
         let mut watches = Vec::new();
         for stream in listening.incoming().flatten() {
@@ -116,7 +116,7 @@
                 let watch = watch_on(stream);
                 watch.joined(0, "east", true);
                 watches.push(watch);
-            } else if tell.send(stream).is_err() {
+            } else if sender.send(stream).is_err() {
                 return;
             }
         }
@@ -132,8 +132,8 @@
     let head = came.windows(4).position(|four| four == b"\r\n\r\n").map_or(came.len(), |at| at + 4);
     let text = String::from_utf8_lossy(&came[..head]).to_ascii_lowercase();
     let length = text.split("content-length:").nth(1).and_then(|rest| rest.lines().next());
-    let promised = length.and_then(|length| length.trim().parse().ok());
-    (promised.expect("a length"), came.len() - head)
+    let stated = length.and_then(|length| length.trim().parse().ok());
+    (stated.expect("a length"), came.len() - head)
 }
 
 /// Guards against a shutdown that keeps writing until the relay reads, and against closing an incomplete
@@ -148,9 +148,9 @@
     let first = calls.recv_timeout(TEST_TIMEOUT).expect("a call");
     terminate_cleanly(&mut daemon);
     for call in std::iter::once(first).chain(calls.try_iter()) {
-        let (promised, came) = stated_and_received(call);
-        assert!(promised > 30_000, "the call is small, {promised}");
-        assert!(came < promised, "all {came} of {promised} bytes came");
+        let (stated, came) = stated_and_received(call);
+        assert!(stated > 30_000, "the call is small, {stated}");
+        assert!(came < stated, "all {came} of {stated} bytes came");
     }
 }
 
@@ -187,8 +187,8 @@
             }
         });
         assert_exits_cleanly(&mut daemon);
-        let said = closed(&mut client);
-        assert!(said.is_empty() || said == "PONG\r\n", "{said:?}");
+        let received = closed(&mut client);
+        assert!(received.is_empty() || received == "PONG\r\n", "{received:?}");
     }
 }
 
@@ -305,7 +305,7 @@
         discovery.request("GET /v1/servers").answer(200, &list(7 + life, true, &hosts).to_string());
         let until = Instant::now() + TEST_TIMEOUT;
         while bytes_in(&state) == before {
-            assert!(Instant::now() < until, "nothing is kept");
+            assert!(Instant::now() < until, "nothing is stored");
         }
         terminate_cleanly(&mut daemon);
         let mut verify = Command::new(crate::stand_in::program());
--- a/crates/steward/tests/crossing_lists/broken_answers.rs
+++ b/crates/steward/tests/crossing_lists/broken_answers.rs
@@ -23,7 +23,7 @@
     spoil(call);
     let broke = Instant::now();
     let again = scene.next_call();
-    assert!(broke.elapsed() < IMMEDIATE, "asked again only after {:?}", broke.elapsed());
+    assert!(broke.elapsed() < IMMEDIATE, "requested again only after {:?}", broke.elapsed());
     assert_eq!(again.line, line);
     assert_ne!(again.connection.number, number, "on the connection whose answer was broken");
     again
@@ -104,7 +104,7 @@
     let broke = Instant::now();
     write_and_end(again, &cut, End::Rst);
     let after_pause = scene.next_call();
-    assert!(broke.elapsed() >= RETRY_PAUSE, "asked again after {:?}", broke.elapsed());
+    assert!(broke.elapsed() >= RETRY_PAUSE, "requested again after {:?}", broke.elapsed());
     after_pause.answer(200, &drain(2, "b"));
     scene.orders.withdrawn("b");
     let again = asked_again(&scene, |call| write_and_end(call, &cut, End::Rst));
@@ -120,7 +120,7 @@
     let (line, failed) = (call.line.clone(), Instant::now());
     fail(call);
     let again = scene.next_call();
-    assert!(failed.elapsed() >= RETRY_PAUSE, "asked again after {:?}", failed.elapsed());
+    assert!(failed.elapsed() >= RETRY_PAUSE, "requested again after {:?}", failed.elapsed());
     assert_eq!(again.line, line);
     again.answer(200, &drain(2, "b"));
     scene.orders.withdrawn("b");
@@ -150,7 +150,7 @@
     let failed = Instant::now();
     again.answer(503, "");
     let after_pause = scene.next_call();
-    assert!(failed.elapsed() >= RETRY_PAUSE, "asked again after {:?}", failed.elapsed());
+    assert!(failed.elapsed() >= RETRY_PAUSE, "requested again after {:?}", failed.elapsed());
     after_pause.answer(200, &drain(2, "b"));
     scene.orders.withdrawn("b");
 }
--- a/crates/steward/tests/crossing_lists/endings.rs
+++ b/crates/steward/tests/crossing_lists/endings.rs
@@ -60,7 +60,7 @@
     write_and_end(scene.fresh_call(), &until_close(&came), End::Rst);
     let broke = Instant::now();
     let again = scene.next_call();
-    assert!(broke.elapsed() < IMMEDIATE, "asked again only after {:?}", broke.elapsed());
+    assert!(broke.elapsed() < IMMEDIATE, "requested again only after {:?}", broke.elapsed());
     assert!(again.line.contains("after=1&"), "{}", again.line);
     again.answer(200, &drain(2, "c"));
     scene.orders.withdrawn("c");
@@ -82,7 +82,7 @@
     call.connection.write(&[answer, more].concat());
     scene.orders.withdrawn("b");
     scene.drain(3, "c");
-    assert!(!scene.withdrawn("a"), "the surplus was heard");
+    assert!(!scene.withdrawn("a"), "the surplus was read");
 }
 
 /// Guards against the same where the surplus arrives after the daemon has read the answer, while the
@@ -109,7 +109,7 @@
     }
     next.answer(200, &drain(3, "c"));
     scene.orders.withdrawn("c");
-    assert!(!scene.withdrawn("a"), "the surplus was heard");
+    assert!(!scene.withdrawn("a"), "the surplus was read");
     true
 }
 
--- a/crates/steward/tests/crossing_lists/probes.rs
+++ b/crates/steward/tests/crossing_lists/probes.rs
@@ -56,7 +56,7 @@
     (0..=FAILS).for_each(|_| answer(&a, a.request(PROBE)));
     passes_from_now_on(a);
     scene.drain(2, "d");
-    assert!(!scene.withdrawn("a"), "its answers were not heard");
+    assert!(!scene.withdrawn("a"), "its answers were not read");
 }
 
 /// Guards against an answer that counts although its probe had timed out when it was written, or that is
--- a/crates/steward/tests/crossing_lists/replaced_hosts.rs
+++ b/crates/steward/tests/crossing_lists/replaced_hosts.rs
@@ -38,7 +38,7 @@
     fails(probe);
     all.scene.daemon.counter_reaches("probes_failed", 3);
     all.scene.drain(3, "d");
-    assert!(!all.scene.withdrawn("a"), "shut out by a probe of its old address");
+    assert!(!all.scene.withdrawn("a"), "withdrawn for a probe of its old address");
 }
 
 /// Guards against the same where the probe of the old address is never answered and fails by its timeout.
@@ -49,7 +49,7 @@
     let probe = replaced_under_a_probe(&all, host("a", healthy(), "east"));
     all.a.closed(probe.connection.number);
     all.scene.drain(3, "d");
-    assert!(!all.scene.withdrawn("a"), "shut out by a probe of its old address");
+    assert!(!all.scene.withdrawn("a"), "withdrawn for a probe of its old address");
 }
 
 /// Guards against the same at one address: the old process fails its probe after the list reported the new
@@ -67,7 +67,7 @@
     let Probed { scene, a, .. } = all;
     passes_from_now_on(a);
     scene.drain(3, "d");
-    assert!(!scene.withdrawn("a"), "shut out by a probe of the process before it");
+    assert!(!scene.withdrawn("a"), "withdrawn for a probe of the process before it");
 }
 
 /// Guards against a host that is restored for results of the process before it: a is withdrawn, a probe of
@@ -86,7 +86,10 @@
     fails(moved.request(PROBE));
     let probe = moved.request(PROBE);
     all.scene.drain(3, "d");
-    assert!(!all.scene.orders.any(|order| order["op"] == "restore"), "let in by a probe of its old address");
+    assert!(
+        !all.scene.orders.any(|order| order["op"] == "restore"),
+        "restored for a probe of its old address"
+    );
     passes(probe);
     passes(moved.request(PROBE));
     passes_from_now_on(moved);
--- a/crates/steward/tests/crossing_lists/scene.rs
+++ b/crates/steward/tests/crossing_lists/scene.rs
@@ -28,7 +28,7 @@
 impl Drop for Scene {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("the daemon said:\n{}", self.daemon.log().join("\n"));
+            eprintln!("the daemon's log:\n{}", self.daemon.log().join("\n"));
         }
     }
 }
--- a/crates/steward/tests/crossing_lists/silences.rs
+++ b/crates/steward/tests/crossing_lists/silences.rs
@@ -10,23 +10,23 @@
 
 /// Writes these bytes of an answer and nothing more. Once the daemon has abandoned that call, the next one
 /// has to be made immediately; returns it.
-fn silent_after(scene: &Scene, mut call: Exchange, said: &[u8]) -> Exchange {
+fn silent_after(scene: &Scene, mut call: Exchange, sent: &[u8]) -> Exchange {
     let begun = Instant::now();
-    call.connection.write(said);
+    call.connection.write(sent);
     scene.discovery.closed(call.connection.number);
-    let given_up = Instant::now();
-    let took = given_up - begun;
-    assert!(took >= SILENT_AFTER - Duration::from_millis(100), "given up after {took:?}");
+    let abandoned = Instant::now();
+    let took = abandoned - begun;
+    assert!(took >= SILENT_AFTER - Duration::from_millis(100), "abandoned after {took:?}");
     let again = scene.next_call();
-    assert!(given_up.elapsed() < IMMEDIATE, "asked again only after {:?}", given_up.elapsed());
+    assert!(abandoned.elapsed() < IMMEDIATE, "requested again only after {:?}", abandoned.elapsed());
     assert_eq!(again.line, call.line);
     again
 }
 
 /// The drain that the silent answer may have carried is in the next answer, and is carried out.
-fn assert_drain_arrives_after(said: &[u8]) {
+fn assert_drain_arrives_after(sent: &[u8]) {
     let scene = Scene::with_hosts(&["a", "b", "c"]);
-    let again = silent_after(&scene, scene.fresh_call(), said);
+    let again = silent_after(&scene, scene.fresh_call(), sent);
     again.answer(200, &drain(2, "b"));
     scene.orders.withdrawn("b");
 }
@@ -69,8 +69,8 @@
         assert!(call.line.contains(&format!("after={}&", seq - 1)), "{}", call.line);
         call.answer(200, &list(seq, false, &[]).to_string());
     }
-    let said = b"HTTP/1.1 200 OK\r\ncontent-length: 200\r\n\r\n{\"seq\":32,";
-    let again = silent_after(&scene, scene.next_call(), said);
+    let sent = b"HTTP/1.1 200 OK\r\ncontent-length: 200\r\n\r\n{\"seq\":32,";
+    let again = silent_after(&scene, scene.next_call(), sent);
     assert!(again.line.contains("after=31&"), "{}", again.line);
     again.answer(200, &drain(32, "b"));
     scene.orders.withdrawn("b");
@@ -97,8 +97,8 @@
     std::thread::sleep(wait.saturating_sub(begun.elapsed()));
     call.connection.write(last);
     let next = scene.next_call();
-    let heard = next.line.contains("after=2&");
-    if heard {
+    let received = next.line.contains("after=2&");
+    if received {
         scene.orders.withdrawn("b");
         next.answer(200, &drain(3, "c"));
     } else {
@@ -110,7 +110,7 @@
     }
     scene.orders.withdrawn("c");
     assert!(!scene.withdrawn("a"));
-    heard
+    received
 }
 
 /// Guards against an answer that is used in part, or taken for the answer to the next call, where it
@@ -121,7 +121,8 @@
     let waits = [2_480, 2_500, 2_504, 2_508, 2_530].map(Duration::from_millis);
     std::thread::scope(|scope| {
         for (late, wait) in waits.into_iter().flat_map(|wait| [(Late::All, wait), (Late::LastByte, wait)]) {
-            scope.spawn(move || eprintln!("{late:?} after {wait:?}: heard {}", answered_after(late, wait)));
+            scope
+                .spawn(move || eprintln!("{late:?} after {wait:?}: received {}", answered_after(late, wait)));
         }
     });
 }
--- a/crates/steward/tests/daemon/mod.rs
+++ b/crates/steward/tests/daemon/mod.rs
@@ -10,7 +10,7 @@
 /// A running daemon, killed when it is dropped.
 pub struct Daemon {
     pub child: Child,
-    said: Arc<Mutex<String>>,
+    log: Arc<Mutex<String>>,
 }
 
 impl Drop for Daemon {
@@ -32,26 +32,26 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let said = Arc::new(Mutex::new(String::new()));
-        let (mut log, into) = (child.stderr.take().expect("its log"), said.clone());
+        let log = Arc::new(Mutex::new(String::new()));
+        let (mut stderr, into) = (child.stderr.take().expect("its log"), log.clone());
         std::thread::spawn(move || {
-            let mut part = [0; 4_096];
-            while let Ok(count @ 1..) = log.read(&mut part) {
-                into.lock().expect("the log").push_str(&String::from_utf8_lossy(&part[..count]));
+            let mut buffer = [0; 4_096];
+            while let Ok(count @ 1..) = stderr.read(&mut buffer) {
+                into.lock().expect("the log").push_str(&String::from_utf8_lossy(&buffer[..count]));
             }
         });
-        Daemon { child, said }
+        Daemon { child, log }
     }
 
-    pub fn said(&self) -> String {
-        self.said.lock().expect("the log").clone()
+    pub fn log(&self) -> String {
+        self.log.lock().expect("the log").clone()
     }
 
     /// Waits until the condition holds; returns how long that took.
     pub fn wait(&self, what: &str, until: impl Fn() -> bool) -> Duration {
         let start = Instant::now();
         while !until() {
-            assert!(start.elapsed() < Duration::from_secs(20), "never {what}:\n{}", self.said());
+            assert!(start.elapsed() < Duration::from_secs(20), "never {what}:\n{}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         }
         start.elapsed()
--- a/crates/steward/tests/drains/drawn.rs
+++ b/crates/steward/tests/drains/drawn.rs
@@ -1,11 +1,12 @@
-//! Deployments and faults drawn by seed.
+//! Drills whose deployments and faults are drawn from seeds.
 
 use super::*;
 
-/// How long faults last in each, ms.
+/// How long the faults of a drill last, ms.
 const FAULTS: u64 = 16_000;
 
-/// Guards against drains that are late, or limits of the channel that are passed, under faults that nobody listed.
+/// Guards against late drains, and against exceeding the limits of the channel, under faults that no other
+/// test lists.
 #[test]
 fn drills_drawn_by_seed_keep_drains_and_limits() {
     let seeds = match std::env::var("AMBERARCH_DRILL_SEEDS") {
@@ -19,32 +20,37 @@
     assert_kept(&plans);
 }
 
-/// While calls failed, twenty gates were decided behind a silence, and each counted for every proxy that was not bound; then answers
-/// to marks of all proxies were lost for four seconds. The account of the channel stayed full ("withdrawals wait for the channel, in which
-/// 4838 lines may wait") while nothing waited there, and binds of who had come meanwhile went six at a time. The build of 3c39b6b
-/// failed in 5 plays of 5 and 13fb68e, by which gates wait while calls fail, in none of 5; binds that would be late go before gates since.
+/// Guards against late drains after acknowledgements of marks were lost for four seconds. While calls
+/// failed, twenty gates were decided after a silence, and each counted for every proxy that was not bound.
+/// The accounting then showed a full channel ("withdrawals wait for the channel, in which 4838 lines may
+/// wait") while the channel was empty, and binds of proxies that joined meanwhile were sent six at a time.
+/// Build 3c39b6b failed in 5 runs of 5; 13fb68e, in which gates wait while calls fail, in none of 5. Since
+/// then binds that would be late are sent before gates.
 #[test]
 fn a_watch_that_loses_all_answers_for_seconds_delays_no_drain() {
     assert_kept(&[DrillPlan::drawn(134, FAULTS)]);
 }
 
-/// Proxies that join in a silence of the relay, with tables of before, hold draining hosts in them. Once it was back, gates and
-/// returns went out before their binds, each to all who were not bound, and took the room that answers gave: "proxies wait to be
-/// bound for 11227 ms: 43 for room in the channel; 2511 lines may wait", while 0 to 1,400 waited there
+/// Guards against late binds after a silence of the relay. Proxies that join during the silence have tables
+/// of before with draining hosts in them. After it, gates and restores were sent before their binds, each
+/// to all unbound proxies, and used up the room in the channel: "proxies wait to be bound for 11227 ms: 43
+/// for room in the channel; 2511 lines may wait", while 0 to 1,400 waited there
 /// (`docs/incidents/binds-behind-gates.md`).
 ///
-/// Beside load it still fails at times, by 40 ms, for another cause: several replies went as one call, the relay refused a bind in it, and
-/// the proxies of the part that was taken answered marks that the account did not know any more. "19 for room in the channel; 4095
-/// lines may wait" stood for 1.9 s while none did, until a probe was answered.
+/// On a loaded machine it still fails at times, by 40 ms, for another reason: several replies were sent as
+/// one call, the relay refused a bind in it, and the proxies of the accepted part acknowledged marks that
+/// the accounting no longer knew. "19 for room in the channel; 4095 lines may wait" was reported for 1.9 s
+/// while none waited, until a probe was answered.
 #[test]
 fn a_proxy_that_joins_in_a_silence_is_bound_within_the_grace_of_drains() {
     assert_kept(&[DrillPlan::drawn(126, FAULTS)]);
 }
 
-/// The same cause with fewer proxies, and two more: the account counted a reply whole again for each of its orders that was refused
-/// ("4300 lines may wait" where 2,086 may), and the probe that ends such a standstill was never sent, as the proxy in turn was to be
-/// bound to a table in which nothing served: "14 for room in the channel, 38 for a table in which a host serves; 3576 lines may wait",
-/// each second to the end (`docs/incidents/probe-that-never-goes.md`).
+/// Guards against the same cause with fewer proxies, and two more. The accounting counted a whole reply
+/// again for each refused order in it ("4300 lines may wait" where 2,086 may). The probe that ends such a
+/// stall was never sent, because the next proxy was to be bound to a table in which no host serves: "14 for
+/// room in the channel, 38 for a table in which a host serves; 3576 lines may wait", each second to the end
+/// (`docs/incidents/probe-that-never-goes.md`).
 #[test]
 fn a_proxy_that_joins_beside_failing_calls_is_bound_within_the_grace_of_drains() {
     assert_kept(&[DrillPlan::drawn(412, FAULTS)]);
--- a/crates/steward/tests/drains/incident.rs
+++ b/crates/steward/tests/drains/incident.rs
@@ -1,11 +1,11 @@
-//! The days of `docs/incidents/drains-behind-unsure-calls.md`: the relay is silent for five seconds and hosts go on to
-//! drain.
+//! Replays the incidents of `docs/incidents/drains-behind-unsure-calls.md`: the relay is silent for five
+//! seconds while hosts continue to drain.
 
 use amberarch_rig::drill::{SilenceEnds, SilentCalls};
 
 use super::*;
 
-/// The list of the first piece of evidence, up to the second 24.
+/// The list changes of the first recorded incident, up to second 24.
 fn list() -> Vec<ListChange> {
     changes(&[
         (3_728, &[0, 1], Draining),
@@ -22,14 +22,14 @@
 
 fn plan(seed: u64, calls: SilentCalls, ends: SilenceEnds) -> DrillPlan {
     let silences = vec![Silence { from: 4_500, until: 9_535, calls, ends }];
-    // The controller's zone is cut off from the others.
+    // The controller's zone is cut off from the other zones.
     let others = (0..30).filter(|host| host % 3 != 0).collect();
     let unreachable = vec![Unreachable { from: 4_500, until: 9_535, hosts: others }];
     let (settings, changes) = (Settings::usual(seed), list());
     DrillPlan { silences, unreachable, ..DrillPlan::calm(settings, changes, 25_000) }
 }
 
-/// Fleets of which each draws its rates, speeds and standing tables anew.
+/// Seeds; each draws the rates, latencies and initial tables of a fleet.
 const SEEDS: std::ops::Range<u64> = 1..7;
 
 fn assert_kept_by_all(ends: SilenceEnds, calls: &[SilentCalls]) {
--- a/crates/steward/tests/drains/main.rs
+++ b/crates/steward/tests/drains/main.rs
@@ -1,5 +1,5 @@
-//! Drains are kept while the relay fails and the list changes: the program itself beside stand-ins on loopback, played in
-//! real time and judged by its history (`amberarch_rig::drill`).
+//! Drains are carried out in time while the relay fails and the list changes. Runs the amberarch binary
+//! beside stand-ins on loopback in real time, and checks the recorded history (`amberarch_rig::drill`).
 
 mod drawn;
 #[path = "../drill/mod.rs"]
@@ -8,9 +8,9 @@
 
 use amberarch_histories::HostState::{self, Draining, Gone, Ready};
 use amberarch_rig::drill::{DrillPlan, ListChange, Settings, Silence, Unreachable};
-use drill::{outcome, play_all, print_details, Outcome};
+use drill::{outcome, print_details, run_all, Outcome};
 
-/// Changes of the list: when, ms, and which hosts are in which state from then on.
+/// Changes of the list: the time in ms, and which hosts have which state from then on.
 fn changes(of: &[(u64, &[usize], HostState)]) -> Vec<ListChange> {
     let change = |(at, hosts, state): &(u64, &[usize], HostState)| ListChange {
         at: *at,
@@ -19,10 +19,10 @@
     of.iter().map(change).collect()
 }
 
-/// Plays them side by side; nothing is wrong with any.
+/// Runs the drills in parallel and fails unless each keeps all rules.
 fn assert_kept(plans: &[DrillPlan]) {
     let mut failed = Vec::new();
-    for (plan, drilled) in plans.iter().zip(play_all(plans)) {
+    for (plan, drilled) in plans.iter().zip(run_all(plans)) {
         let outcome = outcome(&drilled);
         if outcome != Outcome::Kept {
             print_details(plan, &drilled);
--- a/crates/steward/tests/drill/mod.rs
+++ b/crates/steward/tests/drill/mod.rs
@@ -7,24 +7,24 @@
 
 /// How many drills run at a time, over all tests of the binary. With more, the drills' own event loops
 /// stall beside other work, and a stalled drill is void.
-const AT_ONCE: usize = 16;
+const MAX_CONCURRENT: usize = 16;
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
 /// A slot for a running drill, freed when it is dropped.
-struct Place;
+struct RunSlot;
 
-impl Place {
-    fn take() -> Place {
+impl RunSlot {
+    fn take() -> RunSlot {
         let running = RUNNING.lock().expect("the count of drills");
         let mut running =
-            ENDED.wait_while(running, |running| *running >= AT_ONCE).expect("the count of drills");
+            ENDED.wait_while(running, |running| *running >= MAX_CONCURRENT).expect("the count of drills");
         *running += 1;
-        Place
+        RunSlot
     }
 }
 
-impl Drop for Place {
+impl Drop for RunSlot {
     fn drop(&mut self) {
         if let Ok(mut running) = RUNNING.lock() {
             *running -= 1;
@@ -42,30 +42,30 @@
 }
 
 /// How often a drill is run at most. A drill that stalled itself proves nothing and is run again.
-const PLAYS_MOST: usize = 3;
+const MAX_RUNS: usize = 3;
 
 /// Runs the drill until a run is not void; the last run is returned in any case.
-pub fn play(plan: &DrillPlan) -> Drilled {
-    let play_once = || {
-        let _place = Place::take();
+pub fn run_drill(plan: &DrillPlan) -> Drilled {
+    let run_once = || {
+        let _slot = RunSlot::take();
         let folder = tempfile::tempdir().expect("a folder");
         drill(&program(), plan, folder.path()).expect("a drill")
     };
-    let mut drilled = play_once();
-    for _ in 1..PLAYS_MOST {
+    let mut drilled = run_once();
+    for _ in 1..MAX_RUNS {
         if !drilled.is_void() {
             break;
         }
         println!("seed {}: void, the drill stood still for {:?}", plan.settings.seed, drilled.lag);
-        drilled = play_once();
+        drilled = run_once();
     }
     drilled
 }
 
 /// Runs the drills in parallel.
-pub fn play_all(plans: &[DrillPlan]) -> Vec<Drilled> {
+pub fn run_all(plans: &[DrillPlan]) -> Vec<Drilled> {
     std::thread::scope(|scope| {
-        let drills: Vec<_> = plans.iter().map(|plan| scope.spawn(|| play(plan))).collect();
+        let drills: Vec<_> = plans.iter().map(|plan| scope.spawn(|| run_drill(plan))).collect();
         drills.into_iter().map(|drill| drill.join().expect("a drill")).collect()
     })
 }
@@ -81,7 +81,7 @@
 }
 
 /// How many faults of a kind are reported.
-const TOLD_MOST: usize = 3;
+const MAX_REPORTED: usize = 3;
 
 /// Checks a drill for broken rules, exceeded channel limits, a crash, and a history without any drain to
 /// check.
@@ -98,8 +98,8 @@
     if *crashed {
         wrong.push("the controller ended by itself".to_string());
     }
-    wrong.extend(violations.iter().take(TOLD_MOST).map(|found| found.says.clone()));
-    wrong.extend(passed.iter().take(TOLD_MOST).cloned());
+    wrong.extend(violations.iter().take(MAX_REPORTED).map(|found| found.says.clone()));
+    wrong.extend(passed.iter().take(MAX_REPORTED).cloned());
     if verdicts.drains.looked == 0 {
         wrong.push("no drain was looked at".to_string());
     }
@@ -111,7 +111,7 @@
 }
 
 /// For how many violations the details are printed.
-const ACCOUNTS_MOST: usize = 8;
+const MAX_DETAILS: usize = 8;
 
 /// Prints everything that helps to find out why a drill broke a rule.
 pub fn print_details(plan: &DrillPlan, drilled: &Drilled) {
@@ -119,7 +119,7 @@
     let seed = plan.settings.seed;
     println!("seed {seed}: {most_waiting:.0} of {backlog:.0} lines waited at most, lag {lag:?} at most");
     println!("{plan:?}\n{}\n{log}", calls.join("\n"));
-    for found in drilled.verdicts.violations().take(ACCOUNTS_MOST) {
+    for found in drilled.verdicts.violations().take(MAX_DETAILS) {
         println!("{}\n  {}", found.says, drilled.account(found).join("\n  "));
     }
 }
--- a/crates/steward/tests/ending.rs
+++ b/crates/steward/tests/ending.rs
@@ -1,5 +1,5 @@
-//! The program itself, five of it on loopback as one fleet: ended by SIGTERM or killed, and how soon a change that is
-//! proposed then is in force.
+//! Five amberarch processes on loopback in one fleet: how long a proposed change takes to be in force after
+//! a process is ended by SIGTERM or killed.
 
 mod address;
 
@@ -16,19 +16,20 @@
 const ACTS: Duration = Duration::from_millis(1_100);
 const KNOWS: Duration = Duration::from_millis(2_700);
 const LINGER: Duration = Duration::from_millis(300);
-/// Nothing takes so long that is not waited for in vain; also on a machine with much else to do.
-const BY: Duration = Duration::from_secs(30);
-/// Between SIGTERM and SIGKILL on the platform.
+/// The limit for everything that a test waits for; generous, so that it holds on a busy machine too.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// The platform's time between SIGTERM and SIGKILL.
 const TERM_TO_KILL: Duration = Duration::from_millis(700);
 
-/// What the processes of one member said, with when.
-type Said = Arc<(Mutex<Vec<(Instant, String)>>, Condvar)>;
+/// The log lines of the processes of one member, with their times.
+type TimedLog = Arc<(Mutex<Vec<(Instant, String)>>, Condvar)>;
 
 struct Fleet {
     dir: tempfile::TempDir,
     up: Vec<Option<Child>>,
-    said: Vec<Said>,
-    /// Accepts and never answers: neither relay nor discovery of another test is met at its address.
+    log: Vec<TimedLog>,
+    /// Accepts connections and never answers, so that no relay or discovery of another test is reached
+    /// at its address.
     nobody: TcpListener,
 }
 
@@ -61,8 +62,9 @@
 }
 
 impl Fleet {
-    /// All up, on revision 1, and none but the present leases to be waited for.
-    fn formed() -> Fleet {
+    /// Starts all members and waits until each acts on revision 1 alone, so that later changes wait
+    /// only for current leases.
+    fn start_all() -> Fleet {
         let nobody = TcpListener::bind("127.0.0.1:0").expect("an address");
         let held: Vec<TcpListener> =
             (0..MEMBERS).map(|_| TcpListener::bind((address::own(), 0)).expect("an address")).collect();
@@ -73,7 +75,7 @@
         let config = config.replace("127.0.0.1:6400", &nobody.local_addr().expect("a port").to_string());
         let mut fleet = Fleet {
             up: (0..MEMBERS).map(|_| None).collect(),
-            said: (0..MEMBERS).map(|_| Said::default()).collect(),
+            log: (0..MEMBERS).map(|_| TimedLog::default()).collect(),
             nobody,
             dir,
         };
@@ -88,7 +90,7 @@
         }
         let begun = Instant::now();
         for place in 0..MEMBERS {
-            fleet.holds(place, 1, begun);
+            fleet.wait_for_revision(place, 1, begun);
         }
         fleet
     }
@@ -112,37 +114,37 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let (log, into) = (child.stderr.take().expect("its log"), self.said[place].clone());
+        let (stderr, into) = (child.stderr.take().expect("its log"), self.log[place].clone());
         std::thread::spawn(move || {
-            for line in BufReader::new(log).lines().map_while(Result::ok) {
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 into.0.lock().expect("the log").push((Instant::now(), line));
                 into.1.notify_all();
             }
         });
         let begun = Instant::now();
         self.up[place] = Some(child);
-        // A signal that comes before it hears any would end it.
-        self.says(place, begun, |line| line.contains(" started, "));
+        // A signal that arrives before the handlers are installed would end the process.
+        self.wait_for_log(place, begun, |line| line.contains(" started, "));
     }
 
-    /// When it first said so after that time.
-    fn says(&self, place: usize, after: Instant, what: impl Fn(&str) -> bool) -> Instant {
-        let (lock, news) = &*self.said[place];
-        let (mut said, by) = (lock.lock().expect("the log"), Instant::now() + BY);
+    /// The time at which the member first logged a matching line after the given time.
+    fn wait_for_log(&self, place: usize, after: Instant, what: impl Fn(&str) -> bool) -> Instant {
+        let (lock, changed) = &*self.log[place];
+        let (mut log, by) = (lock.lock().expect("the log"), Instant::now() + TEST_TIMEOUT);
         loop {
-            if let Some((at, _)) = said.iter().find(|(at, line)| *at >= after && what(line)) {
+            if let Some((at, _)) = log.iter().find(|(at, line)| *at >= after && what(line)) {
                 return *at;
             }
             let left = by.saturating_duration_since(Instant::now());
-            let lines = || said.iter().map(|(_, line)| line.as_str()).collect::<Vec<_>>().join("\n");
-            assert!(!left.is_zero(), "m{place} has not said it:\n{}", lines());
-            said = news.wait_timeout(said, left).expect("the log").0;
+            let lines = || log.iter().map(|(_, line)| line.as_str()).collect::<Vec<_>>().join("\n");
+            assert!(!left.is_zero(), "m{place} has not logged the expected line:\n{}", lines());
+            log = changed.wait_timeout(log, left).expect("the log").0;
         }
     }
 
-    fn holds(&self, place: usize, no: u64, after: Instant) -> Instant {
+    fn wait_for_revision(&self, place: usize, no: u64, after: Instant) -> Instant {
         let alone = format!("holds: Alone(RevisionNo({no}))");
-        self.says(place, after, |line| line.contains("what holds here") && line.contains(&alone))
+        self.wait_for_log(place, after, |line| line.contains("what holds here") && line.contains(&alone))
     }
 
     fn signal(&self, place: usize, signal: &str) {
@@ -151,8 +153,8 @@
         assert!(sent.success());
     }
 
-    /// SIGTERM, and how long its process lived on.
-    fn ends(&mut self, place: usize) -> Duration {
+    /// Sends SIGTERM; returns how long the process took to end.
+    fn terminate(&mut self, place: usize) -> Duration {
         let begun = Instant::now();
         self.signal(place, "-TERM");
         let ended = self.up[place].take().expect("it is up").wait().expect("it ends");
@@ -166,50 +168,51 @@
         child.wait().expect("gone");
     }
 
-    /// Proposed there; how long until all that are up act on it alone.
-    fn change(&self, place: usize, no: u64) -> Duration {
+    /// Proposes a revision at that member; returns how long it takes until all running members act on
+    /// it alone.
+    fn propose(&self, place: usize, no: u64) -> Duration {
         let begun = Instant::now();
         self.policy(place, no);
         self.signal(place, "-HUP");
         let up = (0..MEMBERS).filter(|place| self.up[*place].is_some());
-        up.map(|place| self.holds(place, no, begun)).max().expect("some are up") - begun
+        up.map(|place| self.wait_for_revision(place, no, begun)).max().expect("some are up") - begun
     }
 
-    /// Whom a member takes for chair, where that is not one that is down.
-    fn chair(&self) -> usize {
+    /// The leader in the view of a running member, once it is one that is running.
+    fn leader(&self) -> usize {
         let up = (0..MEMBERS).find(|place| self.up[*place].is_some()).expect("one is up");
         loop {
             let asked = Instant::now();
             self.signal(up, "-USR1");
-            let told = |line: &str| {
-                let chair = line.split(" chair=m").nth(1)?;
-                chair.split(' ').next()?.parse::<usize>().ok().filter(|chair| self.up[*chair].is_some())
+            let leader_in = |line: &str| {
+                let leader = line.split(" chair=m").nth(1)?;
+                leader.split(' ').next()?.parse::<usize>().ok().filter(|leader| self.up[*leader].is_some())
             };
-            self.says(up, asked, |line| line.contains("fleet: stage="));
-            let said = self.said[up].0.lock().expect("the log");
-            if let Some(chair) = said.iter().rev().find_map(|(_, line)| told(line)) {
-                return chair;
+            self.wait_for_log(up, asked, |line| line.contains("fleet: stage="));
+            let log = self.log[up].0.lock().expect("the log");
+            if let Some(leader) = log.iter().rev().find_map(|(_, line)| leader_in(line)) {
+                return leader;
             }
         }
     }
 }
 
-/// Guards against a planned stop for which a change waits as for a kill.
+/// Guards against a planned stop for which a change has to wait as long as after a kill.
 #[test]
 fn a_change_waits_less_for_a_steward_that_was_ended_than_for_one_that_was_killed() {
-    let mut fleet = Fleet::formed();
-    let chair = fleet.chair();
-    let other = (0..MEMBERS).rev().find(|place| *place != chair).expect("another");
-    let lived = fleet.ends(other);
+    let mut fleet = Fleet::start_all();
+    let leader = fleet.leader();
+    let other = (0..MEMBERS).rev().find(|place| *place != leader).expect("another");
+    let lived = fleet.terminate(other);
     assert!(lived < TERM_TO_KILL, "{lived:?}");
     let after = Instant::now() - lived;
-    fleet.says(other, after, |line| line.contains("let go, ms"));
-    let planned = fleet.change(chair, 2);
+    fleet.wait_for_log(other, after, |line| line.contains("let go, ms"));
+    let planned = fleet.propose(leader, 2);
     let begun = Instant::now();
     fleet.start(other);
-    fleet.holds(other, 2, begun);
+    fleet.wait_for_revision(other, 2, begun);
     fleet.kill(other);
-    let killed = fleet.change(chair, 3);
+    let killed = fleet.propose(leader, 3);
     println!(
         "ended by SIGTERM in {lived:?}; in force {planned:?} after a planned stop, {killed:?} after a kill"
     );
@@ -217,26 +220,27 @@
     assert!(killed > KNOWS - ACTS, "{killed:?}");
 }
 
-/// Guards against a planned stop of the chair after which nobody knows who may still act.
+/// Guards against a planned stop of the leader after which no member knows who may still act.
 #[test]
 fn a_change_is_proposed_right_after_the_chair_was_ended() {
-    let mut fleet = Fleet::formed();
-    let chair = fleet.chair();
-    let lived = fleet.ends(chair);
+    let mut fleet = Fleet::start_all();
+    let leader = fleet.leader();
+    let lived = fleet.terminate(leader);
     assert!(lived < TERM_TO_KILL, "{lived:?}");
-    let at = (0..MEMBERS).find(|place| *place != chair).expect("another");
-    let planned = fleet.change(at, 2);
-    println!("the chair ended by SIGTERM in {lived:?}; in force {planned:?} after it");
+    let at = (0..MEMBERS).find(|place| *place != leader).expect("another");
+    let planned = fleet.propose(at, 2);
+    println!("the leader ended by SIGTERM in {lived:?}; in force {planned:?} after it");
     assert!(planned < KNOWS - ACTS, "{planned:?}");
 }
 
-/// One steward after the other is ended and started anew, and a change is proposed while the second is down.
+/// Guards against a rolling restart that blocks a change: the controllers are restarted one after the
+/// other, and a change is proposed while the second is down.
 #[test]
 fn all_five_are_started_anew_one_after_the_other_while_a_change_is_proposed() {
-    let mut fleet = Fleet::formed();
+    let mut fleet = Fleet::start_all();
     let (mut proposed, mut started) = (None, vec![]);
     for place in 0..MEMBERS {
-        let lived = fleet.ends(place);
+        let lived = fleet.terminate(place);
         assert!(lived < TERM_TO_KILL, "m{place}: {lived:?}");
         if place == 1 {
             proposed = Some(Instant::now());
@@ -245,14 +249,16 @@
         }
         let begun = Instant::now();
         fleet.start(place);
-        fleet.says(place, begun, |line| line.contains("what holds here") && line.contains("act: On("));
+        fleet
+            .wait_for_log(place, begun, |line| line.contains("what holds here") && line.contains("act: On("));
         started.push(begun);
     }
     let proposed = proposed.expect("proposed");
-    let took = (0..MEMBERS).map(|place| fleet.holds(place, 2, proposed)).max().expect("five") - proposed;
-    println!("in force at all five {took:?} after it was proposed, while they were started anew");
-    // And the last run of each goes by it.
+    let took =
+        (0..MEMBERS).map(|place| fleet.wait_for_revision(place, 2, proposed)).max().expect("five") - proposed;
+    println!("in force at all five {took:?} after it was proposed, during the rolling restart");
+    // The last process of each member acts on it too.
     for (place, begun) in started.into_iter().enumerate() {
-        fleet.holds(place, 2, begun);
+        fleet.wait_for_revision(place, 2, begun);
     }
 }
--- a/crates/steward/tests/faults/main.rs
+++ b/crates/steward/tests/faults/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of the program itself, with faults by fixed seeds: one run of each kind. What the processes and stand-ins
-//! wrote is judged afterwards.
+//! Fleets of amberarch processes with faults drawn from fixed seeds: one run of each kind. The histories of
+//! processes and stand-ins are checked afterwards.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 
 use amberarch_rig::{until_said, Kind, Plan};
 
-/// Runs sleep most of the time; so many at once keep four cores from being the bottleneck of any.
+/// Runs sleep most of the time; with this many at a time, four cores are not the bottleneck of any run.
 const AT_ONCE: usize = 5;
 
 fn folder(seed: u64) -> PathBuf {
@@ -18,43 +18,43 @@
     folder
 }
 
-/// What a run showed.
-enum Shown {
-    Nothing,
-    /// It came too late each time, and the machine gave it no room: of that nothing can be said.
-    NoRoom(String),
-    Wrong(String),
+/// The result of a run.
+enum RunResult {
+    Passed,
+    /// Each attempt was late because the machine was overloaded, so it neither passes nor fails.
+    Starved(String),
+    Failed(String),
 }
 
-/// With more of them than this the machine is no place for the test, and it fails for that.
-const NO_ROOM_MOST: usize = 3;
+/// The most runs that may be inconclusive for lack of CPU time; with more, the test fails for that reason.
+const MAX_STARVED_RUNS: usize = 3;
 
-/// What is wrong with a run, with its seed; its histories are kept.
-fn shown(plan: Plan) -> Shown {
+/// Executes a run and reports its faults with its seed; the histories of a failed run are kept.
+fn execute(plan: Plan) -> RunResult {
     let seed = plan.seed;
     let folder = folder(seed);
     let binary = Path::new(env!("CARGO_BIN_EXE_amberarch"));
-    let (found, no_room) = match until_said(binary, plan, &folder) {
+    let (found, starved) = match until_said(binary, plan, &folder) {
         Err(why) => (vec![why.to_string()], false),
         Ok((ran, _)) => (ran.wrong(), ran.starved()),
     };
     if found.is_empty() {
         let _ = fs::remove_dir_all(&folder);
-        return Shown::Nothing;
+        return RunResult::Passed;
     }
     let text = format!("seed {seed}, {plan:?}, histories in {}:\n{}", folder.display(), found.join("\n"));
-    if no_room {
-        Shown::NoRoom(text)
+    if starved {
+        RunResult::Starved(text)
     } else {
-        Shown::Wrong(text)
+        RunResult::Failed(text)
     }
 }
 
 #[test]
 fn no_fault_mixes_two_policies_or_keeps_a_change_from_its_end() {
-    // The last kinds take longest: they begin first, so that none is left over alone at the end.
+    // The last kinds take longest and start first, so that none runs alone at the end.
     let left = AtomicUsize::new(Kind::ALL.len());
-    let (faults, no_room) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
+    let (faults, starved) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..AT_ONCE {
             scope.spawn(|| loop {
@@ -62,25 +62,29 @@
                 let Ok(left) = left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, one_less) else {
                     return;
                 };
-                match shown(Plan::of(left as u64 - 1)) {
-                    Shown::Nothing => {}
-                    Shown::NoRoom(text) => no_room.lock().expect("the list").push(text),
-                    Shown::Wrong(text) => faults.lock().expect("the list").push(text),
+                match execute(Plan::of(left as u64 - 1)) {
+                    RunResult::Passed => {}
+                    RunResult::Starved(text) => starved.lock().expect("the list").push(text),
+                    RunResult::Failed(text) => faults.lock().expect("the list").push(text),
                 }
             });
         }
     });
     let faults = faults.into_inner().expect("the list");
     assert!(faults.is_empty(), "{}", faults.join("\n\n"));
-    let no_room = no_room.into_inner().expect("the list");
-    assert!(no_room.len() <= NO_ROOM_MOST, "the machine has no room for these:\n{}", no_room.join("\n\n"));
+    let starved = starved.into_inner().expect("the list");
+    assert!(
+        starved.len() <= MAX_STARVED_RUNS,
+        "the machine has no room for these:\n{}",
+        starved.join("\n\n")
+    );
 }
 
-/// Guards against stand-ins that bring no trade: then no other run could find anything.
+/// Guards against stand-ins that produce no requests: no other run could then find a fault.
 #[test]
 fn without_a_fleet_the_stand_ins_txns_are_settled() {
-    match shown(Plan::ungoverned(1_000)) {
-        Shown::Nothing => {}
-        Shown::NoRoom(text) | Shown::Wrong(text) => panic!("{text}"),
+    match execute(Plan::ungoverned(1_000)) {
+        RunResult::Passed => {}
+        RunResult::Starved(text) | RunResult::Failed(text) => panic!("{text}"),
     }
 }
--- a/crates/steward/tests/guard.rs
+++ b/crates/steward/tests/guard.rs
@@ -1,4 +1,5 @@
-//! The program itself behind its guard, on sockets: discovery, hosts, a relay that keeps what it was ordered.
+//! The amberarch binary with its guard, over sockets: discovery, hosts, and a relay that records the orders
+//! it receives.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -43,8 +44,8 @@
     at
 }
 
-/// Answers each request by its first line and body.
-fn answer(stream: TcpStream, says: impl Fn(&str, &[u8]) -> Option<String>) {
+/// Answers each request according to its first line and body.
+fn answer(stream: TcpStream, respond: impl Fn(&str, &[u8]) -> Option<String>) {
     let Ok(mut writing) = stream.try_clone() else { return };
     let mut reading = BufReader::new(stream);
     loop {
@@ -69,7 +70,7 @@
         if reading.read_exact(&mut body).is_err() {
             return;
         }
-        let Some(body) = says(&first, &body) else { return };
+        let Some(body) = respond(&first, &body) else { return };
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
         if writing.write_all((head + &body).as_bytes()).is_err() {
             return;
@@ -77,17 +78,17 @@
     }
 }
 
-/// What proxies hold of the calls so far, and how many calls left one with nothing.
+/// The state of the proxies after the calls so far, and how many calls left a proxy without a usable host.
 #[derive(Default)]
-struct Held {
+struct ProxyState {
     lines: BTreeMap<(u64, String), f64>,
     out: BTreeMap<String, bool>,
     binds: BTreeMap<u64, u64>,
     served: bool,
-    bare: u32,
+    without_host: u32,
 }
 
-impl Held {
+impl ProxyState {
     fn call(&mut self, orders: &[Value]) {
         for order in orders {
             let host = || order["server"].as_str().unwrap_or_default().to_string();
@@ -109,26 +110,26 @@
         };
         let serves = |table: &u64| self.lines.iter().any(|(line, weight)| open(line, weight, *table));
         let all = !self.binds.is_empty() && self.binds.values().all(serves);
-        self.bare += u32::from(self.served && !all);
+        self.without_host += u32::from(self.served && !all);
         self.served |= all;
     }
 }
 
 struct Proxies {
     at: SocketAddr,
-    held: Arc<Mutex<Held>>,
+    held: Arc<Mutex<ProxyState>>,
 }
 
-/// A relay with two proxies, which apply what they get at once.
+/// A relay with two proxies, which apply each order at once.
 fn relay() -> Proxies {
-    let held: Arc<Mutex<Held>> = Arc::default();
-    let news: Arc<Mutex<Vec<Sender<String>>>> = Arc::default();
+    let held: Arc<Mutex<ProxyState>> = Arc::default();
+    let watchers: Arc<Mutex<Vec<Sender<String>>>> = Arc::default();
     let theirs = held.clone();
     let at = listen(move |mut stream| {
         let mut first = [0; 10];
         if stream.peek(&mut first).is_ok() && first.starts_with(b"GET /watch") {
             let (to, from) = channel();
-            news.lock().expect("who watches").push(to);
+            watchers.lock().expect("the watchers").push(to);
             let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
             let joined = |proxy: u16| {
                 json!({"type": "SUBSCRIBE", "object": {"proxy": proxy, "zone": "east", "weight": 10.0, "fresh": true}}).to_string()
@@ -151,16 +152,16 @@
                 }
             }
         }
-        let (held, news) = (theirs.clone(), news.clone());
+        let (held, watchers) = (theirs.clone(), watchers.clone());
         answer(stream, move |_, body| {
             let call: Value = serde_json::from_slice(body).ok()?;
             let orders = call["changes"].as_array()?;
-            held.lock().expect("what is held").call(orders);
+            held.lock().expect("the state of the proxies").call(orders);
             for mark in orders.iter().filter(|order| order["op"] == "mark") {
                 for proxy in 0..2 {
                     let object = json!({"proxy": proxy, "mark": mark["nonce_out"], "took_ms": 1.0});
                     let line = json!({"type": "ACK", "object": object}).to_string();
-                    news.lock().expect("who watches").iter().for_each(|to| drop(to.send(line.clone())));
+                    watchers.lock().expect("the watchers").iter().for_each(|to| drop(to.send(line.clone())));
                 }
             }
             Some(json!({"taken": orders.len()}).to_string())
@@ -184,8 +185,8 @@
     Daemon::start(dir, Path::new("config.json"), discovery)
 }
 
-/// The only host drains in the very list that names its successor. Returns how many calls left a proxy with nothing,
-/// and the log.
+/// The only host starts to drain in the same list that adds its successor. Returns how many calls left a
+/// proxy without a usable host, and the log.
 fn drained(mode: &str) -> (u32, String) {
     let dir = tempfile::tempdir().expect("a folder");
     let host = || listen(|stream| answer(stream, |_, _| Some("{}".into())));
@@ -195,7 +196,7 @@
     let discovery = listen(move |stream| {
         let list = theirs.clone();
         answer(stream, move |_, _| {
-            // As one that has nothing new does: it waits before it answers.
+            // Like a discovery without changes, it waits before it answers.
             std::thread::sleep(Duration::from_millis(50));
             let list = list.lock().expect("the list").clone();
             Some(json!({"seq": list.0, "whole": true, "hosts": list.1}).to_string())
@@ -203,43 +204,43 @@
     });
     let relay = relay();
     let daemon = start(mode, discovery, relay.at, dir.path());
-    daemon.wait("serves", || relay.held.lock().expect("what is held").served);
+    daemon.wait("serves", || relay.held.lock().expect("the state of the proxies").served);
     *list.lock().expect("the list") = (2, vec![row("a", a, "terminating"), row("b", b, "in_service")]);
     let names = |host: &str| {
-        let held = relay.held.lock().expect("what is held");
+        let held = relay.held.lock().expect("the state of the proxies");
         let named = held.lines.iter().any(|(line, weight)| line.1 == host && *weight > 0.0);
         (named, held.out.get(host) == Some(&true))
     };
     daemon.wait("goes over to the other", || names("b") == (true, false) && names("a").1);
-    // SIGUSR1: what it counted.
+    // SIGUSR1 requests the counters.
     let pid = daemon.child.id().to_string();
     let sent = Command::new("kill").args(["-USR1", &pid]).status().expect("a signal");
     assert!(sent.success());
     if mode != "off" {
-        daemon.wait("shows its counts", || daemon.said().contains("guard: batches="));
+        daemon.wait("shows its counts", || daemon.log().contains("guard: batches="));
     }
-    let bare = relay.held.lock().expect("what is held").bare;
-    (bare, daemon.said())
+    let without_host = relay.held.lock().expect("the state of the proxies").without_host;
+    (without_host, daemon.log())
 }
 
 #[test]
 fn the_only_host_drains_as_its_successor_is_listed_and_nobody_is_left_with_nothing() {
-    let (bare, said) = drained("enforce");
-    assert_eq!(bare, 0, "{said}");
-    assert!(!said.contains("start anew"), "{said}");
+    let (without_host, log) = drained("enforce");
+    assert_eq!(without_host, 0, "{log}");
+    assert!(!log.contains("start anew"), "{log}");
 }
 
 #[test]
 fn off_there_is_no_guard() {
-    let (_, said) = drained("off");
-    assert!(!said.contains("guard"), "{said}");
+    let (_, log) = drained("off");
+    assert!(!log.contains("guard"), "{log}");
 }
 
-/// Decisions with a fault: half a second after the two proxies came they shut out the only host that serves, and let
-/// the other one in half a second later.
-struct Sudden;
+/// A faulty controller: half a second after the two proxies joined it withdraws the only host that serves,
+/// and adds the other host another half second later.
+struct WithdrawsTooEarly;
 
-impl Decide for Sudden {
+impl Decide for WithdrawsTooEarly {
     fn decide(&mut self, _: f64, events: &[Event]) -> Vec<Order> {
         let (table, number) = (TableId(0), |event: &Event| match event {
             Event::ProxyJoined { proxy, .. } => Some(u64::from(proxy.0)),
@@ -268,8 +269,9 @@
     }
 }
 
-/// How many calls left a proxy with nothing, whether the host was shut out in the end, and what the guard counted.
-fn sudden(mode: GuardMode) -> (u32, bool, String) {
+/// Returns how many calls left a proxy without a usable host, whether the host was withdrawn in the end,
+/// and what the guard counted.
+fn early_withdrawal(mode: GuardMode) -> (u32, bool, String) {
     let relay = relay();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let held = relay.held.clone();
@@ -286,24 +288,24 @@
             std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/config.json"));
         let config =
             config::parse(&config.expect("the example's configuration"), |_| None).expect("a configuration");
-        let facts = config.guard_facts().expect("facts");
+        let settings = config.guard_facts().expect("settings");
         let rows =
             ["a", "b"].map(|host| serde_json::from_value(row(host, relay.at, "in_service")).expect("a row"));
         let known = Listing { seq: 1, whole: true, hosts: rows.into() };
         let out = Out { relay: to_relay, list, probes, witness: None };
-        let keeper = Keeper::new(&Section { mode, txns_per_s_per_weight: None }, facts, &log);
+        let keeper = Keeper::new(&Section { mode, txns_per_s_per_weight: None }, settings, &log);
         let shown = keeper.as_ref().map(Keeper::shown);
-        let make: Make = Box::new(|_| Box::new(Sudden));
-        let mut the_desk =
+        let make: Make = Box::new(|_| Box::new(WithdrawsTooEarly));
+        let mut event_loop =
             Desk::new((make, 1), config.labels, known, UnixClock::reading(1e12), out, counters, log);
         if let Some(keeper) = keeper {
-            the_desk = the_desk.guarded(keeper);
+            event_loop = event_loop.guarded(keeper);
         }
         let gate: Rc<Gate> = Rc::default();
         let line = Kept::new(Gated { dial: Tcp, gate: gate.clone() }, at.clone(), Duration::from_millis(250));
         let calls = Relay { line, gate, spread: Spread::new(1), ties: ties.clone() };
         let connect_within = Duration::from_millis(250);
-        let news = Follow {
+        let relay_watch = Follow {
             dial: Tcp,
             peer: at,
             connect_within,
@@ -312,50 +314,58 @@
             spread: Spread::new(2),
             ties,
         };
-        tokio::task::spawn_local(the_desk.run(heard));
+        tokio::task::spawn_local(event_loop.run(heard));
         tokio::task::spawn_local(calls.run(replies));
-        tokio::task::spawn_local(news.run());
+        tokio::task::spawn_local(relay_watch.run());
         let begun = Instant::now();
         let done =
-            |held: &Held| held.out.get("a") == Some(&true) && held.lines.contains_key(&(0, "b".into()));
-        while !done(&held.lock().expect("what is held")) && begun.elapsed() < Duration::from_secs(10) {
+            |held: &ProxyState| held.out.get("a") == Some(&true) && held.lines.contains_key(&(0, "b".into()));
+        while !done(&held.lock().expect("the state of the proxies"))
+            && begun.elapsed() < Duration::from_secs(10)
+        {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         shown.map_or(String::new(), |shown| shown.to_string())
     });
-    let held = relay.held.lock().expect("what is held");
-    (held.bare, held.out.get("a") == Some(&true), shown)
+    let held = relay.held.lock().expect("the state of the proxies");
+    (held.without_host, held.out.get("a") == Some(&true), shown)
 }
 
 #[test]
 fn the_only_host_is_shut_out_ahead_of_its_successor_and_the_guard_holds_that_back() {
-    let (bare, out, counted) = sudden(GuardMode::Off);
-    assert!(bare > 0 && out && counted.is_empty(), "the fault is one: {bare} {out}");
-    let (bare, out, counted) = sudden(GuardMode::Watch);
+    let (without_host, out, counted) = early_withdrawal(GuardMode::Off);
     assert!(
-        bare > 0 && out && counted.contains(" bare=1 ") && counted.contains("no proxy is left bare: proxy 0"),
+        without_host > 0 && out && counted.is_empty(),
+        "the unguarded fault has no effect: {without_host} {out}"
+    );
+    let (without_host, out, counted) = early_withdrawal(GuardMode::Watch);
+    assert!(
+        without_host > 0
+            && out
+            && counted.contains(" bare=1 ")
+            && counted.contains("no proxy is left bare: proxy 0"),
         "{counted}"
     );
-    let (bare, out, counted) = sudden(GuardMode::Enforce);
+    let (without_host, out, counted) = early_withdrawal(GuardMode::Enforce);
     assert!(
-        bare == 0 && out && counted.contains(" bare=1 ") && counted.contains(" anew=0 "),
-        "{bare} {out} {counted}"
+        without_host == 0 && out && counted.contains(" bare=1 ") && counted.contains(" anew=0 "),
+        "{without_host} {out} {counted}"
     );
 }
 
-/// Decisions that bind each proxy as it comes, each time with a mark of its own.
-struct Each(u16);
+/// A controller that binds each proxy as it joins, each time with another mark.
+struct BindsEach(u16);
 
-impl Decide for Each {
+impl Decide for BindsEach {
     fn decide(&mut self, _: f64, events: &[Event]) -> Vec<Order> {
-        let came = |event: &Event| match event {
+        let joined = |event: &Event| match event {
             Event::ProxyJoined { proxy, .. } => Some(*proxy),
             _ => None,
         };
         let (table, classes) = (TableId(0), ClassSet(0b11));
         let mut orders: Vec<Order> = events
             .iter()
-            .filter_map(came)
+            .filter_map(joined)
             .flat_map(|proxy| {
                 let line = Order::SetEntry { table, host: HostId(0), weight: 1.0 };
                 [line, Order::Bind { proxy, table, classes }]
@@ -369,7 +379,8 @@
     }
 }
 
-/// What the guard counted as found wrong with its own picture, after a proxy answered two marks, the later first.
+/// Returns the guard's counts of errors in its own model, after a proxy acknowledged two marks, the later
+/// one first.
 fn two_marks_answered(as_one: bool) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async move {
@@ -385,14 +396,14 @@
         let host = serde_json::from_value(row("a", nowhere, "in_service")).expect("a row");
         let known = Listing { seq: 1, whole: true, hosts: vec![host] };
         let section = Section { mode: GuardMode::Watch, txns_per_s_per_weight: None };
-        let keeper = Keeper::new(&section, config.guard_facts().expect("facts"), &log).expect("a guard");
+        let keeper = Keeper::new(&section, config.guard_facts().expect("settings"), &log).expect("a guard");
         let shown = keeper.shown();
-        let make: Make = Box::new(|_| Box::new(Each(0)));
+        let make: Make = Box::new(|_| Box::new(BindsEach(0)));
         let out = Out { relay: to_relay, list, probes, witness: None };
-        let the_desk =
+        let event_loop =
             Desk::new((make, 1), config.labels, known, UnixClock::reading(1e12), out, counters, log)
                 .guarded(keeper);
-        tokio::task::spawn_local(the_desk.run(heard));
+        tokio::task::spawn_local(event_loop.run(heard));
         let joined = |proxy| News::Joined { proxy, zone: "east".into(), weight: 10.0, fresh: true };
         let tell = |heard| async { desk.send(heard).await.expect("the desk hears") };
         let mut reply = async || {
@@ -413,7 +424,7 @@
         for mark in marks.iter().rev() {
             tell(Heard::News(News::Applied { proxy: 0, mark: mark.0, took_ms: 1.0 })).await;
         }
-        // What was found is told with the next reply.
+        // The result is reported with the next reply.
         tell(Heard::News(joined(2))).await;
         reply().await;
         shown.to_string()
@@ -422,8 +433,8 @@
 
 #[test]
 fn marks_that_went_as_one_are_answered_in_any_order() {
-    let told = two_marks_answered(true);
-    assert!(told.contains(" wrong=0"), "{told}");
-    let told = two_marks_answered(false);
-    assert!(told.contains(" wrong=1"), "one by one they come in order: {told}");
+    let counted = two_marks_answered(true);
+    assert!(counted.contains(" wrong=0"), "{counted}");
+    let counted = two_marks_answered(false);
+    assert!(counted.contains(" wrong=1"), "one by one they come in order: {counted}");
 }
--- a/crates/steward/tests/restart.rs
+++ b/crates/steward/tests/restart.rs
@@ -1,4 +1,5 @@
-//! The program itself, killed and started again, beside a discovery that falls silent and hosts that answer probes.
+//! The amberarch binary, killed and started again, with a discovery that falls silent and hosts that answer
+//! probes.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -15,17 +16,17 @@
 
 mod daemon;
 
-/// Answers every request with what it holds then; without anything, closes.
+/// Answers every request with the current body; without one, closes the connection.
 #[derive(Clone)]
 struct Peer {
     at: SocketAddr,
-    says: Arc<Mutex<Option<String>>>,
+    body: Arc<Mutex<Option<String>>>,
 }
 
 impl Peer {
-    fn stand(says: Option<String>) -> Peer {
+    fn start(body: Option<String>) -> Peer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let peer = Peer { at: listener.local_addr().expect("an address"), says: Arc::new(Mutex::new(says)) };
+        let peer = Peer { at: listener.local_addr().expect("an address"), body: Arc::new(Mutex::new(body)) };
         let theirs = peer.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -47,7 +48,7 @@
                     return;
                 }
             }
-            let Some(body) = self.says.lock().expect("its word").clone() else { return };
+            let Some(body) = self.body.lock().expect("the body").clone() else { return };
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
             if writing.write_all((head + &body).as_bytes()).is_err() {
                 return;
@@ -55,8 +56,8 @@
         }
     }
 
-    fn say(&self, says: Option<String>) {
-        *self.says.lock().expect("its word") = says;
+    fn set_body(&self, body: Option<String>) {
+        *self.body.lock().expect("the body") = body;
     }
 }
 
@@ -77,9 +78,9 @@
     Daemon::start(dir, &config, discovery)
 }
 
-/// Waits until its log holds that, and gives how long it took.
-fn says(daemon: &Daemon, what: &str) -> Duration {
-    daemon.wait(what, || daemon.said().contains(what))
+/// Waits until the log contains the text; returns how long that took.
+fn wait_for_log(daemon: &Daemon, what: &str) -> Duration {
+    daemon.wait(what, || daemon.log().contains(what))
 }
 
 fn folder() -> (tempfile::TempDir, PathBuf) {
@@ -90,12 +91,12 @@
     (dir, state)
 }
 
-/// Waits until the disk holds so many hosts of that health.
-fn kept(state: &Path, health: &str, count: usize) {
+/// Waits until the stored state has that many hosts with that health.
+fn wait_for_stored(state: &Path, health: &str, count: usize) {
     let until = Instant::now() + Duration::from_secs(20);
     loop {
         let held = load(state).map(|held| held.members).unwrap_or_default();
-        let found = held.values().filter(|m| format!("{:?}", m.told.row.health) == health).count();
+        let found = held.values().filter(|member| format!("{:?}", member.told.row.health) == health).count();
         if found == count {
             return;
         }
@@ -104,13 +105,13 @@
     }
 }
 
-/// As if it had been kept that long ago.
+/// Makes the stored state older by that time.
 fn age(state: &Path, ms: f64) {
     let (store, held) = Store::open(state).expect("the folder");
     let mut members: BTreeMap<_, _> = held.members;
     members.values_mut().for_each(|member| std::sync::Arc::make_mut(member).told.at -= ms);
     let stand = Stand { at: held.stand.at - ms, ..held.stand };
-    // A stand only moves forward, so an older one needs a folder of its own.
+    // The stored time only moves forward, so an older state needs a new folder.
     drop(store);
     std::fs::remove_dir_all(state).expect("the folder");
     let (mut store, _) = Store::open(state).expect("the folder");
@@ -120,56 +121,56 @@
 #[test]
 fn a_killed_daemon_starts_from_its_list_while_discovery_is_silent() {
     let (dir, state) = folder();
-    let host = || Peer::stand(Some("{}".into()));
+    let host = || Peer::start(Some("{}".into()));
     let (a, b) = (host(), host());
-    // Nobody answers probes there.
-    let dead = Peer::stand(None);
-    let discovery = Peer::stand(Some(list(7, &[("a", a.at), ("b", b.at), ("dead", dead.at)])));
+    // No probe is answered at this address.
+    let dead = Peer::start(None);
+    let discovery = Peer::start(Some(list(7, &[("a", a.at), ("b", b.at), ("dead", dead.at)])));
     let first = start(dir.path(), discovery.at);
-    says(&first, "how: Changes, seq: 7");
-    kept(&state, "On", 3);
+    wait_for_log(&first, "how: Changes, seq: 7");
+    wait_for_stored(&state, "On", 3);
     drop(first);
 
-    // Fresh: all of it serves at once.
-    discovery.say(None);
+    // A recent list: all of its hosts serve at once.
+    discovery.set_body(None);
     let fresh = start(dir.path(), discovery.at);
-    says(&fresh, "entries: 3, how: Restored");
+    wait_for_log(&fresh, "entries: 3, how: Restored");
     drop(fresh);
 
-    // Of yesterday: those that pass twice, and nobody else.
+    // A list of the day before: only hosts that pass two probes serve.
     age(&state, 86_400_000.0);
     let old = start(dir.path(), discovery.at);
-    says(&old, "entries: 0, how: Restored");
+    wait_for_log(&old, "entries: 0, how: Restored");
     let passed = || {
-        let said = old.said();
-        let told = |count: usize| said.matches(&format!("entries: {count}, how: Changes")).count();
-        told(1) + 2 * told(2) + 3 * told(3)
+        let log = old.log();
+        let logged = |count: usize| log.matches(&format!("entries: {count}, how: Changes")).count();
+        logged(1) + 2 * logged(2) + 3 * logged(3)
     };
     let until = Instant::now() + Duration::from_secs(10);
     while passed() < 2 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(20));
     }
     std::thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(passed(), 2, "{}", old.said());
+    assert_eq!(passed(), 2, "{}", old.log());
 
-    // Discovery comes back without one of them: it is gone for good.
-    discovery.say(Some(list(9, &[("a", a.at)])));
-    kept(&state, "Gone", 2);
+    // Discovery comes back without one of the hosts: that host is gone for good.
+    discovery.set_body(Some(list(9, &[("a", a.at)])));
+    wait_for_stored(&state, "Gone", 2);
     drop(old);
-    discovery.say(None);
+    discovery.set_body(None);
     let last = start(dir.path(), discovery.at);
-    says(&last, "entries: 1, how: Restored");
+    wait_for_log(&last, "entries: 1, how: Restored");
 }
 
 #[test]
 fn a_spoilt_file_is_told_in_one_line_and_the_start_goes_on() {
     let (dir, state) = folder();
-    let peer = Peer::stand(Some("{}".into()));
-    let discovery = Peer::stand(Some(list(7, &[("a", peer.at), ("b", peer.at)])));
+    let peer = Peer::start(Some("{}".into()));
+    let discovery = Peer::start(Some(list(7, &[("a", peer.at), ("b", peer.at)])));
     drop({
         let daemon = start(dir.path(), discovery.at);
-        says(&daemon, "how: Changes, seq: 7");
-        kept(&state, "On", 2);
+        wait_for_log(&daemon, "how: Changes, seq: 7");
+        wait_for_stored(&state, "On", 2);
         daemon
     });
     let amberarch = |args: &[&str]| {
@@ -180,35 +181,36 @@
     assert_eq!(amberarch(&["state", "verify"]).0, Some(0));
     let (_, exported) = amberarch(&["state", "export"]);
     assert!(exported.contains(r#""host":"a""#) && exported.contains(r#""whole":true"#), "{exported}");
-    // The last bytes of everything that is there.
+    // Cuts off the last bytes of every file.
     for entry in std::fs::read_dir(&state).expect("the folder").flatten() {
         let bytes = std::fs::read(entry.path()).expect("a file");
         let cut = bytes.len().saturating_sub(3);
         std::fs::write(entry.path(), &bytes[..cut]).expect("a file");
     }
-    let (code, told) = amberarch(&["state", "verify"]);
-    assert!(code == Some(1) && told.contains("cut off at byte"), "{told}");
-    discovery.say(None);
+    let (code, output) = amberarch(&["state", "verify"]);
+    assert!(code == Some(1) && output.contains("cut off at byte"), "{output}");
+    discovery.set_body(None);
     let daemon = start(dir.path(), discovery.at);
-    says(&daemon, "some of what was kept is spoilt");
-    says(&daemon, "how: Restored");
-    let (code, told) = amberarch(&["state", "repair"]);
-    assert!(code == Some(2) && told.contains("another daemon uses the folder"), "{told}");
+    wait_for_log(&daemon, "some of what was kept is spoilt");
+    wait_for_log(&daemon, "how: Restored");
+    let (code, output) = amberarch(&["state", "repair"]);
+    assert!(code == Some(2) && output.contains("another daemon uses the folder"), "{output}");
     drop(daemon);
-    let (code, told) = amberarch(&["state", "repair"]);
-    assert!(code == Some(0) && told.contains("are in a new generation"), "{told}");
+    let (code, output) = amberarch(&["state", "repair"]);
+    assert!(code == Some(0) && output.contains("are in a new generation"), "{output}");
     assert_eq!(amberarch(&["state", "verify"]).0, Some(0));
     let (_, shown) = amberarch(&["state", "show"]);
     assert!(shown.contains("generation"), "{shown}");
 }
 
-/// As a read-only file system answers, whoever asks.
+/// Guards against starting without the state folder; /proc refuses to create one for any user, like a
+/// read-only file system.
 #[test]
 fn a_folder_that_can_not_be_made_ends_the_start_with_its_name() {
     let (dir, _) = folder();
     std::fs::write(dir.path().join("operator.toml"), "[state]\nfolder = \"/proc/amberarch\"\n")
         .expect("a file");
-    let mut daemon = start(dir.path(), Peer::stand(None).at);
-    says(&daemon, "[state] folder: /proc/amberarch");
+    let mut daemon = start(dir.path(), Peer::start(None).at);
+    wait_for_log(&daemon, "[state] folder: /proc/amberarch");
     assert_eq!(daemon.child.wait().expect("an end").code(), Some(2));
 }
--- a/crates/steward/tests/soak/main.rs
+++ b/crates/steward/tests/soak/main.rs
@@ -1,5 +1,6 @@
-//! The soak: drills drawn by seed, with signals in series and crowds, judged for drains, the channel's limits, proxies without a
-//! host, restarts and calls after the end. A few seeds, the same each time; `AMBERARCH_SOAK_SEEDS=A..B` plays others, in groups.
+//! Soak test: drills drawn from seeds, with series of signals and bursts of joining proxies, checked for
+//! drains, the channel's limits, proxies without a host, restarts, and calls after the end. Runs a few
+//! fixed seeds; `AMBERARCH_SOAK_SEEDS=A..B` runs others, in groups.
 
 #[path = "../drill/mod.rs"]
 mod drill;
@@ -7,12 +8,12 @@
 use std::ops::Range;
 
 use amberarch_rig::drill::{DrillPlan, Drilled};
-use drill::{outcome, play_all, print_details, Outcome};
+use drill::{outcome, print_details, run_all, Outcome};
 
-/// How long faults last in each, ms.
+/// How long the faults of a drill last, ms.
 const FAULTS: u64 = 16_000;
 const SEEDS: Range<u64> = 1..9;
-/// Drills that run at one time.
+/// How many drills run at a time.
 const SIDE_BY_SIDE: usize = 8;
 
 fn seeds() -> Range<u64> {
@@ -21,28 +22,28 @@
     from.parse().expect("a seed")..to.parse().expect("a seed")
 }
 
-/// How many reloads the processes of a drill counted; each writes its counters as it ends.
+/// The number of reloads in a drill; each process logs its counters as it ends.
 fn reloads(log: &str) -> u64 {
     let counted = log.split(" reloads=").skip(1).filter_map(|rest| rest.split(' ').next());
     counted.filter_map(|count| count.parse::<u64>().ok()).sum()
 }
 
-/// What all drills came to.
+/// The combined results of all drills.
 #[derive(Default)]
-struct Soaked {
+struct SoakResults {
     kept: usize,
     broken: Vec<(u64, Vec<String>)>,
     void: Vec<u64>,
     restarts: u64,
     late_restarts: u64,
-    /// Spans in which a proxy had no host, and calls, that were looked at.
+    /// Checked spans without a host at a proxy, and checked calls.
     spans_without_host: u64,
     calls: u64,
-    /// Configurations that moved discovery and the relay, as the controllers count them.
+    /// Reloads that moved discovery and the relay, as counted by the controllers.
     reloads: u64,
 }
 
-impl Soaked {
+impl SoakResults {
     fn add(&mut self, plan: &DrillPlan, drilled: &Drilled) {
         let seed = plan.settings.seed;
         let outcome = outcome(drilled);
@@ -68,8 +69,8 @@
     }
 
     fn assert_kept(&self) {
-        let Soaked { kept, broken, void, restarts, late_restarts, .. } = self;
-        let Soaked { spans_without_host, calls, reloads, .. } = self;
+        let SoakResults { kept, broken, void, restarts, late_restarts, .. } = self;
+        let SoakResults { spans_without_host, calls, reloads, .. } = self;
         println!(
             "{kept} kept, {} broken, {} void {void:?}, {late_restarts} of {restarts} restarts late",
             broken.len(),
@@ -79,7 +80,7 @@
         assert!(broken.is_empty(), "{broken:#?}");
         assert!(late_restarts * 10 <= *restarts, "{late_restarts} of {restarts} restarts late");
         assert!(kept > &void.len(), "most drills were void: {void:?}");
-        // A soak in which nothing of this happened proves nothing of it.
+        // A soak without any of these events checks nothing about them.
         assert!(
             *restarts > 0 && *reloads > 0 && *calls > 0,
             "{restarts} restarts, {reloads} reloads, {calls} calls"
@@ -87,15 +88,16 @@
     }
 }
 
-/// Guards against rules that break where nobody looked: what is played is drawn by seed.
+/// Guards against broken rules under combinations of faults that no other test lists: they are drawn from
+/// seeds.
 #[test]
 fn drills_with_signals_and_crowds_keep_the_rules() {
     let seeds: Vec<u64> = seeds().collect();
-    let mut soaked = Soaked::default();
+    let mut results = SoakResults::default();
     for group in seeds.chunks(SIDE_BY_SIDE) {
         let plans: Vec<DrillPlan> = group.iter().map(|seed| DrillPlan::soak(*seed, FAULTS)).collect();
-        let drilled = play_all(&plans);
-        plans.iter().zip(&drilled).for_each(|(plan, drilled)| soaked.add(plan, drilled));
+        let drilled = run_all(&plans);
+        plans.iter().zip(&drilled).for_each(|(plan, drilled)| results.add(plan, drilled));
     }
-    soaked.assert_kept();
+    results.assert_kept();
 }
--- a/crates/steward/tests/stand_in/daemon.rs
+++ b/crates/steward/tests/stand_in/daemon.rs
@@ -167,7 +167,11 @@
                 return line.clone();
             }
             let left = until.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "it has not received {what:?} {times} times:\n{}", lines.join("\n"));
+            assert!(
+                !left.is_zero(),
+                "the log has not contained {what:?} {times} times:\n{}",
+                lines.join("\n")
+            );
             lines = changed_log.wait_timeout(lines, left).expect("the log").0;
         }
     }
@@ -211,7 +215,7 @@
             if let Some(status) = self.child.try_wait().expect("its end") {
                 return (status.code(), begun.elapsed());
             }
-            assert!(begun.elapsed() < TEST_TIMEOUT, "it lives on:\n{}", self.log().join("\n"));
+            assert!(begun.elapsed() < TEST_TIMEOUT, "the process has not ended:\n{}", self.log().join("\n"));
             std::thread::sleep(Duration::from_millis(2));
         }
     }
--- a/crates/steward/tests/stand_in/peer.rs
+++ b/crates/steward/tests/stand_in/peer.rs
@@ -98,7 +98,7 @@
 pub struct Peer {
     pub address: SocketAddr,
     listener: TcpListener,
-    event: Receiver<PeerEvent>,
+    receiver: Receiver<PeerEvent>,
     /// Events that were received and that no call has consumed yet.
     unclaimed: RefCell<VecDeque<PeerEvent>>,
 }
@@ -112,21 +112,21 @@
     pub fn from_listener(listener: TcpListener) -> Peer {
         let address = listener.local_addr().expect("an address");
         let listener_copy = listener.try_clone().expect("a descriptor");
-        let (events, event) = channel();
+        let (sender, receiver) = channel();
         std::thread::spawn(move || {
             let still_listens = |stream: &std::io::Result<TcpStream>| {
                 // `accept` fails with EINVAL once the socket no longer listens.
                 !stream.as_ref().is_err_and(|why| why.kind() == ErrorKind::InvalidInput)
             };
             for (number, stream) in listener.incoming().take_while(still_listens).flatten().enumerate() {
-                let events = events.clone();
-                if events.send(PeerEvent::Connected(number)).is_err() {
+                let sender = sender.clone();
+                if sender.send(PeerEvent::Connected(number)).is_err() {
                     return;
                 }
-                std::thread::spawn(move || read(stream, number, &events));
+                std::thread::spawn(move || read(stream, number, &sender));
             }
         });
-        Peer { address, listener: listener_copy, event, unclaimed: RefCell::default() }
+        Peer { address, listener: listener_copy, receiver, unclaimed: RefCell::default() }
     }
 
     /// Makes the address refuse connections until something listens there again; open connections
@@ -153,7 +153,7 @@
             }
         }
         loop {
-            match self.event.recv_timeout(until.saturating_duration_since(Instant::now())) {
+            match self.receiver.recv_timeout(until.saturating_duration_since(Instant::now())) {
                 Ok(event) => match wanted(event) {
                     Ok(found) => return Some(found),
                     Err(event) => self.unclaimed.borrow_mut().push_back(event),
@@ -184,7 +184,7 @@
             PeerEvent::Closed { number: closed, partial_bytes } if closed == number => Ok(partial_bytes),
             other => Err(other),
         });
-        found.unwrap_or_else(|| panic!("connection {number} still stands after {TEST_TIMEOUT:?}"))
+        found.unwrap_or_else(|| panic!("connection {number} is still open after {TEST_TIMEOUT:?}"))
     }
 
     /// Waits for the next new connection; returns its number.
@@ -203,7 +203,7 @@
     listener.local_addr().expect("an address")
 }
 
-fn read(stream: TcpStream, number: usize, events: &Sender<PeerEvent>) {
+fn read(stream: TcpStream, number: usize, sender: &Sender<PeerEvent>) {
     let _ = stream.set_nodelay(true);
     let mut reading = BufReader::new(stream.try_clone().expect("a descriptor"));
     loop {
@@ -234,13 +234,13 @@
             }
         }
         if !whole || read < length {
-            let _ = events.send(PeerEvent::Closed { number, partial_bytes: partial_bytes + read });
+            let _ = sender.send(PeerEvent::Closed { number, partial_bytes: partial_bytes + read });
             return;
         }
         let stream = stream.try_clone().expect("a descriptor");
         let body = String::from_utf8(body).expect("text");
         let exchange = Exchange { line, body, connection: Connection { stream, number } };
-        if events.send(PeerEvent::Request(exchange)).is_err() {
+        if sender.send(PeerEvent::Request(exchange)).is_err() {
             return;
         }
     }
