--- a/crates/steward/tests/drill/mod.rs
+++ b/crates/steward/tests/drill/mod.rs
@@ -1,28 +1,30 @@
-//! Plays drills with the program under test and says what is wrong with each.
+//! Runs drills (recorded fault-injection runs) with the binary under test and reports what is wrong with
+//! each.
 
 use std::sync::{Condvar, Mutex};
 
 use amberarch_rig::drill::{drill, DrillPlan, Drilled};
 
-/// Drills that run at one time, whatever tests they belong to: more of them stand still beside other work and are void.
-const AT_ONCE: usize = 16;
+/// How many drills run at a time, over all tests of the binary. With more, the drills' own event loops
+/// stall beside other work, and a stalled drill is void.
+const MAX_CONCURRENT: usize = 16;
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
-/// One of the drills that run; its place is free again when it is dropped.
-struct Place;
+/// A slot for a running drill, freed when it is dropped.
+struct RunSlot;
 
-impl Place {
-    fn take() -> Place {
+impl RunSlot {
+    fn take() -> RunSlot {
         let running = RUNNING.lock().expect("the count of drills");
         let mut running =
-            ENDED.wait_while(running, |running| *running >= AT_ONCE).expect("the count of drills");
+            ENDED.wait_while(running, |running| *running >= MAX_CONCURRENT).expect("the count of drills");
         *running += 1;
-        Place
+        RunSlot
     }
 }
 
-impl Drop for Place {
+impl Drop for RunSlot {
     fn drop(&mut self) {
         if let Ok(mut running) = RUNNING.lock() {
             *running -= 1;
@@ -31,7 +33,7 @@
     }
 }
 
-/// The program under test: the one that was built with the tests, or another that the environment names.
+/// The binary under test: the one that was built with the tests, or another that the environment names.
 fn program() -> std::path::PathBuf {
     match std::env::var_os("AMBERARCH_UNDER_TEST") {
         Some(other) => other.into(),
@@ -39,49 +41,50 @@
     }
 }
 
-/// A drill that stood still itself proves nothing, so it is played again, so often at the most.
-const PLAYS_MOST: usize = 3;
+/// How often a drill is run at most. A drill that stalled itself proves nothing and is run again.
+const MAX_RUNS: usize = 3;
 
-/// Plays it until a play is not void; the last one is given back in any case.
-pub fn play(plan: &DrillPlan) -> Drilled {
-    let play_once = || {
-        let _place = Place::take();
+/// Runs the drill until a run is not void; the last run is returned in any case.
+pub fn run_drill(plan: &DrillPlan) -> Drilled {
+    let run_once = || {
+        let _slot = RunSlot::take();
         let folder = tempfile::tempdir().expect("a folder");
         drill(&program(), plan, folder.path()).expect("a drill")
     };
-    let mut drilled = play_once();
-    for _ in 1..PLAYS_MOST {
+    let mut drilled = run_once();
+    for _ in 1..MAX_RUNS {
         if !drilled.is_void() {
             break;
         }
         println!("seed {}: void, the drill stood still for {:?}", plan.settings.seed, drilled.lag);
-        drilled = play_once();
+        drilled = run_once();
     }
     drilled
 }
 
-/// Plays them side by side.
-pub fn play_all(plans: &[DrillPlan]) -> Vec<Drilled> {
+/// Runs the drills in parallel.
+pub fn run_all(plans: &[DrillPlan]) -> Vec<Drilled> {
     std::thread::scope(|scope| {
-        let drills: Vec<_> = plans.iter().map(|plan| scope.spawn(|| play(plan))).collect();
+        let drills: Vec<_> = plans.iter().map(|plan| scope.spawn(|| run_drill(plan))).collect();
         drills.into_iter().map(|drill| drill.join().expect("a drill")).collect()
     })
 }
 
-/// What a drill showed.
+/// The result of a drill.
 #[derive(Debug, PartialEq)]
 pub enum Outcome {
     Kept,
-    /// What is wrong, the first few of it.
+    /// The first few faults that were found.
     Broken(Vec<String>),
-    /// Each play stood still itself.
+    /// The drill stalled itself in each run, so that none counts.
     Void,
 }
 
-/// So much is told of what is wrong.
-const TOLD_MOST: usize = 3;
+/// How many faults of a kind are reported.
+const MAX_REPORTED: usize = 3;
 
-/// Rules or limits of the channel that were broken, a crash, or nothing to look at.
+/// Checks a drill for broken rules, exceeded channel limits, a crash, and a history without any drain to
+/// check.
 pub fn outcome(drilled: &Drilled) -> Outcome {
     if drilled.is_void() {
         return Outcome::Void;
@@ -95,8 +98,8 @@
     if *crashed {
         wrong.push("the controller ended by itself".to_string());
     }
-    wrong.extend(violations.iter().take(TOLD_MOST).map(|found| found.says.clone()));
-    wrong.extend(passed.iter().take(TOLD_MOST).cloned());
+    wrong.extend(violations.iter().take(MAX_REPORTED).map(|found| found.says.clone()));
+    wrong.extend(passed.iter().take(MAX_REPORTED).cloned());
     if verdicts.drains.looked == 0 {
         wrong.push("no drain was looked at".to_string());
     }
@@ -107,16 +110,16 @@
     }
 }
 
-/// So many late drains are accounted for.
-const ACCOUNTS_MOST: usize = 8;
+/// For how many violations the details are printed.
+const MAX_DETAILS: usize = 8;
 
-/// Prints all that tells why a drill broke something.
+/// Prints everything that helps to find out why a drill broke a rule.
 pub fn print_details(plan: &DrillPlan, drilled: &Drilled) {
     let Drilled { most_waiting, backlog, calls, log, lag, .. } = drilled;
     let seed = plan.settings.seed;
     println!("seed {seed}: {most_waiting:.0} of {backlog:.0} lines waited at most, lag {lag:?} at most");
     println!("{plan:?}\n{}\n{log}", calls.join("\n"));
-    for found in drilled.verdicts.violations().take(ACCOUNTS_MOST) {
+    for found in drilled.verdicts.violations().take(MAX_DETAILS) {
         println!("{}\n  {}", found.says, drilled.account(found).join("\n  "));
     }
 }
