--- a/crates/histories/src/after_end.rs
+++ b/crates/histories/src/after_end.rs
@@ -1,15 +1,15 @@
-//! Calls that a controller's relay got after the controller's end.
+//! Checks that a relay receives no call from a controller whose process has ended.
 
 use std::collections::BTreeMap;
 
 use crate::{Line, Rule, Verdict, What};
 
-/// Assumes that stand-ins write `Called` as they read a call, `Died` once the process was waited for, and `Started` before its
-/// next start. What was written before the end may be read so much later.
+/// Assumes that test doubles write `Called` when they read a call, `Died` after they waited for the process,
+/// and `Started` before its next start. Bytes written before the end may be read up to `read_within` later.
 pub struct CallsAfterEnd {
-    /// ms
+    /// How long after the end of the process a call may still be read, ms.
     read_within: f64,
-    /// Controllers whose process is gone, with the line of that.
+    /// Controllers whose process has ended, with the `Died` line.
     ended: BTreeMap<String, Line>,
     verdict: Verdict,
 }
--- a/crates/histories/src/answers.rs
+++ b/crates/histories/src/answers.rs
@@ -1,31 +1,31 @@
-//! Each txn has exactly one final answer.
+//! Checks that each txn has exactly one final answer.
 
 use std::collections::HashMap;
 
-use crate::names::Seen;
+use crate::names::NumberSet;
 use crate::report::ns;
 use crate::{Line, Rule, Verdict, What};
 
-/// Assumes that txns are numbered apart over the whole history, and that `Asked` and `Final` of a txn are written by
-/// the same process: a client that is killed leaves txns open, which are then not judged (`Died`).
+/// Assumes that txn numbers are unique over the whole history, and that the same process writes `Asked` and
+/// `Final` of a txn: a client that is killed (`Died`) leaves open txns, which are then not judged.
 pub struct Answers {
-    /// The longest that a client waits, ns.
+    /// The longest time that a client waits for an answer, ns.
     longest: u64,
     waiting: HashMap<u64, Line>,
-    asked: Seen,
-    ended: Seen,
+    asked: NumberSet,
+    ended: NumberSet,
     end: u64,
     verdict: Verdict,
 }
 
 impl Answers {
-    /// The longest that a client waits, in ms.
+    /// `longest` is the longest time that a client waits for an answer, in ms.
     pub fn new(longest: f64) -> Answers {
         Answers {
             longest: ns(longest),
             waiting: HashMap::new(),
-            asked: Seen::default(),
-            ended: Seen::default(),
+            asked: NumberSet::default(),
+            ended: NumberSet::default(),
             end: 0,
             verdict: Verdict::default(),
         }
@@ -39,21 +39,21 @@
                 if !self.asked.add(*txn) {
                     let earlier = self.waiting.get(txn).into_iter().cloned();
                     let witness = earlier.chain([line.clone()]).collect();
-                    found(format!("txn {txn} is asked a second time under its number"), witness);
+                    found(format!("txn {txn} is requested a second time under the same number"), witness);
                 }
                 self.verdict.looked += 1;
                 self.waiting.insert(*txn, line.clone());
             }
             What::Final { txn, .. } => {
                 if !self.asked.has(*txn) {
-                    found(format!("txn {txn} is answered and nobody asked"), vec![line.clone()]);
+                    found(format!("txn {txn} is answered but was never requested"), vec![line.clone()]);
                 } else if !self.ended.add(*txn) {
                     found(format!("txn {txn} has a second final answer"), vec![line.clone()]);
                 }
                 self.waiting.remove(txn);
             }
             What::Served { txn, .. } if !self.asked.has(*txn) => {
-                found(format!("txn {txn} is served and nobody asked"), vec![line.clone()]);
+                found(format!("txn {txn} is served but was never requested"), vec![line.clone()]);
             }
             What::Died => {
                 let before = self.waiting.len();
--- a/crates/histories/src/drains.rs
+++ b/crates/histories/src/drains.rs
@@ -1,23 +1,24 @@
-//! Proxies that may still send to a host after the grace that follows the notice of its drain.
+//! Checks that proxies stop sending to a draining host within the grace after the drain notice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::suspended::Suspended;
 use crate::{HostState, Line, Rule, Verdict, What};
 
-/// How long proxies may go on sending to a host that drains.
+/// How long proxies may continue to send to a draining host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainBounds {
     /// The drain grace of the settings, ms.
     pub grace: f64,
-    /// What the protocol page adds on sockets, ms.
+    /// The additional time that the protocol page allows over sockets, ms.
     pub slack: f64,
 }
 
-/// Assumes that stand-ins write `ListTold` when a controller counts as told, `MaySend` whenever a proxy's own tables and
-/// withdrawals change, and `LimitsWait` when a fault of a controller's relay suspends time limits. A limit runs from the
-/// notice, or from the proxy's joining if that is later; suspended time does not count. Each pair of a proxy and a host is
-/// looked at when the proxy stops sending there, when it leaves, when the host is ready again, and at the end.
+/// Assumes that test doubles write `ListTold` when a controller counts as notified, `MaySend` whenever a
+/// proxy's own tables and withdrawals change, and `LimitsWait` when a fault of a controller's relay suspends
+/// time limits. A limit starts at the notice, or when the proxy joins if that is later; suspended time does
+/// not count. Each pair of a proxy and a host is checked when the proxy stops sending to the host, when the
+/// proxy leaves, when the host is ready again, and at the end.
 pub struct Drains {
     bounds: DrainBounds,
     controllers: BTreeMap<String, Controller>,
@@ -28,16 +29,16 @@
 
 #[derive(Default)]
 struct Controller {
-    /// Hosts that are draining or gone, with the line that told so.
+    /// Hosts that are draining or gone, with the line that reported it.
     leaving: BTreeMap<String, Line>,
     suspended: Suspended,
 }
 
 #[derive(Default)]
 struct Proxy {
-    /// The controller that it follows, and the line of its joining.
+    /// The controller that the proxy takes orders from, and the line in which it joined.
     follows: Option<(String, Line)>,
-    /// Where its tables let it send.
+    /// The hosts that its tables allow it to send to.
     sends_to: BTreeSet<String>,
 }
 
@@ -56,7 +57,7 @@
     pub fn feed(&mut self, line: &Line) {
         self.last = line.at;
         match &line.what {
-            What::ListTold { host, state } => self.told(line, host, *state),
+            What::ListTold { host, state } => self.notified(line, host, *state),
             What::LimitsWait { until } => {
                 self.controllers.entry(line.who.clone()).or_default().suspended.add(line.at, *until);
             }
@@ -70,7 +71,7 @@
                 self.proxies.entry(line.who.clone()).or_default().follows = None;
             }
             What::MaySend { hosts } => self.may_send(line, hosts),
-            // A process that starts again is told anew. Its proxies left before.
+            // A restarted process is notified again. Its proxies have left before.
             What::Died => {
                 self.controllers.entry(line.who.clone()).or_default().leaving.clear();
             }
@@ -78,7 +79,7 @@
         }
     }
 
-    fn told(&mut self, line: &Line, host: &str, state: HostState) {
+    fn notified(&mut self, line: &Line, host: &str, state: HostState) {
         let controller = self.controllers.entry(line.who.clone()).or_default();
         if state != HostState::Ready {
             controller.leaving.entry(host.into()).or_insert_with(|| line.clone());
@@ -88,7 +89,7 @@
         let sending: Vec<String> =
             self.proxies.iter().filter(|(_, proxy)| sends(proxy)).map(|(name, _)| name.clone()).collect();
         for proxy in sending {
-            self.look(line.at, &proxy, host);
+            self.check(line.at, &proxy, host);
         }
         if let Some(controller) = self.controllers.get_mut(&line.who) {
             controller.leaving.remove(host);
@@ -99,7 +100,7 @@
         let sends_to: BTreeSet<String> = hosts.iter().cloned().collect();
         let before = self.proxies.entry(line.who.clone()).or_default().sends_to.clone();
         for host in before.difference(&sends_to) {
-            self.look(line.at, &line.who, host);
+            self.check(line.at, &line.who, host);
         }
         self.proxies.entry(line.who.clone()).or_default().sends_to = sends_to;
     }
@@ -107,20 +108,20 @@
     fn leaves(&mut self, at: u64, proxy: &str) {
         let sends_to = self.proxies.get(proxy).map(|proxy| proxy.sends_to.clone()).unwrap_or_default();
         for host in sends_to {
-            self.look(at, proxy, &host);
+            self.check(at, proxy, &host);
         }
     }
 
-    /// The proxy could send to the host until now.
-    fn look(&mut self, now: u64, proxy: &str, host: &str) {
+    /// Checks the period up to now in which the proxy could send to the draining host.
+    fn check(&mut self, now: u64, proxy: &str, host: &str) {
         let Some((controller, joined)) = self.proxies.get(proxy).and_then(|proxy| proxy.follows.clone())
         else {
             return;
         };
         let Some(controller) = self.controllers.get(&controller) else { return };
-        let Some(told) = controller.leaving.get(host) else { return };
+        let Some(notified) = controller.leaving.get(host) else { return };
         self.verdict.looked += 1;
-        let sent_for = controller.suspended.counted(told.at.max(joined.at), now) as f64 / 1e6;
+        let sent_for = controller.suspended.counted(notified.at.max(joined.at), now) as f64 / 1e6;
         let allowed = self.bounds.grace + self.bounds.slack;
         if sent_for > allowed {
             let says = format!(
@@ -128,7 +129,7 @@
                  {:.0} ms more than allowed",
                 sent_for - allowed
             );
-            let witness = vec![told.clone(), joined];
+            let witness = vec![notified.clone(), joined];
             self.verdict.found(Rule::Drains, now, says, witness);
         }
     }
--- a/crates/histories/src/event.rs
+++ b/crates/histories/src/event.rs
@@ -1,13 +1,14 @@
-//! One line of a history. `at` is the machine's monotonic clock in ns, the same for all processes on it; so are
-//! `until` and `from`, and `back_within` is a span in ns. A line is written once what it says has happened, but
-//! `Proposed` and `Asked` before anything is sent, and `Granted` before the grant is.
+//! The events of a history, one per line. `at` is the machine's monotonic clock in ns, shared by all
+//! processes on the machine; `until` and `from` are on the same clock, and `back_within` is a duration in ns.
+//! A line is written after the event it describes, except that `Proposed` and `Asked` are written before
+//! anything is sent, and `Granted` before the grant is sent.
 
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     pub at: u64,
-    /// `steward:a`, `proxy:3`, `host:h1`, `client`, `rig`.
+    /// The process that wrote the line: `steward:a`, `proxy:3`, `host:h1`, `client`, `rig`.
     pub who: String,
     #[serde(flatten)]
     pub what: What,
@@ -16,13 +17,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum What {
-    /// The rig says what a revision permits, in its own words, before it is ever proposed. A pair that is not named
-    /// is not governed.
+    /// The fault-injection harness states what a revision permits, before the revision is first proposed. A
+    /// pair of request class and home that is not listed is not governed.
     Revision {
         no: u64,
         permits: Vec<Permits>,
     },
-    /// An operator proposes at a steward; `answered` has the same id.
+    /// An operator proposes a revision at a controller. The matching `Answered` has the same id.
     Proposed {
         id: u64,
         no: u64,
@@ -34,30 +35,31 @@
         outcome: Outcome,
         winner: Option<u64>,
     },
-    /// A steward acts on this from here on, until that time at the latest.
+    /// From now on, and until `until` at the latest, the controller acts on these revisions.
     Holds {
         boot: u64,
         stage: u64,
         holds: Held,
         until: u64,
     },
-    /// It no longer acts on anything: governed products are declined.
+    /// The controller no longer acts on any revision: requests of governed classes are rejected.
     LetGo {
         boot: u64,
     },
-    /// It wrote a call of orders under that stage; `at` is after the last byte, `from` before the first.
+    /// The controller wrote a call with orders under that stage. `at` is taken after the last byte, `from`
+    /// before the first.
     Wrote {
         boot: u64,
         stage: u64,
         from: u64,
     },
-    /// A proxy's tables let txns of the product go to hosts of these zones, from here on.
+    /// From now on, a proxy's tables route txns of the class to hosts in these zones.
     Tables {
         product: String,
         home: String,
         zones: Vec<String>,
     },
-    /// A client's txn comes to a proxy.
+    /// A proxy receives a client's txn. `once_only` marks a non-idempotent txn.
     Asked {
         txn: u64,
         product: String,
@@ -65,18 +67,18 @@
         tenant: Option<String>,
         once_only: bool,
     },
-    /// A host begins to serve it.
+    /// A host starts to serve the txn.
     Served {
         txn: u64,
         zone: String,
     },
-    /// The client has its answer.
+    /// The client receives the final answer.
     Final {
         txn: u64,
         end: End,
     },
-    /// The chair gives a steward a rate for a tenant in a zone until then; a rate of 0 takes it back. The zone's name may
-    /// end in `@` and the plan that is dealt by.
+    /// The lease holder grants a controller a rate for a tenant in a zone until `until`; a rate of 0 revokes
+    /// the grant. The zone name may end in `@` and the plan that the grant was computed from.
     Granted {
         to: String,
         tenant: String,
@@ -84,64 +86,66 @@
         per_s: f64,
         until: u64,
     },
-    /// From here on no more than this may be granted in the zone, or in all of them together ([`ALL_ZONES`]).
+    /// From now on, at most this rate may be granted in the zone, or in all zones together ([`ALL_ZONES`]).
     Capacity {
         zone: String,
         per_s: f64,
     },
-    /// What the policy promises a tenant while it asks for as much, and how long it may be without.
+    /// The rate that the policy guarantees a tenant while its demand is at least that high, and how long the
+    /// tenant may get less.
     Guarantee {
         tenant: String,
         zone: String,
         per_s: f64,
         back_within: u64,
     },
-    /// The taker (the `to` of the grant) goes by the grant with that `until`, and by nothing it had before for the
-    /// tenant in the zone.
+    /// The recipient (the `to` of the grant) now uses the grant with that `until`, and no earlier grant for
+    /// the tenant in the zone.
     Took {
         tenant: String,
         zone: String,
         until: u64,
     },
-    /// The controller `who` counts as told that the host is in this state.
+    /// The controller `who` counts as notified that the host is in this state.
     ListTold {
         host: String,
         state: HostState,
     },
-    /// The relay of the controller `who` failed, and time limits of its proxies are suspended until then.
+    /// The relay of the controller `who` failed; the time limits of its proxies are suspended until `until`.
     LimitsWait {
         until: u64,
     },
-    /// The proxy `who` follows that controller from here on.
+    /// From now on, the proxy `who` takes orders from that controller.
     Joined {
         controller: String,
     },
-    /// The proxy `who` follows no controller.
+    /// The proxy `who` has no controller.
     Left,
-    /// The tables and withdrawals of the proxy `who` let it send to these hosts and no others.
+    /// The tables and withdrawals of the proxy `who` allow it to send to exactly these hosts.
     MaySend {
         hosts: Vec<String>,
     },
-    /// The controller `who` is started as a process.
+    /// The process of the controller `who` is started.
     Started,
-    /// It answers a sign of life for the first time since it was started, and is used from here on.
+    /// The controller answers a health check for the first time since its start and is used from now on.
     Ready,
-    /// Its relay got a call of orders.
+    /// The relay of the controller received a call with orders.
     Called,
-    /// The process `who` is gone; written by the rig in its name, once it was waited for. What it held, its tables
-    /// too, ends here. Any later line of that name is of a new run.
+    /// The process `who` has ended. The harness writes this in its name after waiting for the process.
+    /// Everything that the process held, including its tables, ends here. Any later line under that name
+    /// belongs to a new run.
     Died,
-    /// The rig broke or mended something.
+    /// The harness injected or removed a fault.
     Fault {
         kind: String,
         of: Vec<String>,
     },
-    /// Nothing is broken any more.
+    /// All faults have been removed.
     Healed,
 }
 
-/// In the place of a zone in `Capacity`: all zones together. Where one zone's hosts serve what comes in at another, a
-/// zone's grants may exceed its own hosts, and the sum of all is what has to fit whatever goes where.
+/// Stands for all zones together in `Capacity`. If hosts of one zone serve requests that arrive in another, a
+/// zone's grants may exceed the capacity of its own hosts; only the sum over all zones has to fit.
 pub const ALL_ZONES: &str = "*";
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -156,11 +160,11 @@
 pub enum Outcome {
     InForce,
     Refused,
-    /// No answer came: it may have been taken or not.
+    /// No answer arrived; the proposal may or may not have been accepted.
     Unsure,
 }
 
-/// A host's state in the list of hosts.
+/// A host's state in the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
@@ -169,7 +173,7 @@
     Gone,
 }
 
-/// What a steward acts on.
+/// The revisions that a controller acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Held {
--- a/crates/histories/src/late.rs
+++ b/crates/histories/src/late.rs
@@ -1,37 +1,39 @@
-//! Calls of orders that were written when the lease they stood on was over.
+//! Detects calls with orders that were written after the end of the lease they rely on.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::names::Names;
 use crate::{Line, Rule, Verdict, What};
 
-/// Assumes that a steward writes `Holds` with each lease it takes up, before it writes a call under it. A call that
-/// began before the end and ended after it is the one that `docs/fleet-policy.md` says can't be excluded; one that
-/// began after the end means that the look before it was missing, or that the process stood still between the two.
-/// Both are told apart in words and counted alike, apart from the breaches.
+/// Assumes that a controller writes `Holds` with each lease that it acquires, before it writes a call under
+/// it. A call that started before the end of the lease and finished after it is the case that
+/// `docs/fleet-policy.md` says cannot be excluded. A call that started after the end means that the check
+/// before it was missing, or that the process was paused between the check and the call. The message
+/// distinguishes the two; both are counted as late calls, separately from the violations.
 #[derive(Default)]
 pub struct Late {
     names: Names,
-    boots: HashMap<(u32, u64), Boot>,
+    boots: HashMap<(u32, u64), Run>,
     verdict: Verdict,
 }
 
 #[derive(Default)]
-struct Boot {
+struct Run {
     stages: BTreeMap<u64, Stage>,
-    /// When it let go, until it holds anew.
+    /// The `LetGo` line, until the next `Holds`.
     let_go: Option<Line>,
 }
 
 struct Stage {
     since: u64,
     until: u64,
-    /// The last line that says so.
+    /// The last `Holds` line of the stage.
     line: Line,
 }
 
-/// Stages that a call may still be under way of; earlier ones were never held as far as a call is concerned.
-const STAGES: usize = 64;
+/// Number of stages kept for each run. A call under an earlier stage is treated as one under a stage that was
+/// never held.
+const MAX_STAGES: usize = 64;
 
 impl Late {
     pub fn feed(&mut self, line: &Line) {
@@ -41,7 +43,7 @@
                 of.let_go = None;
                 let since = of.stages.get(stage).map_or(line.at, |stage| stage.since);
                 of.stages.insert(*stage, Stage { since, until: *until, line: line.clone() });
-                if of.stages.len() > STAGES {
+                if of.stages.len() > MAX_STAGES {
                     of.stages.pop_first();
                 }
             }
@@ -69,22 +71,22 @@
         let ms = |later: u64, earlier: u64| later.saturating_sub(earlier) as f64 / 1e6;
         if from > *until {
             let over = ms(from, *until);
-            found(format!("a call begun {over:.3} ms after the end of its lease"), Some(held));
+            found(format!("a call started {over:.3} ms after the end of its lease"), Some(held));
         } else if line.at > *until {
             let over = ms(line.at, *until);
             found(
-                format!("a call begun in time and written out {over:.3} ms after the end of its lease"),
+                format!("a call started in time and completed {over:.3} ms after the end of its lease"),
                 Some(held),
             );
         } else if let Some(next) = after.filter(|next| from > next.since) {
             let over = ms(from, next.since);
             found(
-                format!("a call of stage {stage} begun {over:.3} ms after a later stage was taken up"),
+                format!("a call of stage {stage} started {over:.3} ms after a later stage was acquired"),
                 Some(&next.line),
             );
         } else if let Some(gone) = of.let_go.as_ref().filter(|gone| from > gone.at) {
             let over = ms(from, gone.at);
-            found(format!("a call begun {over:.3} ms after all was let go"), Some(gone));
+            found(format!("a call started {over:.3} ms after the lease was released"), Some(gone));
         }
     }
 
--- a/crates/histories/src/names.rs
+++ b/crates/histories/src/names.rs
@@ -1,4 +1,5 @@
-//! Names as small numbers, so that a million lines do not keep a million names.
+//! Interned names: each distinct name is stored once and referred to by a small number, which keeps memory
+//! small for histories with millions of lines.
 
 use std::collections::HashMap;
 
@@ -24,14 +25,15 @@
     }
 }
 
-/// Numbers seen, a bit each where they lie close, as a client's count does.
+/// A set of numbers, one bit per number in 64-bit words. Compact where numbers are close together, as those
+/// of a counter are.
 #[derive(Default)]
-pub(crate) struct Seen {
+pub(crate) struct NumberSet {
     words: HashMap<u64, u64>,
 }
 
-impl Seen {
-    /// True where it was not there before.
+impl NumberSet {
+    /// Adds the number; true if it was not in the set.
     pub fn add(&mut self, number: u64) -> bool {
         let word = self.words.entry(number >> 6).or_default();
         let bit = 1 << (number & 63);
--- a/crates/histories/src/no_host.rs
+++ b/crates/histories/src/no_host.rs
@@ -1,22 +1,24 @@
-//! Proxies that have no host to pick for too long while their controller lists one as ready.
+//! Checks that proxies are not without a usable host for too long while their controller lists a host as
+//! ready.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::suspended::Suspended;
 use crate::{HostState, Line, Rule, Verdict, What};
 
-/// How long a proxy may be without a host.
+/// How long a proxy may be without a usable host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NoHostBounds {
-    /// `emptyFor` of the settings, ms.
+    /// The setting `emptyFor`, ms.
     pub empty_for: f64,
-    /// What the protocol page adds on sockets, ms.
+    /// The additional time that the protocol page allows over sockets, ms.
     pub slack: f64,
 }
 
-/// Assumes what [`crate::Drains`] assumes, and that a controller's start is followed by a `ListTold` of each host that it
-/// knows from then on. A limit runs while three things hold together: the proxy follows the controller, it may send to no
-/// host, and the controller lists some host as ready. Suspended time does not count.
+/// Makes the assumptions of [`crate::Drains`], and assumes that the start of a controller is followed by a
+/// `ListTold` for each host that it then knows. A limit runs while three conditions hold together: the proxy
+/// takes orders from the controller, it may send to no host, and the controller lists some host as ready.
+/// Suspended time does not count.
 pub struct NoHost {
     bounds: NoHostBounds,
     controllers: BTreeMap<String, Controller>,
@@ -33,16 +35,16 @@
 
 #[derive(Default)]
 struct Proxy {
-    /// The controller that it follows.
+    /// The controller that the proxy takes orders from.
     follows: Option<String>,
     sends_to: BTreeSet<String>,
-    /// Since when it has no host while its controller lists one as ready.
+    /// Set while the proxy has no host although its controller lists one as ready.
     without: Option<Without>,
 }
 
 struct Without {
     controller: String,
-    /// The line with which it began.
+    /// The line that started the period.
     since: Line,
 }
 
@@ -62,11 +64,11 @@
                     HostState::Ready => controller.ready.insert(host.clone()),
                     HostState::Draining | HostState::Gone => controller.ready.remove(host),
                 };
-                self.look_at_all(line);
+                self.check_all(line);
             }
             What::Died => {
                 self.controllers.entry(line.who.clone()).or_default().ready.clear();
-                self.look_at_all(line);
+                self.check_all(line);
             }
             What::LimitsWait { until } => {
                 self.controllers.entry(line.who.clone()).or_default().suspended.add(line.at, *until);
@@ -84,16 +86,16 @@
 
     fn change(&mut self, line: &Line, change: impl FnOnce(&mut Proxy)) {
         change(self.proxies.entry(line.who.clone()).or_default());
-        self.look(line, &line.who);
+        self.check(line, &line.who);
     }
 
-    fn look_at_all(&mut self, line: &Line) {
+    fn check_all(&mut self, line: &Line) {
         let names: Vec<String> = self.proxies.keys().cloned().collect();
-        names.iter().for_each(|name| self.look(line, name));
+        names.iter().for_each(|name| self.check(line, name));
     }
 
-    /// A span without a host begins with this line, or ends.
-    fn look(&mut self, line: &Line, name: &str) {
+    /// Starts or ends a period without a host, as of this line.
+    fn check(&mut self, line: &Line, name: &str) {
         let Some(proxy) = self.proxies.get_mut(name) else { return };
         let lists_a_host = |controller: &&String| {
             self.controllers.get(*controller).is_some_and(|controller| !controller.ready.is_empty())
@@ -104,13 +106,13 @@
                 let controller = controller.clone();
                 proxy.without = Some(Without { controller, since: line.clone() });
             }
-            (None, Some(_)) => self.ends(name, line.at),
+            (None, Some(_)) => self.end_period(name, line.at),
             _ => {}
         }
     }
 
-    /// The span in which the proxy has no host ends, if there is one.
-    fn ends(&mut self, name: &str, now: u64) {
+    /// Ends the period in which the proxy has no host, if there is one.
+    fn end_period(&mut self, name: &str, now: u64) {
         let Some(without) = self.proxies.get_mut(name).and_then(|proxy| proxy.without.take()) else { return };
         self.verdict.looked += 1;
         let Without { controller, since } = without;
@@ -128,7 +130,7 @@
     pub fn finish(mut self) -> Verdict {
         let names: Vec<String> = self.proxies.keys().cloned().collect();
         for name in names {
-            self.ends(&name, self.last);
+            self.end_period(&name, self.last);
         }
         self.verdict
     }
--- a/crates/histories/src/once.rs
+++ b/crates/histories/src/once.rs
@@ -1,21 +1,23 @@
-//! Each once-only txn is served once at the most.
+//! Checks that each non-idempotent txn is served at most once.
 
 use std::collections::HashMap;
 
 use crate::names::Names;
 use crate::{Line, Rule, Verdict, What};
 
-/// Assumes that a client writes `Asked` before it sends, so that a host's `Served` of a once-only txn comes after it.
-/// Keeps two numbers for each once-only txn to the end, since the second host may serve late.
+/// Assumes that a client writes `Asked` before it sends, so that a host's `Served` of a non-idempotent txn
+/// comes after it. Keeps the first `Served` of each such txn until the end, since a second host may serve
+/// late.
 #[derive(Default)]
 pub struct OnceOnly {
     names: Names,
-    /// Who asked and when, then who served, where and when.
-    asked: HashMap<u64, Of>,
+    /// Non-idempotent txns by number.
+    asked: HashMap<u64, FirstServed>,
     verdict: Verdict,
 }
 
-struct Of {
+struct FirstServed {
+    /// The first `Served`: time, host and zone.
     first: Option<(u64, u32, u32)>,
 }
 
@@ -24,7 +26,7 @@
         match &line.what {
             What::Asked { txn, once_only: true, .. } => {
                 self.verdict.looked += 1;
-                self.asked.entry(*txn).or_insert(Of { first: None });
+                self.asked.entry(*txn).or_insert(FirstServed { first: None });
             }
             What::Served { txn, zone } => {
                 let Some(of) = self.asked.get_mut(txn) else { return };
--- a/crates/histories/src/plain.rs
+++ b/crates/histories/src/plain.rs
@@ -1,13 +1,13 @@
-//! The plain form of a check, as one would first write it: quadratic, whole in memory. Tests compare the verdicts, and
-//! benches the times.
+//! A straightforward reference implementation of a check: quadratic and entirely in memory. Tests compare its
+//! verdicts with those of the fast check, and benches its run time.
 
 use std::collections::HashMap;
 
 use crate::exclude::{has, within, Within};
 use crate::{Line, What};
 
-/// A steward acts: who, its run, within what, from when until when.
-struct Acts<'a> {
+/// A period in which a controller acts: its name and run, the revisions, start and end in ns.
+struct ActivePeriod<'a> {
     who: &'a str,
     boot: u64,
     within: Within,
@@ -15,10 +15,10 @@
     until: u64,
 }
 
-/// How often two stewards act at one time under what shares no revision: each pair of holds compared. What three do
-/// together is not looked at.
+/// Counts how often two controllers act at the same time under orders that share no revision, by comparing
+/// each pair of holds. Conflicts that only show among three controllers are not detected.
 pub fn excluding(lines: &[Line]) -> u64 {
-    let mut all: Vec<Acts> = Vec::new();
+    let mut all: Vec<ActivePeriod> = Vec::new();
     let mut last: HashMap<(&str, u64), usize> = HashMap::new();
     for line in lines {
         let who = line.who.as_str();
@@ -32,10 +32,10 @@
         }
         if let What::Holds { boot, holds, until, .. } = line.what {
             last.insert((who, boot), all.len());
-            all.push(Acts { who, boot, within: within(holds), from: line.at, until });
+            all.push(ActivePeriod { who, boot, within: within(holds), from: line.at, until });
         }
     }
-    let excludes = |a: &Acts, b: &Acts| {
+    let excludes = |a: &ActivePeriod, b: &ActivePeriod| {
         let apart = !has(b.within, a.within.0) && !has(b.within, a.within.1);
         apart && (a.who, a.boot) != (b.who, b.boot) && a.from.max(b.from) < a.until.min(b.until)
     };
--- a/crates/histories/src/read.rs
+++ b/crates/histories/src/read.rs
@@ -1,4 +1,4 @@
-//! Many files of lines as one history in the order of time, read as it is judged.
+//! Merges the lines of several files into one history in order of time, while it is being checked.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,38 +8,40 @@
 
 use crate::Line;
 
-/// A line is far shorter; a file that is no history at all must not fill the memory. Bytes.
-const LONGEST: u64 = 1 << 20;
+/// Maximum line length in bytes. Real lines are far shorter; the limit keeps a file that is not a history
+/// from filling the memory.
+const MAX_LINE_BYTES: u64 = 1 << 20;
 
-/// What makes a history unreadable. A last half line does not: a killed process leaves one.
+/// Errors that make a history unreadable. An incomplete last line is no error, since a killed process leaves
+/// one.
 #[derive(Debug, thiserror::Error)]
 pub enum Spoilt {
     #[error("{file} can't be read: {why}")]
     Io { file: String, why: std::io::Error },
-    #[error("{file}, line {line}: no line of a history: {why}")]
+    #[error("{file}, line {line}: not an event of a history: {why}")]
     NoLine { file: String, line: u64, why: serde_json::Error },
-    #[error("{file}, line {line}: longer than {LONGEST} bytes")]
+    #[error("{file}, line {line}: longer than {MAX_LINE_BYTES} bytes")]
     TooLong { file: String, line: u64 },
     #[error("{file}, line {line}: at {at} ns, after a line at {before} ns")]
     Backwards { file: String, line: u64, at: u64, before: u64 },
 }
 
 impl Spoilt {
-    /// What an operator can do.
+    /// What an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            Spoilt::Io { .. } => "see that the file is there and may be read, then judge again",
+            Spoilt::Io { .. } => "check that the file exists and is readable, then run the check again",
             Spoilt::NoLine { .. } => {
-                "give each run of a process a file of its own: one that goes on in the file of a killed one joins \
-                 its half line; else the file is of another version or another kind"
+                "write each run of a process to a file of its own: a run that appends to the file of a killed \
+                 process continues its incomplete line; otherwise the file has another version or format"
             }
-            Spoilt::TooLong { .. } => "name only files that hold histories",
-            Spoilt::Backwards { .. } => "the writer has to take the time of a line under the lock that writes it",
+            Spoilt::TooLong { .. } => "pass only files that contain histories",
+            Spoilt::Backwards { .. } => "the writer must read the clock while it holds the write lock",
         }
     }
 }
 
-struct One {
+struct Source {
     file: String,
     from: Box<dyn BufRead + Send>,
     read: u64,
@@ -47,13 +49,13 @@
     next: Option<Line>,
 }
 
-/// Lines of many files by `at`; each file keeps its own order, and of lines at one time the file named first leads.
-/// It holds one line of each file.
+/// Iterates over the lines of several files, ordered by `at`. Each file keeps its own order; of lines with
+/// equal times, the file named first comes first. Only one line per file is held in memory.
 pub struct Reader {
-    files: Vec<One>,
+    files: Vec<Source>,
     order: BinaryHeap<Reverse<(u64, usize)>>,
     bytes: Vec<u8>,
-    half: u64,
+    partial_lines: u64,
     failed: Option<Spoilt>,
 }
 
@@ -70,14 +72,14 @@
         Reader::of(named)
     }
 
-    /// From what is read elsewhere, each with the name that errors give it.
+    /// Creates a reader from open sources, each with the name that error messages use.
     pub fn of(named: Vec<(String, Box<dyn BufRead + Send>)>) -> Result<Reader, Spoilt> {
-        let files = named.into_iter().map(|(file, from)| One { file, from, read: 0, last: 0, next: None });
+        let files = named.into_iter().map(|(file, from)| Source { file, from, read: 0, last: 0, next: None });
         let mut reader = Reader {
             files: files.collect(),
             order: BinaryHeap::new(),
             bytes: Vec::new(),
-            half: 0,
+            partial_lines: 0,
             failed: None,
         };
         for place in 0..reader.files.len() {
@@ -86,42 +88,42 @@
         Ok(reader)
     }
 
-    /// Last lines that were cut off, so far.
+    /// Number of incomplete last lines so far.
     pub fn half_lines(&self) -> u64 {
-        self.half
+        self.partial_lines
     }
 
     fn advance(&mut self, place: usize) -> Result<(), Spoilt> {
-        let one = &mut self.files[place];
+        let source = &mut self.files[place];
         self.bytes.clear();
-        let read = (&mut one.from).take(LONGEST).read_until(b'\n', &mut self.bytes);
-        let read = read.map_err(|why| Spoilt::Io { file: one.file.clone(), why })?;
+        let read = (&mut source.from).take(MAX_LINE_BYTES).read_until(b'\n', &mut self.bytes);
+        let read = read.map_err(|why| Spoilt::Io { file: source.file.clone(), why })?;
         if read == 0 {
             return Ok(());
         }
-        one.read += 1;
+        source.read += 1;
         let whole = self.bytes.last() == Some(&b'\n');
-        if !whole && read as u64 == LONGEST {
-            return Err(Spoilt::TooLong { file: one.file.clone(), line: one.read });
+        if !whole && read as u64 == MAX_LINE_BYTES {
+            return Err(Spoilt::TooLong { file: source.file.clone(), line: source.read });
         }
         match serde_json::from_slice::<Line>(&self.bytes) {
-            Ok(line) if line.at < one.last => Err(Spoilt::Backwards {
-                file: one.file.clone(),
-                line: one.read,
+            Ok(line) if line.at < source.last => Err(Spoilt::Backwards {
+                file: source.file.clone(),
+                line: source.read,
                 at: line.at,
-                before: one.last,
+                before: source.last,
             }),
             Ok(line) => {
-                one.last = line.at;
+                source.last = line.at;
                 self.order.push(Reverse((line.at, place)));
-                one.next = Some(line);
+                source.next = Some(line);
                 Ok(())
             }
             Err(_) if !whole => {
-                self.half += 1;
+                self.partial_lines += 1;
                 Ok(())
             }
-            Err(why) => Err(Spoilt::NoLine { file: one.file.clone(), line: one.read, why }),
+            Err(why) => Err(Spoilt::NoLine { file: source.file.clone(), line: source.read, why }),
         }
     }
 }
@@ -136,7 +138,7 @@
         }
         let Reverse((_, place)) = self.order.pop()?;
         let line = self.files[place].next.take()?;
-        // What is spoilt after this line must not hide the line itself.
+        // An error after this line must not suppress the line itself.
         self.failed = self.advance(place).err();
         Some(Ok(line))
     }
--- a/crates/histories/src/ready.rs
+++ b/crates/histories/src/ready.rs
@@ -1,14 +1,14 @@
-//! Controllers that were started again, and how long each took to be ready.
+//! Checks how long controllers take to become ready after a restart.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Line, Rule, Verdict, What};
 
-/// Assumes that stand-ins write `Started` when they start a controller's process and `Ready` at its first answer. Each start
-/// that follows a `Died` of the same controller is looked at; the first start of all is no restart. A process that dies before it
-/// is ready is a start that was late.
+/// Assumes that test doubles write `Started` when they start a controller's process and `Ready` at its first
+/// answer. Each start after a `Died` of the same controller is checked; the very first start is not a
+/// restart. A process that dies before it is ready counts as a late start.
 pub struct Readiness {
-    /// How long a restarted process may take, ms.
+    /// Time within which a restarted process has to be ready, ms.
     within: f64,
     died: BTreeSet<String>,
     /// Restarts that are not ready yet.
@@ -29,24 +29,24 @@
         self.last = line.at;
         match line.what {
             What::Died => {
-                self.ends(&line.who, line.at, false);
+                self.start_ended(&line.who, line.at, false);
                 self.died.insert(line.who.clone());
             }
             What::Started if self.died.contains(&line.who) => {
                 self.starting.insert(line.who.clone(), line.clone());
             }
-            What::Ready => self.ends(&line.who, line.at, true),
+            What::Ready => self.start_ended(&line.who, line.at, true),
             _ => {}
         }
     }
 
-    fn ends(&mut self, who: &str, now: u64, ready: bool) {
+    fn start_ended(&mut self, who: &str, now: u64, ready: bool) {
         let Some(started) = self.starting.remove(who) else { return };
         self.verdict.looked += 1;
         let took = (now - started.at) as f64 / 1e6;
         self.slowest = self.slowest.max(took);
         if !ready || took > self.within {
-            let how = if ready { "was ready" } else { "ended and was not ready" };
+            let how = if ready { "was ready" } else { "ended without being ready" };
             let says = format!("{who} {how} {took:.0} ms after its start");
             self.verdict.found(Rule::Ready, now, says, vec![started]);
         }
@@ -57,7 +57,8 @@
         self.slowest
     }
 
-    /// A restart that is not ready at the end counts as late only where its time is over.
+    /// A restart that is not ready at the end of the history counts as late only if its time limit has
+    /// passed.
     pub fn finish(mut self) -> Verdict {
         let starting: Vec<(String, Line)> = std::mem::take(&mut self.starting).into_iter().collect();
         for (who, started) in starting {
@@ -65,7 +66,7 @@
             match over {
                 true => {
                     self.starting.insert(who.clone(), started);
-                    self.ends(&who, self.last, false);
+                    self.start_ended(&who, self.last, false);
                 }
                 false => self.verdict.open += 1,
             }
--- a/crates/histories/src/report.rs
+++ b/crates/histories/src/report.rs
@@ -11,41 +11,42 @@
     What,
 };
 
-/// What has to be so.
+/// The rules that a history is checked against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Proposals, their answers and what stewards hold fit one order of changes.
+    /// Proposals, their answers and what controllers hold are consistent with one order of changes.
     Register,
-    /// No two stewards act under revisions that exclude each other.
+    /// No two controllers act under revisions that exclude each other.
     Exclude,
-    /// Once faults end, every steward holds the same.
+    /// After faults end, all controllers hold the same revision.
     Everywhere,
-    /// Hosts serve, and tables allow, only what is permitted.
+    /// Hosts serve, and tables allow, only what the revisions permit.
     Reach,
-    /// Grants never add up to more than there is.
+    /// The sum of grants never exceeds the capacity.
     Grants,
-    /// A tenant gets its guarantee back in time.
+    /// A tenant gets its guaranteed rate back in time.
     Guarantee,
-    /// A once-only txn is served once at the most.
+    /// A non-idempotent txn is served at most once.
     OnceOnly,
     /// Each txn has one final answer.
     Answers,
-    /// A proxy may send to a host for longer than the grace after the notice of its drain.
+    /// No proxy may send to a host for longer than the grace after the drain notice.
     Drains,
-    /// A proxy has no host to pick for too long while its controller lists one as ready.
+    /// No proxy is without a usable host for too long while its controller lists one as ready.
     NoHost,
-    /// A controller that was started again is ready too late.
+    /// A restarted controller is ready in time.
     Ready,
-    /// A controller's relay got a call after the controller's end.
+    /// A controller's relay receives no call after the controller's end.
     AfterEnd,
-    /// A call was written after its lease was over. Counted apart: the note says why it can't be excluded.
+    /// A call was written after its lease had ended. Counted separately; the documentation of [`crate::Late`]
+    /// says why such calls cannot be excluded.
     Late,
 }
 
 impl Rule {
-    /// Those that [`Judge`] looks at. [`crate::Drains`], [`crate::NoHost`], [`crate::Readiness`] and
-    /// [`crate::CallsAfterEnd`] are checks of their own, with bounds of their own.
+    /// The rules that [`Judge`] checks. [`crate::Drains`], [`crate::NoHost`], [`crate::Readiness`] and
+    /// [`crate::CallsAfterEnd`] are separate checks with their own bounds.
     pub const ALL: [Rule; 9] = [
         Rule::Register,
         Rule::Exclude,
@@ -77,34 +78,35 @@
     }
 }
 
-/// What was found, with the lines that prove it.
+/// A violation of a rule, with the lines that prove it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
     pub rule: Rule,
-    /// When it showed, ns.
+    /// When the violation became visible, ns.
     pub at: u64,
     pub says: String,
     pub witness: Vec<Line>,
 }
 
-/// What a check has to say at the end.
+/// The result of one check.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
     pub violations: Vec<Violation>,
-    /// Found beyond those that are kept.
+    /// Number of violations beyond those that are kept.
     pub more: u64,
-    /// How many cases were looked at; none: the history says nothing on this.
+    /// Number of cases examined; 0 means that the history has no evidence on this rule.
     pub looked: u64,
-    /// Cases that could not be judged.
+    /// Number of cases that could not be judged.
     pub open: u64,
 }
 
-/// A fleet that is wrong everywhere must not fill the memory with witnesses.
-const KEPT: usize = 200;
+/// Maximum number of violations kept for each check, so that a history full of violations does not fill the
+/// memory.
+const MAX_VIOLATIONS: usize = 200;
 
 impl Verdict {
     pub(crate) fn found(&mut self, rule: Rule, at: u64, says: String, witness: Vec<Line>) {
-        match self.violations.len() < KEPT {
+        match self.violations.len() < MAX_VIOLATIONS {
             true => self.violations.push(Violation { rule, at, says, witness }),
             false => self.more += 1,
         }
@@ -115,27 +117,30 @@
     }
 }
 
-/// What the caller promises; ms.
+/// Time limits that the system under test has to keep; ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// From the end of faults, or from a proposal without any, until all stewards hold the same.
+    /// From the end of faults, or from a proposal if there are no faults, until all controllers hold the same
+    /// revision.
     pub everywhere: f64,
-    /// From a proxy's choice of a host until the host begins to serve, or until a table that no longer holds is
-    /// replaced.
+    /// From a proxy's choice of a host until the host starts to serve, or until a table that is no longer
+    /// permitted is replaced.
     pub transit: f64,
-    /// The longest time that a client waits; a txn asked in the last so many ms may have no answer.
+    /// The longest time that a client waits. A txn requested less than this before the end may have no
+    /// answer.
     pub answer: f64,
-    /// Until the one who grants has heard of a new capacity.
+    /// Until the lease holder that issues grants has received a new capacity.
     pub heard: f64,
-    /// The longest that a grant may be in force.
+    /// The longest time that a grant may be in force.
     pub runs_out: f64,
-    /// Guarantees count while faults last too.
+    /// Guarantees are checked during faults too.
     pub guarantees_in_faults: bool,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        // The rig's leases last 1 s and its clients give up after 2 s; what runs slower says so.
+        // Leases in the fault-injection harness last 1 s and its clients time out after 2 s; slower systems
+        // set larger bounds.
         Bounds {
             everywhere: 10_000.0,
             transit: 100.0,
@@ -155,18 +160,18 @@
 pub struct Report {
     pub events: u64,
     pub half_lines: u64,
-    /// Lines of each kind.
+    /// Number of lines by kind.
     pub kinds: BTreeMap<&'static str, u64>,
     pub verdicts: BTreeMap<Rule, Verdict>,
 }
 
 impl Report {
-    /// No rule is broken. Late calls are no breach.
+    /// Whether no rule is violated. Late calls are not violations.
     pub fn clean(&self) -> bool {
         self.violations() == 0
     }
 
-    /// All breaches found, late calls apart.
+    /// Number of violations, not counting late calls.
     pub fn violations(&self) -> u64 {
         self.verdicts.iter().filter(|(rule, _)| **rule != Rule::Late).map(|(_, of)| of.count()).sum()
     }
@@ -184,7 +189,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "{} events, {} half lines, {} breaches",
+            "{} events, {} incomplete lines, {} violations",
             self.events,
             self.half_lines,
             self.violations()
@@ -193,9 +198,9 @@
             let (name, looked, open) = (rule.name(), of.looked, of.open);
             writeln!(f, "  {name:<11} found {:>4} in {looked} cases, {open} not judged", of.count())?;
         }
-        /// Enough to see what is wrong; the whole stands in the JSON.
-        const SHOWN: usize = 3;
-        for violation in self.verdicts.values().flat_map(|of| of.violations.iter().take(SHOWN)) {
+        /// Violations printed for each rule; the JSON report has all that were kept.
+        const SHOWN_PER_RULE: usize = 3;
+        for violation in self.verdicts.values().flat_map(|of| of.violations.iter().take(SHOWN_PER_RULE)) {
             writeln!(
                 f,
                 "{}: at {:.3} ms: {}",
@@ -211,7 +216,7 @@
     }
 }
 
-/// All checks at once over one history.
+/// Runs all checks of [`Rule::ALL`] over one history.
 pub struct Judge {
     events: u64,
     kinds: [u64; KINDS.len()],
@@ -308,7 +313,7 @@
     "called",
 ];
 
-/// The place among the kinds, and its name.
+/// The index in `KINDS` and the name.
 fn kind(what: &What) -> (usize, &'static str) {
     let place = match what {
         What::Revision { .. } => 0,
@@ -340,14 +345,14 @@
     (place, KINDS[place])
 }
 
-/// Judges lines that come in the order of `at`.
+/// Checks lines, which have to be in the order of `at`.
 pub fn judge(lines: impl IntoIterator<Item = Line>, bounds: &Bounds) -> Report {
     let mut judge = Judge::new(bounds);
     lines.into_iter().for_each(|line| judge.feed(&line));
     judge.finish(0)
 }
 
-/// Judges files as they are read; what is spoilt ends it.
+/// Checks files while reading them; stops at the first unreadable line.
 pub fn judge_files(paths: &[impl AsRef<Path>], bounds: &Bounds) -> Result<Report, Spoilt> {
     let mut reader = Reader::open(paths)?;
     let mut judge = Judge::new(bounds);
