--- a/crates/histories/src/everywhere.rs
+++ b/crates/histories/src/everywhere.rs
@@ -1,20 +1,22 @@
-//! A change takes hold everywhere or nowhere, once faults end.
+//! Checks that after faults end, a change is in force at every controller or at none.
 
 use std::collections::BTreeMap;
 
 use crate::report::ns;
 use crate::{Held, Line, Outcome, Rule, Verdict, What};
 
-/// Looks at the moment that lies the bound after the last disturbance (a fault, its end, a proposal, a steward seen
-/// for the first time or gone) and at the end of the history, if nothing disturbed since and faults are `Healed`: then
-/// every steward that lives holds one and the same revision alone, or nothing, within a lease that runs; and it is
-/// none below the highest that was answered to be in force.
+/// Checks two moments: the one that follows the last disturbance by the bound (a disturbance is a fault, its
+/// end, a proposal, or a controller seen for the first time or ended), and the end of the history if nothing
+/// disturbed since and faults are `Healed`. At these moments every live controller holds the same single
+/// revision alone, or nothing, under an unexpired lease, and none holds a lower revision than the highest
+/// that was answered to be in force.
 ///
-/// Where the next disturbance comes sooner than that, or the history ends, it is enough that all hold the same by then;
-/// where they don't, the case stays open.
+/// If the next disturbance or the end of the history comes before the bound has passed, the case passes if
+/// all controllers hold the same by then; otherwise it stays open.
 ///
-/// A steward lives from its first line until `Died`. Assumes that who ends the processes at the end of a run writes
-/// `Fault` or `Died` before, or that the history ends before they let go.
+/// A controller is live from its first line until `Died`. Assumes that whoever stops the processes at the end
+/// of a run writes `Fault` or `Died` before, or that the history ends before the controllers release their
+/// leases.
 pub struct Everywhere {
     bound: u64,
     live: BTreeMap<String, Option<(Held, u64, Line)>>,
@@ -27,7 +29,7 @@
 }
 
 impl Everywhere {
-    /// The time within which all hold the same, in ms.
+    /// `bound` is the time within which all controllers have to hold the same, in ms.
     pub fn new(bound: f64) -> Everywhere {
         Everywhere {
             bound: ns(bound),
@@ -45,7 +47,7 @@
         let due = self.disturbed + self.bound;
         if !self.broken && !self.judged && line.at > due {
             self.judged = true;
-            self.look(due);
+            self.check(due);
         }
         if self.disturbs(line) {
             self.ends_early(line.at);
@@ -61,7 +63,7 @@
             }
             _ => {}
         }
-        if !is_steward(line) {
+        if !is_controller(line) {
             return;
         }
         match &line.what {
@@ -78,12 +80,12 @@
     fn disturbs(&self, line: &Line) -> bool {
         match line.what {
             What::Fault { .. } | What::Healed | What::Proposed { .. } => true,
-            What::Died => is_steward(line),
-            _ => is_steward(line) && !self.live.contains_key(&line.who),
+            What::Died => is_controller(line),
+            _ => is_controller(line) && !self.live.contains_key(&line.who),
         }
     }
 
-    /// What comes now ends the time in which all had to come to hold the same, before it was over.
+    /// Counts the case when a disturbance or the end of the history cuts the bound short.
     fn ends_early(&mut self, at: u64) {
         if self.broken || self.judged || self.live.is_empty() {
             return;
@@ -94,7 +96,7 @@
         }
     }
 
-    fn look(&mut self, at: u64) {
+    fn check(&mut self, at: u64) {
         self.verdict.looked += 1;
         for (says, witness) in self.problems(at) {
             self.verdict.found(Rule::Everywhere, at, says, witness);
@@ -108,17 +110,17 @@
             let (held, line) = match holds {
                 Some((held, until, line)) if *until > at => (*held, line),
                 Some((_, _, line)) => {
-                    found.push((format!("{who} holds nothing: its lease is over"), vec![line.clone()]));
+                    found.push((format!("{who} holds nothing: its lease has expired"), vec![line.clone()]));
                     continue;
                 }
                 None => {
-                    found.push((format!("{who} lives and holds nothing"), vec![]));
+                    found.push((format!("{who} is running and holds nothing"), vec![]));
                     continue;
                 }
             };
             let no = match held {
                 Held::Joint { .. } => {
-                    found.push((format!("{who} is still between two revisions"), vec![line.clone()]));
+                    found.push((format!("{who} still holds two revisions jointly"), vec![line.clone()]));
                     continue;
                 }
                 Held::Alone { no } => Some(no),
@@ -127,7 +129,7 @@
             if let Some((highest, answer)) = self.highest.as_ref().filter(|(highest, _)| no < Some(*highest))
             {
                 let says =
-                    format!("revision {highest} was said to be in force and {who} holds an earlier one");
+                    format!("revision {highest} was answered to be in force and {who} holds an earlier one");
                 found.push((says, vec![answer.clone(), line.clone()]));
             }
             match first {
@@ -145,13 +147,13 @@
     pub fn finish(mut self) -> Verdict {
         let quiet = !self.broken && self.end >= self.disturbed + self.bound;
         match quiet {
-            true => self.look(self.end),
+            true => self.check(self.end),
             false => self.ends_early(self.end),
         }
         self.verdict
     }
 }
 
-fn is_steward(line: &Line) -> bool {
+fn is_controller(line: &Line) -> bool {
     line.who.starts_with("steward:")
 }
--- a/crates/histories/src/exclude.rs
+++ b/crates/histories/src/exclude.rs
@@ -5,16 +5,16 @@
 use crate::names::Names;
 use crate::{Held, Line, Rule, Verdict, What};
 
-/// Follows point 4 of the proof in `docs/fleet-policy.md`: a controller that acts on A alone stays within {A}; one that
-/// acts on joint(A, B) stays within both A and B, written {A, B}; "nothing in force" counts as a separate revision that
-/// permits everything. Controllers exclude each other if no single revision is in the sets of all of them: A alone
-/// with B alone, A alone with joint(B, C), joint(A, B) with joint(C, D), and also joint(A, B), joint(B, C) and
-/// joint(A, C) at once, where each pair alone would be compatible.
+/// Follows point 4 of the proof in `docs/fleet-policy.md`: a controller that acts on A alone stays within
+/// {A}; one that acts on joint(A, B) stays within both A and B, written {A, B}; "nothing in force" counts as
+/// a separate revision that permits everything. Controllers exclude each other if no single revision is in
+/// the sets of all of them: A alone with B alone, A alone with joint(B, C), joint(A, B) with joint(C, D), and
+/// also joint(A, B), joint(B, C) and joint(A, C) at once, where each pair alone would be compatible.
 ///
-/// A controller acts from its `Holds` line until its next one, `LetGo`, `until` or `Died`, whichever is first. This
-/// assumes that `until` is on the machine's clock and that the end of a killed process is reported by `Died`. Two runs
-/// under one name are two controllers. Of lines at the same time, those that end a hold are applied before those that
-/// start one.
+/// A controller acts from its `Holds` line until its next one, `LetGo`, `until` or `Died`, whichever is
+/// first. This assumes that `until` is on the machine's clock and that the end of a killed process is
+/// reported by `Died`. Two runs under one name are two controllers. Of lines at the same time, those that end
+/// a hold are applied before those that start one.
 #[derive(Default)]
 pub struct Exclude {
     names: Names,
--- a/crates/histories/src/guarantee.rs
+++ b/crates/histories/src/guarantee.rs
@@ -1,4 +1,4 @@
-//! A tenant gets its guarantee back in time.
+//! Checks that a tenant gets its guaranteed rate back in time.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,56 +6,64 @@
 use crate::report::ns;
 use crate::{End, Line, Rule, Verdict, What};
 
-/// Time is cut into slots. In a slot a tenant is below its guarantee in a zone if it asked for as much there (by
-/// `Asked` with that home) and less was let in (`Served` for the first time, or `Final` voided); it is so for too long
-/// if that many slots in a row say so that the time below must be longer than `back_within`, wherever in the first and
-/// the last of them it began and ended. Slots count only while capacity stands: the zone's last `Capacity` carries all
-/// guarantees of the zone; and, unless the caller wants it otherwise, while nothing is broken.
+/// Divides time into slots. In a slot a tenant is below its guarantee in a zone if its demand there was at
+/// least the guarantee (`Asked` with that home) and fewer txns were admitted (first `Served`, or `Final` with
+/// `Voided`, a failed txn). It is below for too long if so many consecutive slots are below that the time
+/// must exceed `back_within`, wherever in the first and the last slot it started and ended. Slots count only
+/// while the last `Capacity` of the zone is at least the sum of all guarantees of the zone and, unless the
+/// caller includes faults, while no fault is active.
 ///
-/// Assumes that the tenant's `Asked` names the tenant, and that the guarantee's zone is the home of the proxies at
-/// which the tenant asks. What it can't see: a shortfall of less than a fifth, since txns come by chance and those in
-/// hand at a slot's end are served in the next; one of less than that and three deviations of all slots in a row (a half
-/// of what is due where that is 80 txns, a third at 300); and one that ends within a slot or two after `back_within`.
+/// Assumes that `Asked` names the tenant, and that the zone of the guarantee is the home of the proxies that
+/// receive the tenant's requests. The check does not detect:
+/// - a shortfall of less than a fifth, since arrivals are random and txns in flight at the end of a slot are
+///   served in the next;
+/// - a shortfall within three standard deviations over all consecutive slots (half of the guaranteed txns
+///   where that is 80, a third at 300);
+/// - a shortfall that ends within one or two slots after `back_within`.
 pub struct Guarantees {
     in_faults: bool,
     names: Names,
-    /// By zone and tenant.
-    of: BTreeMap<(u32, u32), Of>,
+    /// Guarantees by zone and tenant.
+    of: BTreeMap<(u32, u32), Tracker>,
     capacity: HashMap<u32, f64>,
     waiting: HashMap<u64, (u32, u32)>,
     broken: bool,
     verdict: Verdict,
 }
 
-struct Of {
+struct Tracker {
     per_s: f64,
     within: u64,
     slot: u64,
-    /// When the slot under way began.
+    /// Start of the current slot, ns.
     from: u64,
     asked: u64,
-    let_in: u64,
-    /// The slot under way is one that counts.
+    admitted: u64,
+    /// Whether the current slot counts.
     counts: bool,
-    /// When the first of the slots in a row began, how many they are, and what was let in over them.
+    /// Of the consecutive slots below the guarantee: start of the first, number of slots, and txns admitted
+    /// in them.
     below: Option<(u64, u64, u64)>,
-    told: bool,
+    reported: bool,
     line: Line,
     capacity: Option<Line>,
 }
 
-/// Slots in `back_within`: more find a shortfall sooner, and each is less sure.
-const SLOTS: u64 = 8;
-/// Txns that a slot lasts for at the least: with fewer, chance alone makes one fall short.
-const TXNS: f64 = 20.0;
-/// Of the guarantee, what counts as let in: txns in hand and chance take the rest.
-const ENOUGH: f64 = 0.8;
-/// Of what was let in over all slots in a row: deviations that chance may take. One that has just its guarantee, with all
-/// that steps of shares and txns in hand cost it, has four slots in a row below by chance once in a hundred runs.
-const BY_CHANCE: f64 = 3.0;
+/// Number of slots in `back_within`. More slots detect a shortfall sooner, but make the result of each slot
+/// less certain.
+const SLOTS_PER_LIMIT: u64 = 8;
+/// Minimum number of guaranteed txns for which a slot lasts: with fewer, random arrivals alone make a slot
+/// fall short.
+const MIN_TXNS_PER_SLOT: f64 = 20.0;
+/// Fraction of the guarantee that counts as met; the rest covers txns in flight and random arrivals.
+const ADMITTED_FRACTION: f64 = 0.8;
+/// Standard deviations of the txns admitted over all consecutive slots that are attributed to chance. With a
+/// tenant that gets exactly its guarantee, less the losses from quota steps and txns in flight, four
+/// consecutive slots are below by chance once in a hundred runs.
+const CHANCE_DEVIATIONS: f64 = 3.0;
 
 impl Guarantees {
-    /// Whether slots while something is broken count too.
+    /// `in_faults`: whether slots during faults count too.
     pub fn new(in_faults: bool) -> Guarantees {
         Guarantees {
             in_faults,
@@ -72,8 +80,8 @@
         match &line.what {
             What::Guarantee { tenant, zone, per_s, back_within } => {
                 let key = (self.names.of(zone), self.names.of(tenant));
-                self.promise(key, *per_s, *back_within, line);
-                self.stands(line);
+                self.add_guarantee(key, *per_s, *back_within, line);
+                self.update_counting(line);
             }
             What::Capacity { zone, per_s } => {
                 let zone = self.names.of(zone);
@@ -81,21 +89,21 @@
                 for (_, of) in self.of.range_mut((zone, 0)..=(zone, u32::MAX)) {
                     of.capacity = Some(line.clone());
                 }
-                self.stands(line);
+                self.update_counting(line);
             }
             What::Fault { .. } | What::Healed => {
                 self.broken = matches!(line.what, What::Fault { .. });
-                self.stands(line);
+                self.update_counting(line);
             }
             What::Asked { txn, home, tenant: Some(tenant), .. } => {
                 let key = (self.names.of(home), self.names.of(tenant));
                 let Some(of) = self.of.get_mut(&key) else { return };
-                of.pass(line.at, &mut self.verdict);
+                of.advance(line.at, &mut self.verdict);
                 of.asked += 1;
                 self.waiting.insert(*txn, key);
             }
-            What::Served { txn, .. } => self.let_in(*txn, line.at),
-            What::Final { txn, end: End::Voided } => self.let_in(*txn, line.at),
+            What::Served { txn, .. } => self.admitted(*txn, line.at),
+            What::Final { txn, end: End::Voided } => self.admitted(*txn, line.at),
             What::Final { txn, .. } => drop(self.waiting.remove(txn)),
             _ => {}
         }
@@ -105,18 +113,18 @@
         self.verdict
     }
 
-    fn promise(&mut self, key: (u32, u32), per_s: f64, within: u64, line: &Line) {
-        let slot = (within / SLOTS).max(ns(1e3 * TXNS / per_s.max(1e-3))).max(1);
-        let of = Of {
+    fn add_guarantee(&mut self, key: (u32, u32), per_s: f64, within: u64, line: &Line) {
+        let slot = (within / SLOTS_PER_LIMIT).max(ns(1e3 * MIN_TXNS_PER_SLOT / per_s.max(1e-3))).max(1);
+        let of = Tracker {
             per_s,
             within,
             slot,
             from: line.at,
             asked: 0,
-            let_in: 0,
+            admitted: 0,
             counts: false,
             below: None,
-            told: false,
+            reported: false,
             line: line.clone(),
             capacity: None,
         };
@@ -126,47 +134,47 @@
         };
     }
 
-    /// Whether slots count has changed: those under way count no more.
-    fn stands(&mut self, line: &Line) {
+    /// Updates whether slots count. Where that changes, the current slots are discarded.
+    fn update_counting(&mut self, line: &Line) {
         let mut promised: BTreeMap<u32, f64> = BTreeMap::new();
         self.of.iter().for_each(|((zone, _), of)| *promised.entry(*zone).or_default() += of.per_s);
         for ((zone, _), of) in &mut self.of {
-            of.pass(line.at, &mut self.verdict);
+            of.advance(line.at, &mut self.verdict);
             let stands = self.capacity.get(zone).is_none_or(|capacity| *capacity >= promised[zone]);
             let counts = stands && (self.in_faults || !self.broken);
             if counts != of.counts {
-                of.anew(line.at, counts);
+                of.restart(line.at, counts);
             }
         }
     }
 
-    fn let_in(&mut self, txn: u64, at: u64) {
+    fn admitted(&mut self, txn: u64, at: u64) {
         let of = self.waiting.remove(&txn).and_then(|key| self.of.get_mut(&key));
         if let Some(of) = of {
-            of.pass(at, &mut self.verdict);
-            of.let_in += 1;
+            of.advance(at, &mut self.verdict);
+            of.admitted += 1;
         }
     }
 }
 
-impl Of {
-    fn anew(&mut self, at: u64, counts: bool) {
+impl Tracker {
+    fn restart(&mut self, at: u64, counts: bool) {
         (self.from, self.counts) = (at, counts);
-        (self.asked, self.let_in, self.below, self.told) = (0, 0, None, false);
+        (self.asked, self.admitted, self.below, self.reported) = (0, 0, None, false);
     }
 
-    /// Ends the slots that are over.
-    fn pass(&mut self, to: u64, verdict: &mut Verdict) {
+    /// Ends the slots that have passed by `to`.
+    fn advance(&mut self, to: u64, verdict: &mut Verdict) {
         if !self.counts {
             self.from = to;
-            (self.asked, self.let_in) = (0, 0);
+            (self.asked, self.admitted) = (0, 0);
             return;
         }
         while self.from + self.slot <= to {
-            self.ends(verdict);
+            self.end_slot(verdict);
             self.from += self.slot;
-            (self.asked, self.let_in) = (0, 0);
-            // Nothing was asked since: no slot up to now can be below.
+            (self.asked, self.admitted) = (0, 0);
+            // There was no demand since, so no later slot up to now can be below.
             let empty = (to - self.from) / self.slot;
             if empty > 0 {
                 (self.from, self.below) = (self.from + empty * self.slot, None);
@@ -174,34 +182,34 @@
         }
     }
 
-    fn ends(&mut self, verdict: &mut Verdict) {
+    fn end_slot(&mut self, verdict: &mut Verdict) {
         let due = self.per_s * self.slot as f64 / 1e9;
         if (self.asked as f64) < due {
             self.below = None;
             return;
         }
         verdict.looked += 1;
-        if self.let_in as f64 >= ENOUGH * due {
-            (self.below, self.told) = (None, false);
+        if self.admitted as f64 >= ADMITTED_FRACTION * due {
+            (self.below, self.reported) = (None, false);
             return;
         }
-        let (since, slots, let_in) = self.below.unwrap_or((self.from, 0, 0));
-        let let_in = let_in + self.let_in;
-        self.below = Some((since, slots + 1, let_in));
-        // The first and the last may be below in part only.
-        let surely = slots.saturating_sub(1) * self.slot;
-        let enough = ENOUGH * due * (slots + 1) as f64;
-        let by_chance = let_in as f64 > enough - BY_CHANCE * enough.sqrt();
-        if surely <= self.within || by_chance || self.told {
+        let (since, slots, admitted) = self.below.unwrap_or((self.from, 0, 0));
+        let admitted = admitted + self.admitted;
+        self.below = Some((since, slots + 1, admitted));
+        // The first and the last slot may be below for a part of their length only.
+        let certainly_below = slots.saturating_sub(1) * self.slot;
+        let enough = ADMITTED_FRACTION * due * (slots + 1) as f64;
+        let by_chance = admitted as f64 > enough - CHANCE_DEVIATIONS * enough.sqrt();
+        if certainly_below <= self.within || by_chance || self.reported {
             return;
         }
-        self.told = true;
-        let (tenant, zone) = promised(&self.line);
+        self.reported = true;
+        let (tenant, zone) = guaranteed(&self.line);
         let now = self.from + self.slot;
         let says = format!(
-            "{tenant} is below its guarantee in {zone} for {:.0} ms: {} let in of {} asked in the last {:.0} ms",
+            "{tenant} is below its guarantee in {zone} for {:.0} ms: {} of {} txns admitted in the last {:.0} ms",
             (now - since) as f64 / 1e6,
-            self.let_in,
+            self.admitted,
             self.asked,
             self.slot as f64 / 1e6
         );
@@ -210,8 +218,8 @@
     }
 }
 
-/// The tenant and the zone.
-fn promised(line: &Line) -> (&str, &str) {
+/// The tenant and the zone of a `Guarantee` line.
+fn guaranteed(line: &Line) -> (&str, &str) {
     match &line.what {
         What::Guarantee { tenant, zone, .. } => (tenant, zone),
         _ => ("", ""),
--- a/crates/histories/src/lib.rs
+++ b/crates/histories/src/lib.rs
@@ -1,6 +1,6 @@
 //! Checks histories after a run. Processes and test doubles write events as lines of JSON; the checks return
-//! verdicts with the lines that prove each violation. The crate is independent of the code under test: it imports
-//! neither the decision logic nor the network front ends.
+//! verdicts with the lines that prove each violation. The crate is independent of the code under test: it
+//! imports neither the decision logic nor the network front ends.
 //!
 //! ```no_run
 //! # use amberarch_histories::{judge_files, Bounds};
@@ -9,10 +9,10 @@
 //! # Ok::<(), amberarch_histories::Spoilt>(())
 //! ```
 //!
-//! Each check is a struct with `feed` and `finish`. It reads the merged lines once, in order of time, and documents
-//! its assumptions. No check reports something that may be correct: if the lines allow several orders of events, one
-//! correct order is enough. Cases that a check examined or could not judge are counted, so that a history without
-//! relevant events does not pass for a correct one.
+//! Each check is a struct with `feed` and `finish`. It reads the merged lines once, in order of time, and
+//! documents its assumptions. No check reports something that may be correct: if the lines allow several
+//! orders of events, one correct order is enough. Cases that a check examined or could not judge are counted,
+//! so that a history without relevant events does not pass for a correct one.
 
 mod after_end;
 mod answers;
--- a/crates/histories/src/reach.rs
+++ b/crates/histories/src/reach.rs
@@ -1,4 +1,4 @@
-//! Hosts serve, and tables allow, only what is permitted.
+//! Checks that hosts serve, and tables allow, only what the revisions permit.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -6,38 +6,41 @@
 use crate::report::ns;
 use crate::{Held, Line, Outcome, Permits, Rule, Verdict, What};
 
-/// A revision is in force from the first line that proves it: a steward holds it alone, or as the old one of a joint
-/// stage (of two changes in quick succession nobody need have held the first alone), or its proposal was answered so.
-/// Before that line the one in force before it is what binds: who goes by what only the new one allows does so
-/// under orders that a steward gave while it held the new one alone, and wrote that down first. Between the two, when
-/// the new one may be in force and no line proves it, what only the old one allows passes too; the lines do not tell
-/// when the proxies had narrowed.
+/// A revision counts as in force from the first line that proves it: a controller holds it alone, or as the
+/// old revision of a joint stage (of two changes in quick succession no controller may have held the first
+/// alone), or its proposal was answered to be in force. Before that line the previous revision counts: a
+/// proxy that uses what only the new one permits does so under orders of a controller that already holds the
+/// new one alone, and that controller wrote this down first. While the new revision may be in force but no
+/// line proves it, what only the old one permits is accepted too, since the lines do not show when the
+/// proxies narrowed their tables.
 ///
-/// A host may begin to serve up to the transit allowance after the proxy chose it, and a table may be that much late;
-/// so what was permitted at any time within the allowance before is right. A proxy that `Died` has no table.
+/// A host may start to serve up to the transit allowance after the proxy chose it, and a table may be late by
+/// as much. So everything permitted at some time within the allowance before is accepted. A proxy that `Died`
+/// has no table.
 ///
-/// Assumes that `Revision` says what it permits before it is proposed, that a pair that it does not name is not
-/// governed, and that names of products, homes and zones are the same in all lines. A txn served that nobody asked for
-/// is a matter of [`crate::Answers`], and not judged here.
+/// Assumes that `Revision` states what a revision permits before it is proposed, that a pair that it does not
+/// name is not governed, and that names of classes, homes and zones are the same in all lines. A txn that is
+/// served but was never requested is covered by [`crate::Answers`] and not judged here.
 pub struct Reach {
     transit: u64,
     names: Names,
     permits: HashMap<u64, (HashMap<Pair, BTreeSet<u32>>, Line)>,
     proven: Option<u64>,
-    /// Since when each revision was proven, the last one last, with the line; as far back as the allowance reaches.
+    /// Proven revisions with the time and line of the proof, oldest first, as far back as the allowance
+    /// reaches.
     since: VecDeque<(u64, Option<u64>, Option<Line>)>,
     asked: HashMap<u64, Ask>,
-    /// Txns whose answer has come, to be forgotten after a time.
+    /// Answered txns with the time of the answer; removed after `REMEMBERED_MS`.
     ended: VecDeque<(u64, u64)>,
     tables: BTreeMap<(u32, Pair), Table>,
-    /// Tables that have to be gone by then: when, whose, and the line's time.
+    /// Tables that have to be replaced: deadline, proxy and pair, and the time of the table line.
     due: VecDeque<(u64, (u32, Pair), u64)>,
     unknown: BTreeSet<u64>,
     now: u64,
     verdict: Verdict,
 }
 
-/// Product and home.
+/// Request class and home zone.
 type Pair = (u32, u32);
 
 struct Ask {
@@ -53,11 +56,12 @@
     line: Line,
 }
 
-/// A host that serves a txn so long after its answer came to the client was cut off for longer than any transit.
-const REMEMBERED: f64 = 60_000.0;
+/// How long an answered txn is remembered, ms. A host that serves a txn later than this was disconnected for
+/// longer than any transit.
+const REMEMBERED_MS: f64 = 60_000.0;
 
 impl Reach {
-    /// The transit allowance, in ms.
+    /// `transit` is the transit allowance in ms.
     pub fn new(transit: f64) -> Reach {
         Reach {
             transit: ns(transit),
@@ -76,16 +80,16 @@
     }
 
     pub fn feed(&mut self, line: &Line) {
-        self.pass(line.at);
+        self.advance(line.at);
         match &line.what {
             What::Revision { no, permits } => {
                 let zones = permits.iter().map(|of| self.permit(of)).collect();
                 self.permits.insert(*no, (zones, line.clone()));
             }
             What::Holds { holds: Held::Alone { no } | Held::Joint { old: Some(no), .. }, .. } => {
-                self.proves(*no, line);
+                self.prove(*no, line);
             }
-            What::Answered { no, outcome: Outcome::InForce, .. } => self.proves(*no, line),
+            What::Answered { no, outcome: Outcome::InForce, .. } => self.prove(*no, line),
             What::Tables { product, home, zones } => {
                 let pair = (self.names.of(product), self.names.of(home));
                 let zones = zones.iter().map(|zone| self.names.of(zone)).collect();
@@ -116,7 +120,7 @@
     }
 
     pub fn finish(mut self) -> Verdict {
-        self.pass(self.now + 1);
+        self.advance(self.now + 1);
         self.verdict.open += self.due.len() as u64;
         self.verdict
     }
@@ -126,29 +130,29 @@
         (pair, of.zones.iter().map(|zone| self.names.of(zone)).collect())
     }
 
-    fn pass(&mut self, to: u64) {
+    fn advance(&mut self, to: u64) {
         self.now = to;
         while self.due.front().is_some_and(|(due, ..)| *due < to) {
             let Some((due, key, since)) = self.due.pop_front() else { break };
             let Some(table) = self.tables.get(&key).filter(|table| table.line.at == since) else { continue };
             if !self.permitted(key.1, &table.zones, due) {
                 let witness = self.witness([table.line.clone()]);
-                let says = format!("{} goes by a table that no revision in force permits", table.line.who);
+                let says = format!("{} still uses a table that no revision in force permits", table.line.who);
                 self.verdict.found(Rule::Reach, due, says, witness);
             }
         }
-        // The one that was in force when the allowance began has to stay.
+        // The revision that was in force at the start of the allowance stays.
         while self.since.get(1).is_some_and(|(from, ..)| from + self.transit < to) {
             self.since.pop_front();
         }
-        while self.ended.front().is_some_and(|(at, _)| at + ns(REMEMBERED) < to) {
+        while self.ended.front().is_some_and(|(at, _)| at + ns(REMEMBERED_MS) < to) {
             if let Some((_, txn)) = self.ended.pop_front() {
                 self.asked.remove(&txn);
             }
         }
     }
 
-    /// Whether one revision that was in force within the allowance before permits all of these zones.
+    /// Whether one of the revisions in force within the allowance before `at` permits all of these zones.
     fn permitted(&self, pair: Pair, zones: &BTreeSet<u32>, at: u64) -> bool {
         let mut until = u64::MAX;
         self.since.iter().rev().any(|(from, no, _)| {
@@ -163,7 +167,7 @@
         permits.is_none_or(ask)
     }
 
-    /// The revisions that bound at that time, with what proved them, and then the lines.
+    /// The revisions that counted at that time with their proofs, followed by the given lines.
     fn witness(&self, lines: impl IntoIterator<Item = Line>) -> Vec<Line> {
         let mut all = Vec::new();
         for (_, no, proof) in &self.since {
@@ -174,15 +178,15 @@
         all
     }
 
-    fn proves(&mut self, no: u64, line: &Line) {
-        // An answer may come after the next one is in force; numbers rise.
+    fn prove(&mut self, no: u64, line: &Line) {
+        // An answer may arrive after the next revision is in force. Numbers only rise.
         if self.proven >= Some(no) {
             return;
         }
         self.proven = Some(no);
         self.since.push_back((line.at, Some(no), Some(line.clone())));
         if !self.permits.contains_key(&no) && self.unknown.insert(no) {
-            let says = format!("nobody said what revision {no} permits, and it is in force");
+            let says = format!("revision {no} is in force, but no line says what it permits");
             self.verdict.found(Rule::Reach, line.at, says, vec![line.clone()]);
         }
         let by = line.at + self.transit;
@@ -199,10 +203,10 @@
         let at = table.line.at;
         if !self.permitted(pair, &table.zones, at) {
             let witness = self.witness([table.line.clone()]);
-            let says = format!("{} takes a table that no revision in force permits", table.line.who);
+            let says = format!("{} installs a table that no revision in force permits", table.line.who);
             self.verdict.found(Rule::Reach, at, says, witness);
         } else if !self.allows(self.proven, pair, |permits| table.zones.is_subset(permits)) {
-            // Right as yet, by the allowance alone.
+            // Accepted for now, because of the allowance alone.
             let by = self.since.back().map_or(at, |(from, ..)| from + self.transit);
             self.due.push_back((by, (who, pair), at));
         }
@@ -228,7 +232,7 @@
         };
         let asked = Line { at: ask.at, who: name(ask.who), what };
         let witness = self.witness([asked, line.clone()]);
-        let says = format!("{} serves txn {txn}, which no revision in force permits it", line.who);
+        let says = format!("{} serves txn {txn}, which no revision in force permits", line.who);
         self.verdict.found(Rule::Reach, line.at, says, witness);
     }
 }
--- a/crates/histories/src/register.rs
+++ b/crates/histories/src/register.rs
@@ -1,4 +1,4 @@
-//! Proposals, their answers and what stewards hold fit one order of changes.
+//! Checks that proposals, their answers and what controllers hold are consistent with one order of changes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -6,36 +6,39 @@
 use crate::names::Names;
 use crate::{Held, Line, Outcome, Rule, Verdict, What};
 
-/// The object is a register of revisions: one is in force (or none), at most one is under way, and each number that
-/// is taken up is above all before it. Its steps are *take* (a proposed one is under way), *force* (the one under way
-/// is in force) and *withdraw*. A history is right if steps can be placed in time so that
+/// The model is a register of revisions: one revision, or none, is in force, at most one is in progress, and
+/// each number that is taken is higher than all before it. Its steps are *take* (a proposed revision is in
+/// progress), *force* (the revision in progress is in force) and *withdraw*. A history is correct if steps
+/// can be placed in time so that
 ///
 /// - a revision is taken after it was proposed, and before the answer that it is in force, if there is one;
-/// - an answer "in force" comes after the revision was put in force, "refused" while it is not under way and was never
-///   in force (unless by another proposal of the same text, which was not refused), "unsure" binds nothing, neither
-///   then nor later;
-/// - an answer that names a winner comes of a proposal during which that one was under way;
-/// - while a steward holds A alone, A is in force all the time; while it holds joint(A, B), A or B is, and B was taken
-///   while A was in force; while it holds nothing, nothing is.
+/// - an answer "in force" comes after the revision was put in force; an answer "refused" comes while the
+///   revision is not in progress and was never in force (unless by another proposal of the same text that was
+///   not refused); an answer "unsure" restricts nothing, neither then nor later;
+/// - an answer that names a winner belongs to a proposal during which the winner was in progress;
+/// - while a controller holds A alone, A is in force all the time; while it holds joint(A, B), A or B is in
+///   force, and B was taken while A was in force; while it holds nothing, nothing is in force.
 ///
-/// The search is Wing and Gong's (1993), breadth first over the lines as Lowe (2017) does it "just in time": for each
-/// line all states that the object may be in, each once, and a step is taken only where a line calls for it. That
-/// loses nothing, since whether a step may be taken depends on what is held at that time and not on when the object
-/// came to its state. Only a refusal leaves both ways open at once: the revision may have been joint before it or not,
-/// and can't be taken after. It keeps only states and what is still open, so it goes through a history of any length.
+/// The search is that of Wing and Gong (1993), breadth first over the lines with the "just in time"
+/// linearization of Lowe (2017): for each line it keeps the set of states that the register may be in, and a
+/// step is taken only where a line requires it. That loses no solution, since whether a step is allowed
+/// depends on what is held at that time and not on when the register reached its state. Only a refusal leaves
+/// two possibilities: the revision may have been joint before it or not, and cannot be taken after it. Memory
+/// holds only states and what is still open, so histories may have any length.
 ///
-/// Assumes that each revision is proposed within the history, and the times that [`crate::Exclude`] assumes.
+/// Assumes that each revision is proposed within the history, and makes the assumptions of [`crate::Exclude`]
+/// about times.
 #[derive(Default)]
 pub struct Register {
     names: Names,
     now: u64,
     moment: Vec<Line>,
-    /// Texts, by number, so that two texts under one number are told apart.
+    /// Numbers of the proposed texts, to distinguish two texts proposed under one revision number.
     texts: HashMap<String, u32>,
     ops: Vec<Op>,
-    /// Proposals without an answer, by who made them and their id.
+    /// Proposals without an answer, by controller and id.
     asking: BTreeMap<(u32, u64), usize>,
-    /// What may yet be taken: number and text, with how many proposals ask for it.
+    /// Revisions that may still be taken, with how many proposals ask for each.
     proposed: BTreeMap<Revision, Proposed>,
     holding: HashMap<Actor, Holding>,
     states: Vec<State>,
@@ -43,7 +46,7 @@
     verdict: Verdict,
 }
 
-/// A number and its text.
+/// A revision number and the number of its text.
 type Revision = (u64, u32);
 
 struct Op {
@@ -54,8 +57,8 @@
 #[derive(Default)]
 struct Proposed {
     open: u32,
-    /// Proposals of it so far that were not refused.
-    stand: u32,
+    /// Proposals of the revision so far that were not refused.
+    unrefused: u32,
 }
 
 struct Holding {
@@ -64,27 +67,28 @@
     line: Line,
 }
 
-/// What the object may be, and what of its past can still be asked for.
+/// A possible state of the register, with the parts of its past that later lines can refer to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct State {
     in_force: Option<u64>,
-    /// What was in force before it.
+    /// The revision that was in force before `in_force`.
     before: Option<u64>,
-    under_way: Option<Revision>,
-    /// The highest number that was ever taken.
+    in_progress: Option<Revision>,
+    /// The highest number ever taken.
     known: u64,
-    /// Taken since `in_force` is in force.
+    /// Numbers taken since `in_force` came into force.
     beside: BTreeSet<u64>,
-    /// All that was ever put in force.
+    /// All revisions that were ever put in force.
     forced: BTreeSet<Revision>,
-    /// For each proposal without an answer: what was under way while it waited.
+    /// For each proposal without an answer: the revisions that were in progress while it waited.
     seen: BTreeMap<usize, BTreeSet<Revision>>,
 }
 
-/// What a line calls for.
+/// What a line requires of the state.
 enum Need {
     Forced(Revision),
-    /// It is not under way by this proposal, and was not put in force by it; `alone`: no other proposal of the same stands.
+    /// The revision is not in progress by this proposal and was not put in force by it. `alone`: no other
+    /// proposal of the same revision is unrefused.
     Refused {
         op: usize,
         revision: Revision,
@@ -95,11 +99,11 @@
 }
 
 impl Need {
-    fn met(&self, state: &State) -> bool {
+    fn satisfied(&self, state: &State) -> bool {
         match self {
             Need::Forced(revision) => state.forced.contains(revision),
             Need::Refused { op, revision, alone, winner } => {
-                let of_it = state.under_way == Some(*revision) || state.forced.contains(revision);
+                let of_it = state.in_progress == Some(*revision) || state.forced.contains(revision);
                 let of_winner = |no: &u64| {
                     let other = |seen: &Revision| seen.0 == *no && !(*alone && seen == revision);
                     state.seen.get(op).is_some_and(|seen| seen.iter().any(other))
@@ -116,14 +120,14 @@
     }
 }
 
-/// More states than any fleet's history leaves open; beyond, the search gives up: what it would take for right from
-/// there on could make a good line wrong. All later cases count as not judged.
-const STATES: usize = 20_000;
+/// Limit of states, above what any real history leaves open. Beyond it the search gives up and all later
+/// cases count as not judged: continuing with a part of the states could report a correct line as wrong.
+const MAX_STATES: usize = 20_000;
 
 impl Register {
     pub fn feed(&mut self, line: &Line) {
         if line.at > self.now {
-            self.settle();
+            self.process_moment();
             self.now = line.at;
         }
         if self.gave_up {
@@ -131,7 +135,7 @@
             self.verdict.open += u64::from(case);
             return;
         }
-        let speaks = matches!(
+        let relevant = matches!(
             line.what,
             What::Proposed { .. }
                 | What::Answered { .. }
@@ -139,19 +143,19 @@
                 | What::LetGo { .. }
                 | What::Died
         );
-        if speaks {
+        if relevant {
             self.moment.push(line.clone());
         }
     }
 
     pub fn finish(mut self) -> Verdict {
-        self.settle();
+        self.process_moment();
         self.verdict
     }
 
-    /// Of lines at one time, what begins an operation counts first, then what ends a hold, what begins one, and
-    /// answers last: the most that can be right.
-    fn settle(&mut self) {
+    /// Of lines at the same time, proposals are applied first, then the ends of holds, then new holds, and
+    /// answers last. This order accepts the most histories.
+    fn process_moment(&mut self) {
         if self.moment.is_empty() {
             return;
         }
@@ -161,7 +165,7 @@
         let lines = std::mem::take(&mut self.moment);
         for line in &lines {
             if let What::Proposed { id, no, digest } = &line.what {
-                self.proposes(line, *id, *no, digest);
+                self.add_proposal(line, *id, *no, digest);
             }
         }
         let mut begun: Vec<(Actor, Held, u64, &Line)> = Vec::new();
@@ -175,7 +179,7 @@
                     let actor = (who, boot);
                     begun.retain(|(other, ..)| *other != actor);
                     match self.holding.get_mut(&actor) {
-                        // What has run out since proves nothing of the time between.
+                        // A hold that has expired proves nothing about the time in between.
                         Some(same) if same.held == holds && same.until > self.now => same.until = until,
                         _ => {
                             self.holding.remove(&actor);
@@ -187,17 +191,17 @@
             }
         }
         for (actor, held, until, line) in begun {
-            self.call_for(&Need::Holds(held), line);
+            self.require(&Need::Holds(held), line);
             self.holding.insert(actor, Holding { held, until, line: line.clone() });
         }
         for line in &lines {
             if let What::Answered { id, outcome, winner, .. } = &line.what {
-                self.answers(line, *id, *outcome, *winner);
+                self.add_answer(line, *id, *outcome, *winner);
             }
         }
     }
 
-    fn proposes(&mut self, line: &Line, id: u64, no: u64, digest: &str) {
+    fn add_proposal(&mut self, line: &Line, id: u64, no: u64, digest: &str) {
         self.verdict.looked += 1;
         let texts = self.texts.len() as u32;
         let text = *self.texts.entry(digest.into()).or_insert(texts);
@@ -205,13 +209,13 @@
         self.ops.push(Op { revision, line: line.clone() });
         let of = self.proposed.entry(revision).or_default();
         of.open += 1;
-        of.stand += 1;
-        // A run that begins to count anew never answers what an earlier one was asked.
+        of.unrefused += 1;
+        // A run that restarts its ids never answers the proposals of an earlier run.
         if let Some(earlier) = self.asking.insert((self.names.of(&line.who), id), op) {
-            self.forget(earlier);
+            self.drop_proposal(earlier);
         }
         for state in &mut self.states {
-            state.seen.insert(op, state.under_way.into_iter().collect());
+            state.seen.insert(op, state.in_progress.into_iter().collect());
         }
     }
 
@@ -221,55 +225,55 @@
             self.asking.range((who, 0)..=(who, u64::MAX)).map(|(key, _)| *key).collect();
         for key in gone {
             let op = self.asking.remove(&key);
-            op.into_iter().for_each(|op| self.forget(op));
+            op.into_iter().for_each(|op| self.drop_proposal(op));
         }
     }
 
-    /// No answer of it can come any more.
-    fn forget(&mut self, op: usize) {
+    /// Drops a proposal that can no longer be answered.
+    fn drop_proposal(&mut self, op: usize) {
         self.states.iter_mut().for_each(|state| drop(state.seen.remove(&op)));
-        self.fold();
+        self.dedup_states();
     }
 
-    fn answers(&mut self, line: &Line, id: u64, outcome: Outcome, winner: Option<u64>) {
+    fn add_answer(&mut self, line: &Line, id: u64, outcome: Outcome, winner: Option<u64>) {
         let key = (self.names.of(&line.who), id);
         let Some(op) = self.asking.get(&key).copied() else {
-            let says = format!("an answer to proposal {id}, which nobody made");
+            let says = format!("an answer to proposal {id}, which was never made");
             return self.verdict.found(Rule::Register, line.at, says, vec![line.clone()]);
         };
         let revision = self.ops[op].revision;
-        let alone = self.proposed[&revision].stand == 1;
+        let alone = self.proposed[&revision].unrefused == 1;
         match outcome {
             Outcome::Unsure => {}
-            Outcome::InForce => self.call_for(&Need::Forced(revision), line),
+            Outcome::InForce => self.require(&Need::Forced(revision), line),
             Outcome::Refused => {
                 let need = Need::Refused { op, revision, alone, winner };
-                self.call_for(&need, line);
-                self.may_have_been_taken(revision, &need);
+                self.require(&need, line);
+                self.add_states_taken_before(revision, &need);
             }
         }
         self.asking.remove(&key);
         if outcome != Outcome::Unsure {
             if let Some(of) = self.proposed.get_mut(&revision) {
                 of.open -= 1;
-                of.stand -= u32::from(outcome == Outcome::Refused);
+                of.unrefused -= u32::from(outcome == Outcome::Refused);
             }
         }
-        self.forget(op);
+        self.drop_proposal(op);
     }
 
-    /// Goes on with the states in which the line may be, by as few steps as bring each there.
-    fn call_for(&mut self, need: &Need, line: &Line) {
-        if self.gave_up || self.states.iter().all(|state| need.met(state)) {
+    /// Continues with the states in which the line is possible, reached by as few steps as needed.
+    fn require(&mut self, need: &Need, line: &Line) {
+        if self.gave_up || self.states.iter().all(|state| need.satisfied(state)) {
             return;
         }
-        let mut met = BTreeSet::new();
+        let mut satisfied = BTreeSet::new();
         let mut known: HashSet<State> = self.states.iter().cloned().collect();
         let mut next = std::mem::take(&mut self.states);
         let from = next.clone();
         while let Some(state) = next.pop() {
-            if need.met(&state) {
-                met.insert(state);
+            if need.satisfied(&state) {
+                satisfied.insert(state);
                 continue;
             }
             for after in self.steps(&state, need) {
@@ -278,48 +282,49 @@
                     next.push(after);
                 }
             }
-            if known.len() > STATES {
+            if known.len() > MAX_STATES {
                 self.gave_up = true;
                 self.verdict.open += 1;
                 self.states = from;
                 return;
             }
         }
-        if met.is_empty() {
-            self.tell(need, line);
-            met = from.iter().map(|state| adopt(state, need)).collect();
-            self.let_in_the_way(need);
+        if satisfied.is_empty() {
+            self.report(need, line);
+            satisfied = from.iter().map(|state| force_to_satisfy(state, need)).collect();
+            self.drop_conflicting_holds(need);
         }
-        self.states = met.into_iter().collect();
+        self.states = satisfied.into_iter().collect();
     }
 
-    /// A refused one can't be taken from here on, and may have been before: both ways are gone.
-    fn may_have_been_taken(&mut self, revision: Revision, need: &Need) {
+    /// Adds the states in which the refused revision was taken and withdrawn before the refusal: it cannot be
+    /// taken afterwards.
+    fn add_states_taken_before(&mut self, revision: Revision, need: &Need) {
         let mut known: HashSet<State> = self.states.iter().cloned().collect();
         let mut next = self.states.clone();
         let toward = Need::Holds(Held::Alone { no: revision.0 });
         while let Some(state) = next.pop() {
-            if state.under_way != Some(revision) && state.known >= revision.0 {
-                if need.met(&state) && !self.states.contains(&state) {
+            if state.in_progress != Some(revision) && state.known >= revision.0 {
+                if need.satisfied(&state) && !self.states.contains(&state) {
                     self.states.push(state);
                 }
                 continue;
             }
             for after in self.steps(&state, &toward) {
-                if known.len() < STATES && known.insert(after.clone()) {
+                if known.len() < MAX_STATES && known.insert(after.clone()) {
                     next.push(after);
                 }
             }
         }
-        self.fold();
+        self.dedup_states();
     }
 
-    /// All that the object may do next.
+    /// All states that the register may reach in one step.
     fn steps(&self, state: &State, need: &Need) -> Vec<State> {
         let mut after = Vec::new();
-        let Some(revision) = state.under_way else {
+        let Some(revision) = state.in_progress else {
             let above = (state.known + 1, 0);
-            // No step towards a number is one beyond it.
+            // Taking a higher number than the required one never leads to it.
             let most = match need {
                 Need::Forced(revision) => revision.0,
                 Need::Holds(Held::Alone { no }) | Need::Holds(Held::Joint { new: no, .. }) => *no,
@@ -331,7 +336,7 @@
                     break;
                 }
                 let mut state = state.clone();
-                state.under_way = Some(*revision);
+                state.in_progress = Some(*revision);
                 state.known = revision.0;
                 state.beside.insert(revision.0);
                 state.seen.values_mut().for_each(|seen| seen.extend([*revision]));
@@ -340,7 +345,7 @@
             return after;
         };
         let mut withdrawn = state.clone();
-        withdrawn.under_way = None;
+        withdrawn.in_progress = None;
         after.push(withdrawn);
         if !self.holding.values().any(|of| of.until > self.now && !has(within(of.held), Some(revision.0))) {
             after.push(force(state, revision));
@@ -348,19 +353,19 @@
         after
     }
 
-    /// Two ways that came to the same are one.
-    fn fold(&mut self) {
+    /// Merges equal states.
+    fn dedup_states(&mut self) {
         if self.states.len() > 1 {
             self.states.sort();
             self.states.dedup();
         }
     }
 
-    fn tell(&mut self, need: &Need, line: &Line) {
+    fn report(&mut self, need: &Need, line: &Line) {
         let (says, wanted) = match need {
             Need::Forced((no, _)) => (format!("revision {no} can't have been in force by then"), *no),
             Need::Refused { revision: (no, _), winner: Some(winner), .. } => {
-                (format!("revision {no} was refused for {winner}, which can't have been under way"), *winner)
+                (format!("revision {no} was refused for {winner}, which can't be in progress"), *winner)
             }
             Need::Refused { revision: (no, _), .. } => {
                 (format!("revision {no} was refused and was put in force"), *no)
@@ -369,7 +374,7 @@
             Need::Holds(Held::Alone { no }) => (format!("revision {no} is held and can't be in force"), *no),
             Need::Holds(Held::Joint { old, new }) => {
                 let old = old.map_or("nothing".into(), |old| old.to_string());
-                (format!("joint of {old} and {new} is held and can't be under way"), *new)
+                (format!("joint of {old} and {new} is held and can't be in progress"), *new)
             }
         };
         let mut witness: Vec<Line> =
@@ -383,8 +388,9 @@
         self.verdict.found(Rule::Register, line.at, says, witness);
     }
 
-    /// A line that can't be right was told of; what stands against it must not make all later ones wrong.
-    fn let_in_the_way(&mut self, need: &Need) {
+    /// Drops the holds that contradict a line already reported as impossible, so that not all later lines are
+    /// reported as wrong too.
+    fn drop_conflicting_holds(&mut self, need: &Need) {
         let no = match need {
             Need::Forced((no, _)) | Need::Holds(Held::Alone { no }) => Some(*no),
             Need::Holds(Held::Joint { old, .. }) => *old,
@@ -399,15 +405,15 @@
     let mut state = state.clone();
     state.before = state.in_force;
     state.in_force = Some(revision.0);
-    state.under_way = None;
+    state.in_progress = None;
     state.beside.clear();
     state.forced.insert(revision);
     state
 }
 
-/// The state that comes nearest once the line is taken for right.
-fn adopt(state: &State, need: &Need) -> State {
-    if need.met(state) {
+/// The closest state in which the line is possible.
+fn force_to_satisfy(state: &State, need: &Need) -> State {
+    if need.satisfied(state) {
         return state.clone();
     }
     let mut state = state.clone();
@@ -418,8 +424,8 @@
         }
         Need::Refused { revision, .. } => {
             state.forced.remove(revision);
-            if state.under_way == Some(*revision) {
-                state.under_way = None;
+            if state.in_progress == Some(*revision) {
+                state.in_progress = None;
             }
         }
         Need::Holds(Held::Nothing) => state.in_force = None,
@@ -427,7 +433,7 @@
             state.before = state.in_force;
             state.in_force = Some(*no);
             state.known = state.known.max(*no);
-            state.under_way = None;
+            state.in_progress = None;
             state.beside.clear();
         }
         Need::Holds(Held::Joint { old, new }) => {
