--- a/crates/histories/benches/checks.rs
+++ b/crates/histories/benches/checks.rs
@@ -1,4 +1,4 @@
-//! The checks beside the plain form of one, and the reader beside what it reads.
+//! Measures the checks, one of them against its reference implementation, and the reader.
 
 use std::hint::black_box;
 use std::io::{BufReader, Cursor};
@@ -8,7 +8,7 @@
 use amberarch_histories::{plain, Exclude, Judge, Line, Reader};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 
-/// Who acts beside whom: one sweep, and each pair of holds.
+/// Detecting controllers that exclude each other: one sweep against the comparison of each pair of holds.
 fn holds(c: &mut Criterion) {
     let mut group = c.benchmark_group("holds");
     group.warm_up_time(Duration::from_millis(300)).measurement_time(Duration::from_secs(1)).sample_size(10);
--- a/crates/histories/src/event.rs
+++ b/crates/histories/src/event.rs
@@ -5,6 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
+/// One event: when it happened, which process wrote it, and what happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     pub at: u64,
@@ -14,6 +15,7 @@
     pub what: What,
 }
 
+/// The kinds of events, tagged by `what` in the JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum What {
@@ -148,6 +150,7 @@
 /// zone's grants may exceed the capacity of its own hosts; only the sum over all zones has to fit.
 pub const ALL_ZONES: &str = "*";
 
+/// The zones that a revision permits for one request class and home.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permits {
     pub product: String,
@@ -155,6 +158,7 @@
     pub zones: Vec<String>,
 }
 
+/// The answer to a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
@@ -182,6 +186,7 @@
     Joint { old: Option<u64>, new: u64 },
 }
 
+/// The final answer to a txn: succeeded, rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
--- a/crates/histories/src/guarantee.rs
+++ b/crates/histories/src/guarantee.rs
@@ -17,8 +17,8 @@
 /// receive the tenant's requests. The check does not detect:
 /// - a shortfall of less than a fifth, since arrivals are random and txns in flight at the end of a slot are
 ///   served in the next;
-/// - a shortfall within three standard deviations over all consecutive slots (half of the guaranteed txns
-///   where that is 80, a third at 300);
+/// - a shortfall of less than a fifth plus three standard deviations over all consecutive slots (half of the
+///   guaranteed txns where these are 80, a third at 300);
 /// - a shortfall that ends within one or two slots after `back_within`.
 pub struct Guarantees {
     in_faults: bool,
@@ -207,7 +207,7 @@
         let (tenant, zone) = guaranteed(&self.line);
         let now = self.from + self.slot;
         let says = format!(
-            "{tenant} is below its guarantee in {zone} for {:.0} ms: {} of {} txns admitted in the last {:.0} ms",
+            "{tenant} is below its guarantee in {zone} for {:.0} ms: {} of {} admitted in the last {:.0} ms",
             (now - since) as f64 / 1e6,
             self.admitted,
             self.asked,
--- a/crates/histories/src/made/spoil.rs
+++ b/crates/histories/src/made/spoil.rs
@@ -1,6 +1,6 @@
-//! Faults planted in a good history, each one that a check has to find.
+//! Inserts faults into a correct history, each of which a check has to find.
 
-// All ways to plant a fault have one type; some need no more than a slice.
+// All functions that insert a fault have one type; some need only a slice.
 #![allow(clippy::ptr_arg)]
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -8,16 +8,16 @@
 use super::{Chance, Made};
 use crate::{End, Held, Line, Outcome, Rule, What};
 
-/// One way to spoil a history.
+/// One way to corrupt a history.
 pub struct Spoil {
     pub name: &'static str,
-    /// The check that has to find it; others may too.
+    /// The check that has to find the fault; others may find it too.
     pub rule: Rule,
     plant: fn(&mut Vec<Line>, &mut Chance) -> Option<()>,
 }
 
 impl Spoil {
-    /// False where this history has no place for it.
+    /// Inserts the fault; false if this history has no place for it.
     pub fn plant(&self, lines: &mut Vec<Line>, chance: &mut Chance) -> bool {
         let planted = (self.plant)(lines, chance).is_some();
         lines.sort_by_key(|line| line.at);
@@ -29,7 +29,7 @@
 
 macro_rules! spoils {
     ($($rule:ident $plant:ident),* $(,)?) => {
-        /// At least two for each rule.
+        /// All corruptions, at least two for each rule.
         pub const SPOILS: &[Spoil] =
             &[$(Spoil { name: stringify!($plant), rule: Rule::$rule, plant: $plant }),*];
     };
@@ -64,7 +64,7 @@
     Late a_call_of_the_stage_before,
 }
 
-/// One of the places at which it can be planted.
+/// A random one of the places that fit.
 fn pick(lines: &[Line], chance: &mut Chance, fits: impl Fn(usize, &Line) -> bool) -> Option<usize> {
     let places: Vec<usize> = (0..lines.len()).filter(|place| fits(*place, &lines[*place])).collect();
     (!places.is_empty()).then(|| places[chance.below(places.len() as u64) as usize])
@@ -74,7 +74,8 @@
     lines.push(Line { at, who: who.into(), what });
 }
 
-/// When a line first proves that a revision is in force, in order; `held`: by what a steward holds.
+/// The times at which a line first proves that a revision is in force, in order. `held`: counts only what a
+/// controller holds.
 fn firsts_of(lines: &[Line], held: bool) -> Vec<(u64, u64)> {
     let mut seen = BTreeSet::new();
     let proofs = lines.iter().filter_map(|line| match line.what {
@@ -91,14 +92,14 @@
     firsts_of(lines, false)
 }
 
-/// One change from a revision to the next: the time of the first hold of it, both numbers.
+/// A change from a revision to the next: the time of the first hold of the new one, and both numbers.
 fn change(lines: &[Line], chance: &mut Chance) -> Option<(u64, u64, u64)> {
     let firsts = firsts_of(lines, true);
     let pairs: Vec<_> = firsts.windows(2).map(|pair| (pair[1].0, pair[0].1, pair[1].1)).collect();
     (!pairs.is_empty()).then(|| pairs[chance.below(pairs.len() as u64) as usize])
 }
 
-fn boots(lines: &[Line]) -> u64 {
+fn unused_boot(lines: &[Line]) -> u64 {
     lines.iter().filter(|line| matches!(line.what, What::Holds { .. })).count() as u64 + 1_000_000
 }
 
@@ -119,7 +120,7 @@
     let place = pick(lines, chance, refused)?;
     let before = firsts(&lines[..place]);
     if let What::Answered { winner, .. } = &mut lines[place].what {
-        // One that was in force long before, or none that ever was.
+        // A revision that was in force long before, or one that never existed.
         *winner =
             before.iter().rev().nth(1).map(|(_, no)| *no).filter(|_| chance.one_in(2)).or(Some(900_000));
     }
@@ -128,7 +129,7 @@
 
 fn nobody_proposed_what_holds(lines: &mut Vec<Line>, chance: &mut Chance) -> Option<()> {
     let held: BTreeSet<u64> = firsts(lines).into_iter().map(|(_, no)| no).collect();
-    // A refused one may have the same number: all of it go.
+    // A refused proposal may have the same number, so all of them are removed.
     let place =
         pick(lines, chance, |_, line| matches!(line.what, What::Proposed { no, .. } if held.contains(&no)))?;
     let What::Proposed { no: gone, .. } = lines[place].what else { return None };
@@ -145,7 +146,7 @@
     let proposed =
         |line: &Line| line.who == who && matches!(line.what, What::Proposed { id: of, .. } if of == id);
     let from = lines.iter().position(proposed)?;
-    // Someone still holds the one before after that.
+    // Some controller still holds the previous revision after that.
     let before = |line: &Line| {
         let What::Holds { holds, .. } = line.what else { return false };
         holds == Held::Nothing || matches!(holds, Held::Alone { no: other } if other != no)
@@ -157,7 +158,7 @@
 
 fn the_one_before_is_held_again(lines: &mut Vec<Line>, chance: &mut Chance) -> Option<()> {
     let (at, old, _) = change(lines, chance)?;
-    let (boot, holds) = (boots(lines), Held::Alone { no: old });
+    let (boot, holds) = (unused_boot(lines), Held::Alone { no: old });
     let what = What::Holds { boot, stage: 1, holds, until: at + 2_000 * MS };
     insert(lines, at + 1_000 * MS, "steward:late", what);
     Some(())
@@ -165,13 +166,13 @@
 
 fn another_run_goes_on_with_the_old_one(lines: &mut Vec<Line>, chance: &mut Chance) -> Option<()> {
     let (at, old, _) = change(lines, chance)?;
-    let (boot, holds) = (boots(lines), Held::Alone { no: old });
+    let (boot, holds) = (unused_boot(lines), Held::Alone { no: old });
     insert(lines, at - 1, "steward:0", What::Holds { boot, stage: 1, holds, until: at + 1 });
     Some(())
 }
 
 fn one_steward_is_ahead_of_joint(lines: &mut Vec<Line>, chance: &mut Chance) -> Option<()> {
-    // Who acts on one revision alone, and until when, before each line.
+    // The controllers that act on one revision alone, and until when, before each line.
     let mut acts: BTreeMap<(&str, u64), (u64, u64)> = BTreeMap::new();
     let mut places = Vec::new();
     for (place, line) in lines.iter().enumerate() {
@@ -202,7 +203,7 @@
     Some(())
 }
 
-/// What a steward holds at the end, turned into something else, from the last disturbance on.
+/// Changes what a controller holds in the last revision of the history.
 fn at_the_end(lines: &mut [Line], chance: &mut Chance, to: impl Fn(u64) -> Held) -> Option<()> {
     let who = format!("steward:{}", chance.below(5));
     let (_, last) = *firsts(lines).last()?;
@@ -249,10 +250,10 @@
     revisions.map(|(no, permits)| (no, permits.iter().map(by_pair).collect())).collect()
 }
 
-/// The zones of each product and home that a revision permits.
+/// The zones that a revision permits for each request class and home.
 type Permitted = HashMap<(String, String), BTreeSet<String>>;
 
-/// What is in force when, and permits what.
+/// The revisions in force over time, and what they permit.
 struct InForce {
     firsts: Vec<(u64, u64)>,
     permits: HashMap<u64, Permitted>,
@@ -263,7 +264,7 @@
         InForce { firsts: firsts(lines), permits: permits(lines) }
     }
 
-    /// A zone outside the revision in force, if it did not come in force shortly before.
+    /// A zone that the revision in force does not permit, unless the revision came into force shortly before.
     fn outside(&self, at: u64, product: &str, home: &str) -> Option<String> {
         let (from, no) = self.firsts.iter().rev().find(|(from, _)| *from < at)?;
         let permitted = self.permits.get(no)?.get(&(product.into(), home.into()))?;
@@ -291,7 +292,7 @@
     None
 }
 
-/// Some place near a random one: cheaper than to gather all.
+/// A fitting place at or after a random one; cheaper than collecting all places.
 fn pick_near(lines: &[Line], chance: &mut Chance, fits: impl Fn(&Line) -> bool) -> Option<usize> {
     let from = chance.below(lines.len() as u64) as usize;
     (from..lines.len()).chain(0..from).find(|place| fits(&lines[*place]))
@@ -323,8 +324,8 @@
     for ((_, product, home), of) in &tables {
         for (n, pair) in of.windows(2).enumerate() {
             let next = of.get(n + 2).map_or(u64::MAX, |place| lines[*place].at).min(lines.last()?.at);
-            // The first change after the line that goes, and what the one before it allows then. That change has to
-            // stand for a while.
+            // The first change after the line to be removed, and what the revision of that change permits.
+            // The change has to stay in force for a while.
             let mut changes = firsts.iter().filter(|(at, _)| *at > lines[pair[1]].at);
             let Some((at, no)) = changes.next() else { continue };
             let stands = next.min(changes.next().map_or(u64::MAX, |(at, _)| *at)) > at + 200 * MS;
@@ -363,7 +364,7 @@
             _ => {}
         }
     }
-    // All of the zone to one that has nothing, while others have something.
+    // Grants the whole capacity of the zone to a new controller while others hold grants.
     let (place, most) = *places.get(chance.below(places.len().max(1) as u64) as usize)?;
     let line = &lines[place];
     let What::Granted { zone, until, .. } = &line.what else { return None };
@@ -379,8 +380,8 @@
     Some(())
 }
 
-/// A fall of a zone's capacity that stands for a while, and grants there after it, as large as the ones before; of all
-/// takers, or of the one that had most.
+/// After a fall of a zone's capacity that lasts for a while, keeps the grants there as large as before; those
+/// of all recipients, or only those of the one with the largest grant.
 fn renewed(lines: &mut [Line], chance: &mut Chance, all: bool) -> Option<()> {
     let stands = (3 * Made::bounds().runs_out as u64) * MS;
     let mut last: HashMap<String, f64> = HashMap::new();
@@ -390,7 +391,7 @@
             let before = last.insert(zone.clone(), *per_s).unwrap_or(0.0);
             let again = |other: &&Line| matches!(&other.what, What::Capacity { zone: of, .. } if of == zone);
             let next = lines[place + 1..].iter().find(again).map_or(lines.last()?.at, |next| next.at);
-            // To a hundredth: one taker's part of what there was is more than all there is.
+            // The capacity falls to a hundredth, so that the earlier grant of one recipient alone exceeds it.
             if *per_s < 0.02 * before && next > line.at + stands {
                 falls.push((place, zone.clone(), next));
             }
@@ -427,7 +428,7 @@
     renewed(lines, chance, false)
 }
 
-/// Of the tenant's txns in the quiet end, only each so many-th is let in.
+/// Keeps only every `keep`-th of the tenant's txns admitted in the quiet period at the end.
 fn starve(lines: &mut Vec<Line>, keep: u64) -> Option<()> {
     let disturbs =
         |line: &Line| matches!(line.what, What::Fault { .. } | What::Healed | What::Capacity { .. });
@@ -444,12 +445,12 @@
         What::Asked { txn, tenant: Some(_), .. } if line.at > end - 4_400 * MS => Some(*txn),
         _ => None,
     });
-    let away: BTreeSet<u64> =
+    let rejected: BTreeSet<u64> =
         asked.enumerate().filter(|(n, _)| !(*n as u64).is_multiple_of(keep)).map(|(_, txn)| txn).collect();
-    lines.retain(|line| !matches!(line.what, What::Served { txn, .. } if away.contains(&txn)));
+    lines.retain(|line| !matches!(line.what, What::Served { txn, .. } if rejected.contains(&txn)));
     for line in lines.iter_mut() {
         if let What::Final { txn, end } = &mut line.what {
-            if away.contains(txn) {
+            if rejected.contains(txn) {
                 *end = End::Declined;
             }
         }
@@ -462,7 +463,7 @@
 }
 
 fn a_tenant_gets_half_of_it(lines: &mut Vec<Line>, _: &mut Chance) -> Option<()> {
-    // It asks for three times its guarantee.
+    // Its demand is three times its guarantee.
     starve(lines, 6)
 }
 
@@ -539,7 +540,7 @@
     Some(())
 }
 
-/// The last hold of each stage of each run, by place.
+/// Index of the last hold for each stage of each run.
 fn last_holds(lines: &[Line]) -> BTreeMap<(String, u64, u64), usize> {
     let holds = lines.iter().enumerate().filter_map(|(place, line)| match line.what {
         What::Holds { boot, stage, .. } => Some(((line.who.clone(), boot, stage), place)),
--- a/crates/histories/src/read.rs
+++ b/crates/histories/src/read.rs
@@ -32,8 +32,8 @@
         match self {
             Spoilt::Io { .. } => "check that the file exists and is readable, then run the check again",
             Spoilt::NoLine { .. } => {
-                "write each run of a process to a file of its own: a run that appends to the file of a \
-                 killed process continues its incomplete line; otherwise the file has another version or format"
+                "write each run of a process to a file of its own: a run that appends to an earlier file \
+                 continues the incomplete line of a killed process; otherwise the file has another version or format"
             }
             Spoilt::TooLong { .. } => "pass only files that contain histories",
             Spoilt::Backwards { .. } => "the writer must read the clock while it holds the write lock",
--- a/crates/histories/src/report.rs
+++ b/crates/histories/src/report.rs
@@ -156,6 +156,7 @@
     (ms * 1e6) as u64
 }
 
+/// The verdicts of all checks over one history; printed for people, serialized as JSON for programs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub events: u64,
--- a/crates/histories/tests/cases/drains.rs
+++ b/crates/histories/tests/cases/drains.rs
@@ -1,4 +1,4 @@
-//! The check of drains, just within its bound and just beyond it.
+//! The check of drains, with cases just within and just beyond its bound.
 
 use amberarch_histories::HostState::{self, Draining, Gone, Ready};
 use amberarch_histories::{DrainBounds, Drains, Line, Verdict, What};
@@ -10,26 +10,26 @@
 struct Lines(Vec<Line>);
 
 impl Lines {
-    fn say(mut self, at: u64, who: &str, what: What) -> Lines {
+    fn event(mut self, at: u64, who: &str, what: What) -> Lines {
         self.0.push(Line { at: at * MS, who: who.into(), what });
         self
     }
 
-    fn told(self, at: u64, state: HostState) -> Lines {
-        self.say(at, "controller:a", What::ListTold { host: "h".into(), state })
+    fn listed(self, at: u64, state: HostState) -> Lines {
+        self.event(at, "controller:a", What::ListTold { host: "h".into(), state })
     }
 
     fn joined(self, at: u64) -> Lines {
-        self.say(at, "proxy:1", What::Joined { controller: "controller:a".into() })
+        self.event(at, "proxy:1", What::Joined { controller: "controller:a".into() })
     }
 
     fn sends(self, at: u64, hosts: &[&str]) -> Lines {
         let hosts = hosts.iter().map(|host| host.to_string()).collect();
-        self.say(at, "proxy:1", What::MaySend { hosts })
+        self.event(at, "proxy:1", What::MaySend { hosts })
     }
 
     fn suspended(self, at: u64, until: u64) -> Lines {
-        self.say(at, "controller:a", What::LimitsWait { until: until * MS })
+        self.event(at, "controller:a", What::LimitsWait { until: until * MS })
     }
 
     fn judged(self) -> Verdict {
@@ -39,13 +39,13 @@
     }
 }
 
-/// A proxy that may send to the host, whose drain is told at 1 s.
+/// A proxy that may send to a host for which a drain is reported at 1 s.
 fn draining(state: HostState) -> Lines {
-    Lines::default().joined(0).sends(1, &["h", "other"]).told(1_000, state)
+    Lines::default().joined(0).sends(1, &["h", "other"]).listed(1_000, state)
 }
 
 #[test]
-fn a_proxy_that_stops_within_the_grace_is_no_breach_and_one_just_after_it_is() {
+fn a_proxy_that_stops_within_the_grace_passes_and_one_just_after_it_is_a_violation() {
     for state in [Draining, Gone] {
         let within = draining(state).sends(1_000 + ALLOWED, &["other"]).judged();
         assert_eq!((within.count(), within.looked), (0, 1));
@@ -56,34 +56,34 @@
 }
 
 #[test]
-fn a_proxy_that_never_stops_is_a_breach_at_the_end() {
+fn a_proxy_that_never_stops_is_a_violation_at_the_end() {
     let ends = |at| draining(Draining).sends(at, &["h"]).judged().count();
     assert_eq!((ends(1_000 + ALLOWED), ends(1_001 + ALLOWED)), (0, 1));
 }
 
 #[test]
-fn a_notice_that_is_repeated_does_not_begin_the_grace_anew() {
-    let lines = draining(Draining).told(2_000, Draining).told(3_000, Gone);
+fn a_repeated_notice_does_not_restart_the_grace() {
+    let lines = draining(Draining).listed(2_000, Draining).listed(3_000, Gone);
     assert_eq!(lines.sends(1_001 + ALLOWED, &[]).judged().count(), 1);
 }
 
 #[test]
 fn a_host_that_is_ready_again_ends_the_limit_and_a_second_drain_begins_another() {
-    let ready = draining(Draining).told(1_000 + ALLOWED, Ready);
+    let ready = draining(Draining).listed(1_000 + ALLOWED, Ready);
     assert_eq!(ready.sends(9_000, &[]).judged().count(), 0);
-    let late = draining(Draining).told(1_001 + ALLOWED, Ready);
+    let late = draining(Draining).listed(1_001 + ALLOWED, Ready);
     assert_eq!(late.sends(9_000, &[]).judged().count(), 1);
-    let second = || draining(Draining).told(2_000, Ready).told(3_000, Draining);
+    let second = || draining(Draining).listed(2_000, Ready).listed(3_000, Draining);
     assert_eq!(second().sends(3_000 + ALLOWED, &[]).judged().count(), 0);
     assert_eq!(second().sends(3_001 + ALLOWED, &[]).judged().count(), 1);
 }
 
 #[test]
 fn a_limit_runs_from_a_later_joining_and_ends_with_the_leaving() {
-    let again = || draining(Draining).say(2_000, "proxy:1", What::Left).joined(4_000);
+    let again = || draining(Draining).event(2_000, "proxy:1", What::Left).joined(4_000);
     assert_eq!(again().sends(4_000 + ALLOWED, &[]).judged().count(), 0);
     assert_eq!(again().sends(4_001 + ALLOWED, &[]).judged().count(), 1);
-    let left = draining(Draining).say(1_001 + ALLOWED, "proxy:1", What::Left);
+    let left = draining(Draining).event(1_001 + ALLOWED, "proxy:1", What::Left);
     assert_eq!(left.judged().count(), 1);
 }
 
@@ -95,9 +95,9 @@
 }
 
 #[test]
-fn a_notice_to_another_controller_binds_nobody_here() {
-    let told = What::ListTold { host: "h".into(), state: Draining };
-    let lines = Lines::default().joined(0).sends(1, &["h"]).say(1_000, "controller:b", told);
+fn a_notice_to_another_controller_does_not_apply() {
+    let listed = What::ListTold { host: "h".into(), state: Draining };
+    let lines = Lines::default().joined(0).sends(1, &["h"]).event(1_000, "controller:b", listed);
     let verdict = lines.sends(9_000, &[]).judged();
     assert_eq!((verdict.count(), verdict.looked), (0, 0));
 }
--- a/crates/histories/tests/cases/lifecycle.rs
+++ b/crates/histories/tests/cases/lifecycle.rs
@@ -1,24 +1,24 @@
-//! The checks of restarts and of calls after the end, just within their bounds and just beyond them.
+//! The checks of restarts and of calls after the end, with cases just within and just beyond their bounds.
 
 use amberarch_histories::{CallsAfterEnd, Line, Readiness, Verdict, What};
 
 const MS: u64 = 1_000_000;
 
-fn lines(said: &[(u64, What)]) -> Vec<Line> {
+fn lines(events: &[(u64, What)]) -> Vec<Line> {
     let line =
         |(at, what): &(u64, What)| Line { at: at * MS, who: "controller:a".into(), what: what.clone() };
-    said.iter().map(line).collect()
+    events.iter().map(line).collect()
 }
 
-fn readiness(said: &[(u64, What)]) -> Verdict {
+fn readiness(events: &[(u64, What)]) -> Verdict {
     let mut check = Readiness::new(10_000.0);
-    lines(said).iter().for_each(|line| check.feed(line));
+    lines(events).iter().for_each(|line| check.feed(line));
     check.finish()
 }
 
-fn calls(said: &[(u64, What)]) -> Verdict {
+fn calls(events: &[(u64, What)]) -> Verdict {
     let mut check = CallsAfterEnd::new(50.0);
-    lines(said).iter().for_each(|line| check.feed(line));
+    lines(events).iter().for_each(|line| check.feed(line));
     check.finish()
 }
 
@@ -45,10 +45,10 @@
 }
 
 #[test]
-fn a_call_after_the_end_is_found_unless_it_was_on_its_way_or_is_of_a_new_process() {
+fn a_call_after_the_end_is_found_unless_it_was_in_transit_or_is_of_a_new_process() {
     let call = |at| calls(&[(0, What::Called), (100, What::Died), (at, What::Called)]);
     assert_eq!((call(150).count(), call(150).looked), (0, 2));
     assert_eq!(call(151).count(), 1);
-    let anew = [(100, What::Died), (500, What::Started), (900, What::Called)];
-    assert_eq!(calls(&anew).count(), 0);
+    let restarted = [(100, What::Died), (500, What::Started), (900, What::Called)];
+    assert_eq!(calls(&restarted).count(), 0);
 }
--- a/crates/histories/tests/cases/main.rs
+++ b/crates/histories/tests/cases/main.rs
@@ -1,4 +1,4 @@
-//! Histories made up from a seed, and ones written down by hand.
+//! Checks of generated histories and of hand-written ones.
 
 mod drains;
 mod good;
--- a/crates/histories/tests/cases/plainly.rs
+++ b/crates/histories/tests/cases/plainly.rs
@@ -1,4 +1,5 @@
-//! The checks beside plain ones, on small histories of which about half are right.
+//! Compares the checks with straightforward reference implementations, on small histories of which about half
+//! are correct.
 
 use std::collections::BTreeSet;
 
@@ -6,19 +7,19 @@
 use amberarch_histories::{plain, Exclude, Grants, Held, Line, Outcome, Register, What};
 use proptest::prelude::*;
 
-/// Lines stand so far apart, so that steps fit between them.
-const APART: u64 = 10;
+/// Distance between lines in ns, so that steps fit between them.
+const LINE_DISTANCE: u64 = 10;
 
-/// A register that goes at random through its steps, and what proposers and two stewards would write of it. At most
-/// three proposals, so that all ways to place the steps can be tried.
-struct Walk {
+/// A register that takes random steps, and the lines that proposers and two controllers would write about it.
+/// At most three proposals, so that all ways to place the steps can be tried.
+struct RandomWalk {
     chance: Chance,
     lines: Vec<Line>,
     in_force: Option<u64>,
     before: Option<u64>,
-    under_way: Option<u64>,
+    in_progress: Option<u64>,
     known: u64,
-    /// Id, number, whether it was ever under way, put in force, answered.
+    /// Id, number, whether it was ever in progress, was put in force, was answered.
     asked: Vec<(u64, u64, bool, bool, bool)>,
     holds: Vec<(Held, u64)>,
 }
@@ -31,97 +32,98 @@
     }
 }
 
-impl Walk {
-    fn lines(seed: u64, most: usize) -> Vec<Line> {
-        let mut walk = Walk {
+impl RandomWalk {
+    fn lines(seed: u64, max_lines: usize) -> Vec<Line> {
+        let mut walk = RandomWalk {
             chance: Chance::new(seed),
             lines: Vec::new(),
             in_force: None,
             before: None,
-            under_way: None,
+            in_progress: None,
             known: 0,
             asked: Vec::new(),
             holds: vec![(Held::Nothing, 0); 2],
         };
         for _ in 0..200 {
-            if walk.lines.len() < most {
-                walk.goes_on();
+            if walk.lines.len() < max_lines {
+                walk.step();
             }
         }
         walk.lines
     }
 
-    fn say(&mut self, who: &str, what: What) {
-        let at = (self.lines.len() as u64 + 1) * APART;
+    fn event(&mut self, who: &str, what: What) {
+        let at = (self.lines.len() as u64 + 1) * LINE_DISTANCE;
         self.lines.push(Line { at, who: who.into(), what });
     }
 
-    fn goes_on(&mut self) {
-        let now = self.lines.len() as u64 * APART + APART / 2;
+    fn step(&mut self) {
+        let now = self.lines.len() as u64 * LINE_DISTANCE + LINE_DISTANCE / 2;
         match self.chance.below(7) {
             0 if self.asked.len() < 3 => {
                 let (id, no) = (self.asked.len() as u64, 1 + self.chance.below(3));
-                // Now and then the same text again.
+                // Sometimes the same text again.
                 let digest = if self.chance.one_in(3) { "same".into() } else { format!("text {id}") };
                 self.asked.push((id, no, false, false, false));
-                self.say("op", What::Proposed { id, no, digest });
+                self.event("op", What::Proposed { id, no, digest });
             }
-            1 if self.under_way.is_none() => {
+            1 if self.in_progress.is_none() => {
                 let known = self.known;
                 let next = self.asked.iter_mut().find(|(_, no, .., answered)| *no > known && !answered);
-                if let Some((_, no, under_way, ..)) = next {
-                    (*under_way, self.known, self.under_way) = (true, *no, Some(*no));
+                if let Some((_, no, in_progress, ..)) = next {
+                    (*in_progress, self.known, self.in_progress) = (true, *no, Some(*no));
                 }
             }
-            2 if self.chance.one_in(2) => self.under_way = None,
+            2 if self.chance.one_in(2) => self.in_progress = None,
             3 => {
                 let may =
                     |no| self.holds.iter().all(|(held, until)| *until <= now || admits(*held, Some(no)));
-                if let Some(no) = self.under_way.filter(|no| may(*no)) {
-                    (self.before, self.in_force, self.under_way) = (self.in_force, Some(no), None);
-                    let first = self.asked.iter_mut().find(|(_, of, under_way, ..)| *of == no && *under_way);
+                if let Some(no) = self.in_progress.filter(|no| may(*no)) {
+                    (self.before, self.in_force, self.in_progress) = (self.in_force, Some(no), None);
+                    let first =
+                        self.asked.iter_mut().find(|(_, of, in_progress, ..)| *of == no && *in_progress);
                     first.into_iter().for_each(|of| of.3 = true);
                 }
             }
             4 | 5 => {
-                let steward = self.chance.below(2) as usize;
+                let controller = self.chance.below(2) as usize;
                 let alone = self.in_force.map_or(Held::Nothing, |no| Held::Alone { no });
-                let holds = match (self.under_way, self.in_force) {
+                let holds = match (self.in_progress, self.in_force) {
                     (Some(new), old) if self.chance.one_in(2) => Held::Joint { old, new },
                     (None, Some(new)) if self.chance.one_in(3) => Held::Joint { old: self.before, new },
                     _ => alone,
                 };
-                let until = now + 1 + self.chance.below(5 * APART);
-                self.holds[steward] = (holds, until);
-                let name = format!("steward:{steward}");
-                self.say(&name, What::Holds { boot: 1, stage: 1, holds, until });
+                let until = now + 1 + self.chance.below(5 * LINE_DISTANCE);
+                self.holds[controller] = (holds, until);
+                let name = format!("steward:{controller}");
+                self.event(&name, What::Holds { boot: 1, stage: 1, holds, until });
             }
             _ => {
                 let Some(place) = self.asked.iter().position(|(.., answered)| !answered) else { return };
-                let (id, no, was_under_way, in_force, _) = self.asked[place];
-                let outcome = match (in_force, self.under_way == Some(no)) {
+                let (id, no, was_in_progress, in_force, _) = self.asked[place];
+                let outcome = match (in_force, self.in_progress == Some(no)) {
                     _ if self.chance.one_in(6) => Outcome::Unsure,
                     (true, _) => Outcome::InForce,
                     (false, true) => return,
                     (false, false) => Outcome::Refused,
                 };
-                let other = self.under_way.filter(|_| outcome == Outcome::Refused && !was_under_way);
+                let other = self.in_progress.filter(|_| outcome == Outcome::Refused && !was_in_progress);
                 self.asked[place].4 = true;
-                self.say("op", What::Answered { id, no, outcome, winner: other });
+                self.event("op", What::Answered { id, no, outcome, winner: other });
             }
         }
     }
 }
 
-/// One thing about one line is changed.
-fn spoil(lines: &mut [Line], chance: &mut Chance) {
+/// Changes one detail of one line.
+fn corrupt(lines: &mut [Line], chance: &mut Chance) {
     if lines.is_empty() {
         return;
     }
     let place = chance.below(lines.len() as u64) as usize;
     let other = 1 + chance.below(3);
     match &mut lines[place].what {
-        What::Holds { until, .. } if chance.one_in(2) => *until += 1 + chance.below(5 * APART),
+        What::Holds { until, .. } if chance.one_in(2) => *until += 1 + chance.below(5 * LINE_DISTANCE),
         What::Holds { holds, .. } => {
             *holds = match *holds {
                 Held::Alone { .. } if chance.one_in(2) => {
@@ -152,11 +154,11 @@
     Force,
 }
 
-/// All steps so far: before which line, which, of what.
+/// All steps so far: index of the line before which the step happens, kind of step, revision.
 type Steps = Vec<(usize, Step, Revision)>;
 
-/// Tries every way to place every step between the lines, and holds each against the rules one by one, looking back
-/// over all steps each time.
+/// Tries every way to place steps between the lines, and checks each rule separately by scanning all earlier
+/// steps.
 fn fits(lines: &[Line]) -> bool {
     place(lines, 0, &mut Steps::new())
 }
@@ -169,7 +171,7 @@
         return true;
     }
     let mut next: Vec<(Step, Revision)> = Vec::new();
-    match under_way(steps) {
+    match in_progress(steps) {
         Some(revision) => {
             next.push((Step::Withdraw, revision.clone()));
             if held_before(lines, at).all(|held| admits(held, Some(revision.0))) {
@@ -202,7 +204,7 @@
     false
 }
 
-fn under_way(steps: &Steps) -> Option<Revision> {
+fn in_progress(steps: &Steps) -> Option<Revision> {
     steps.last().filter(|(_, step, _)| *step == Step::Take).map(|(_, _, revision)| revision.clone())
 }
 
@@ -210,10 +212,11 @@
     steps.iter().rev().find(|(_, step, _)| *step == Step::Force).map(|(_, _, (no, _))| *no)
 }
 
-/// What is held all the time until the line, by holds that neither end at its time nor before, nor are replaced by it.
+/// What is held without interruption until the line: holds that have not ended by its time and are not
+/// replaced by it.
 fn held_before(lines: &[Line], at: usize) -> impl Iterator<Item = Held> + '_ {
-    (0..2).filter_map(move |steward| {
-        let who = format!("steward:{steward}");
+    (0..2).filter_map(move |controller| {
+        let who = format!("steward:{controller}");
         let last = lines[..at].iter().rev().find(|line| line.who == who)?;
         let What::Holds { holds, until, .. } = last.what else { return None };
         (until > lines[at].at && lines[at].who != who).then_some(holds)
@@ -247,9 +250,11 @@
             match outcome {
                 Outcome::Unsure => true,
                 Outcome::InForce => forced,
-                Outcome::Refused if alone && (forced || under_way(steps) == Some(revision.clone())) => false,
+                Outcome::Refused if alone && (forced || in_progress(steps) == Some(revision.clone())) => {
+                    false
+                }
                 Outcome::Refused => winner.is_none_or(|winner| {
-                    // Under way at some time since it was asked: taken, and not ended before it was.
+                    // In progress at some time since the proposal: taken, and not ended before it.
                     steps.iter().enumerate().any(|(place, (_, step, of))| {
                         let ended = steps.get(place + 1).is_some_and(|(before, ..)| *before <= asked);
                         let self_made = alone && *of == revision;
@@ -274,22 +279,22 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_register_search_finds_what_trying_every_way_finds(seed: u64, spoilt: bool) {
-        let mut lines = Walk::lines(seed, 11);
-        if spoilt {
-            spoil(&mut lines, &mut Chance::new(!seed));
+    fn the_register_search_agrees_with_trying_every_placement(seed: u64, corrupted: bool) {
+        let mut lines = RandomWalk::lines(seed, 11);
+        if corrupted {
+            corrupt(&mut lines, &mut Chance::new(!seed));
         }
         let fits = fits(&lines);
-        prop_assert!(spoilt || fits, "a walk through the register is right: {lines:#?}");
+        prop_assert!(corrupted || fits, "a random walk of the register is correct: {lines:#?}");
         prop_assert_eq!(register(&lines), fits, "{:#?}", lines);
     }
 
     #[test]
-    fn the_sweep_over_holds_finds_what_each_pair_finds(
+    fn the_sweep_over_holds_agrees_with_the_comparison_of_each_pair(
         holds in prop::collection::vec((0..3u64, 0..4u64, 0..4u64, 0..6u64), 0..12)
     ) {
         let mut lines = Vec::new();
-        for (place, (steward, kind, no, long)) in holds.into_iter().enumerate() {
+        for (place, (controller, kind, no, long)) in holds.into_iter().enumerate() {
             let what = match kind {
                 0 => What::LetGo { boot: 1 },
                 1 => What::Died,
@@ -297,7 +302,7 @@
                 _ => What::Holds { boot: 1, stage: 1, holds: Held::Alone { no }, until: 0 },
             };
             let at = place as u64 * 2;
-            let mut line = Line { at, who: format!("steward:{steward}"), what };
+            let mut line = Line { at, who: format!("steward:{controller}"), what };
             if let What::Holds { until, .. } = &mut line.what {
                 *until = at + long;
             }
@@ -311,7 +316,7 @@
     }
 
     #[test]
-    fn the_sweep_over_grants_finds_what_adding_up_anew_finds(
+    fn the_sweep_over_grants_agrees_with_recomputed_sums(
         lines in prop::collection::vec((0..6u64, 0..2u64, 0..2u64, 0..6u64, 1..8u64), 0..24)
     ) {
         let (name, mut at, mut all) = (|no: u64| format!("n{no}"), 0, Vec::new());
@@ -321,7 +326,7 @@
             let what = match kind {
                 0 => What::Capacity { zone, per_s: 2.0 * rate as f64 },
                 1 | 2 => {
-                    // Of the grants so far, one of those that this taker was given.
+                    // One of the grants that this recipient received so far.
                     let untils: Vec<u64> = all.iter().filter_map(|line: &Line| match &line.what {
                         What::Granted { to, tenant: of, until, .. } if *to == name(who) && *of == tenant => Some(*until),
                         _ => None,
@@ -340,30 +345,31 @@
     }
 }
 
-/// At how many lines a grant brought the sum over the capacity, each time added up over all lines before.
+/// Number of lines at which a grant raises the sum above the capacity, with the sum recomputed each time from
+/// all earlier lines.
 fn over_granted(lines: &[Line]) -> u64 {
     let used = |upto: usize, at: u64| -> f64 {
         let mut sum = 0.0;
         for who in ["n0", "n1"] {
             for tenant in ["n0", "n1"] {
-                let mut given: Vec<(f64, u64)> = Vec::new();
+                let mut held: Vec<(f64, u64)> = Vec::new();
                 for line in &lines[..upto] {
-                    // What is over by then can't be gone by any more.
-                    given.retain(|(_, until)| *until > line.at);
+                    // Expired grants can no longer be in use.
+                    held.retain(|(_, until)| *until > line.at);
                     match &line.what {
                         What::Granted { to, tenant: of, per_s, until, .. } if to == who && of == tenant => {
-                            given.push((*per_s, *until));
+                            held.push((*per_s, *until));
                         }
                         What::Took { tenant: of, until, .. } if line.who == who && of == tenant => {
-                            if let Some(place) = given.iter().rposition(|(_, end)| end == until) {
-                                given.drain(..place);
+                            if let Some(place) = held.iter().rposition(|(_, end)| end == until) {
+                                held.drain(..place);
                             }
                         }
                         _ => {}
                     }
                 }
                 sum +=
-                    given.iter().filter(|(_, until)| *until > at).map(|(rate, _)| *rate).fold(0.0, f64::max);
+                    held.iter().filter(|(_, until)| *until > at).map(|(rate, _)| *rate).fold(0.0, f64::max);
             }
         }
         sum
@@ -374,9 +380,9 @@
             What::Capacity { per_s, .. } => Some(per_s),
             _ => None,
         });
-        let (What::Granted { .. }, Some(most)) = (&line.what, capacity) else { continue };
+        let (What::Granted { .. }, Some(limit)) = (&line.what, capacity) else { continue };
         let (before, after) = (used(place, line.at), used(place + 1, line.at));
-        over += u64::from(after > before && after > most + 0.5);
+        over += u64::from(after > before && after > limit + 0.5);
     }
     over
 }
--- a/crates/histories/tests/cases/spoilt.rs
+++ b/crates/histories/tests/cases/spoilt.rs
@@ -4,8 +4,8 @@
 use amberarch_histories::made::{Chance, Made, SPOILS};
 use amberarch_histories::{judge, Line, Rule};
 
-/// How often each fault had a place in the history of a seed; each that had is found.
-fn found_of_planted(seed: u64) -> BTreeMap<&'static str, u64> {
+/// How often each fault could be inserted into the history of a seed. Each inserted fault has to be found.
+fn insert_and_find_faults(seed: u64) -> BTreeMap<&'static str, u64> {
     let mut planted = BTreeMap::new();
     let good: Vec<Line> = Made::new(seed, 40_000).collect();
     for (number, spoil) in SPOILS.iter().enumerate() {
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn each_planted_fault_is_found_by_its_check_and_proven_by_lines_of_the_history() {
+fn each_inserted_fault_is_found_by_its_check_and_proven_by_lines_of_the_history() {
     let mut planted: BTreeMap<&str, u64> = BTreeMap::new();
     thread::scope(|scope| {
-        let seeds: Vec<_> = (0..3).map(|seed| scope.spawn(move || found_of_planted(seed))).collect();
+        let seeds: Vec<_> = (0..3).map(|seed| scope.spawn(move || insert_and_find_faults(seed))).collect();
         for of_seed in seeds {
-            let of_seed = of_seed.join().expect("a planted fault is not found");
+            let of_seed = of_seed.join().expect("an inserted fault is not found");
             of_seed.into_iter().for_each(|(name, times)| *planted.entry(name).or_default() += times);
         }
     });
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn every_rule_is_spoilt_in_two_ways_at_the_least() {
+fn every_rule_has_at_least_two_corruptions() {
     for rule in Rule::ALL {
         assert!(SPOILS.iter().filter(|spoil| spoil.rule == rule).count() >= 2, "{rule:?}");
     }
