--- a/crates/emulator/src/arrivals.rs
+++ b/crates/emulator/src/arrivals.rs
@@ -1,7 +1,6 @@
-//! What becomes of orders between a judge and the proxies: a relay that takes calls, fails at them and repeats them,
-//! proxies that read on at a pace of their own, come and go, and answers that are late or lost. Small on purpose: it
-//! knows at each moment what every proxy holds, and what each still might by what was carried out, so what a judge
-//! lets pass can be held against it.
+//! Tests a judge against the delivery of its orders: a relay that fails and repeats calls, proxies that read at their own
+//! pace, join and leave, and answers that are late or lost. The model is small, so that at any moment it knows what every
+//! proxy holds, and what it may hold next, and can check this against what the judge has accepted.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -18,37 +17,37 @@
 const GRACE: f64 = 500.0;
 const LINGER: f64 = 4_000.0;
 
-/// What is wrong with the judge, on purpose: each has to be found.
+/// Deliberate faults of the judge; the trial has to detect each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spoilt {
     No,
-    /// Repeats of calls are not told, and calls count as answered at once.
+    /// The judge is not told about repeated calls, and calls count as answered at once.
     NoRepeats,
     /// One proxy's answer counts for all.
     OneForAll,
-    /// Who has left counts for nothing.
+    /// Proxies that have left are not waited for.
     NoLinger,
-    /// What the relay gave up counts as carried out.
+    /// Orders that the relay dropped count as carried out.
     NoGivingUp,
-    /// The plain judge, which knows of what is held last and nothing else.
+    /// The plain judge, which knows only the latest ordered state.
     Plain,
 }
 
-/// What a run did and found.
+/// Counts of what a run did and found.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Trial {
     pub replies: u64,
     pub refused: u64,
-    /// Refused, though carried out once and in order it would have broken nothing.
+    /// Refused, although the reply would have broken nothing if carried out once and in order.
     pub refused_falsely: u64,
-    /// Of those, for proxies that had left, or come back since they were bound: a bind of theirs, or the news of it,
-    /// was on its way. All others are for calls that were not carried out again.
+    /// Of those, the ones because of proxies that had left, or rejoined since they were bound, while a bind or a report
+    /// of it was in transit. All others are because of calls that were then not repeated.
     pub for_gone: u64,
-    /// Of what was accepted, what stood outside the reach in a proxy's hands.
+    /// Accepted orders that let a proxy hold a host outside the reach.
     pub outside: u64,
-    /// Said to be settled, and was.
+    /// Reported as settled.
     pub settled: u64,
-    /// Said to be settled, while a proxy held something outside.
+    /// Reported as settled while a proxy held a host outside the reach.
     pub settled_falsely: u64,
     pub repeats: u64,
 }
@@ -70,7 +69,7 @@
 struct Stand {
     tables: BTreeMap<TableId, BTreeSet<HostId>>,
     out: BTreeSet<HostId>,
-    /// By proxy and the session it was made in.
+    /// By proxy, the session in which the bind was made, and request class.
     binds: BTreeMap<(ProxyId, u32, ClassId), TableId>,
 }
 
@@ -79,9 +78,9 @@
     zone: ZoneId,
     session: u32,
     joined: bool,
-    /// How far it has read what was carried out.
+    /// How many of the carried-out orders it has read.
     read: usize,
-    /// What it holds of earlier stewards or sessions, until it is bound.
+    /// Hosts it holds from earlier controllers or sessions, until it is bound.
     before: BTreeMap<ClassId, BTreeSet<HostId>>,
     left: f64,
 }
@@ -105,16 +104,16 @@
     NotTaken {
         order: Order,
     },
-    /// All that was accepted up to that place is answered.
+    /// Everything accepted up to that place is answered.
     Done {
         place: u64,
     },
 }
 
-/// How the relay's call under way stands.
+/// State of the relay's current call.
 enum Call {
     Idle,
-    /// It is told at that time that it is unsure, and repeated after.
+    /// At time `tell` the call is reported as unsure, and is repeated afterwards.
     Unsure {
         tell: f64,
         told: bool,
@@ -125,29 +124,30 @@
     chance: ChaCha8Rng,
     spoilt: Spoilt,
     calm: bool,
-    /// In how many of ten the front tells that all is answered.
+    /// In how many of ten cases the front reports that all calls are answered.
     tells: u8,
     now: f64,
     judge: Judge,
     plain: Plain,
-    /// The plain judge's stand is what is ordered last: it says nothing once the reach or the list changed.
+    /// Whether the plain judge is a valid reference. It knows only the latest ordered state, so it is not after the reach
+    /// or the host list changed.
     plain_fits: bool,
     reach: InUse,
-    /// Where each host is, and where it counted before, until then.
+    /// Zone of each host, its previous zone, and until when that one counts too.
     places: BTreeMap<HostId, (ZoneId, ZoneId, f64)>,
     waiting: VecDeque<Order>,
     marks: Vec<MarkId>,
     call: Call,
-    /// What was carried out, and how all stands after each.
+    /// Orders carried out, with the state after each.
     line: Vec<(Order, Stand)>,
     proxies: BTreeMap<ProxyId, Held>,
-    /// With when it happened.
+    /// Events of the proxies, with their time.
     news: VecDeque<(f64, News)>,
-    /// Who is joined by the news so far.
+    /// Proxies that are joined according to the events delivered so far.
     heard: BTreeSet<ProxyId>,
     relay_news: VecDeque<News>,
     next_mark: u16,
-    /// From here on nothing may be outside.
+    /// While true, no proxy may hold a host outside the reach.
     holds: bool,
     found: Trial,
 }
@@ -206,8 +206,8 @@
         self
     }
 
-    /// The front tells each time that nothing waits at its relay any more, and asks each turn whether all is settled, as
-    /// a steward's does.
+    /// The front reports every time that its relay has nothing waiting, and checks at each step whether all is settled,
+    /// as a controller's front does.
     pub fn told(mut self) -> Arrivals {
         self.tells = 10;
         self
@@ -217,7 +217,7 @@
         let mut reach = InUse::new();
         for product in (0..PRODUCTS).map(ClassId) {
             for zone in (0..ZONES).map(ZoneId) {
-                // Nothing, either zone, both, or not governed.
+                // No zone, either zone, both zones, or no rule.
                 let zones = Zones(self.chance.random_range(0..1 << ZONES));
                 if self.chance.random::<f64>() < 0.8 {
                     reach.insert((product, zone), zones);
@@ -231,14 +231,14 @@
         self.chance.random_range(0..count)
     }
 
-    /// Plays that many steps; every so often the reach changes, where `changes`.
+    /// Runs `steps` steps; with `changes`, the reach changes at random steps.
     pub fn play(mut self, steps: u32, changes: bool) -> Trial {
         for _ in 0..steps {
             self.now +=
                 self.chance.random::<f64>() * if self.chance.random::<f64>() < 0.1 { 4e3 } else { 100.0 };
-            // What came meanwhile is heard first, as by a desk that stood still itself.
+            // Pending relay events are delivered first, as to an event loop that was itself paused.
             self.tell();
-            // No news is as late as a linger: the judge takes it that who joined before that is known.
+            // No event is delayed as long as the linger: the judge assumes that proxies that joined before that are known.
             while self.news.front().is_some_and(|news| news.0 + LINGER / 2.0 < self.now) {
                 self.hear_one();
             }
@@ -266,12 +266,12 @@
             if self.tells == 10 {
                 self.settle();
             }
-            self.look();
+            self.check();
         }
         self.found
     }
 
-    /// Hosts' places as they count now.
+    /// Whether the host counts as being in one of these zones now.
     fn within(&self, host: HostId, zones: Zones) -> bool {
         self.places.get(&host).is_some_and(|(zone, before, until)| {
             zones == Zones::ALL || zones.contains(*zone) || self.now < *until && zones.contains(*before)
@@ -280,10 +280,10 @@
 
     fn relocate(&mut self) {
         let host = HostId(u32::from(self.one_of(HOSTS as u16)));
-        // The one after the last is a zone that nobody knows.
+        // The zone after the last one is unknown to the judge.
         let zone = ZoneId(self.one_of(ZONES + 1));
         let Some(place) = self.places.get_mut(&host) else { return };
-        // One move at a time: that two count at once is all that a list says.
+        // One move at a time: a host counts for at most two zones at once.
         if place.0 != zone && self.now >= place.2 {
             *place = (zone, place.0, self.now + GRACE);
             match zone.0 < ZONES {
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Decisions that know nothing: orders by chance.
+    /// A reply of random orders.
     fn reply(&mut self) {
         let mut orders = Vec::new();
         for _ in 0..self.chance.random_range(1..4) {
@@ -306,7 +306,7 @@
                 6 => Order::Withdraw { host, withdrawn: false },
                 7 if self.chance.random::<f64>() < 0.3 => Order::ClearTable { table },
                 _ => {
-                    // The decisions hear the same news as the judge and bind nobody else.
+                    // The decisions receive the same events as the judge and bind only proxies that have joined by them.
                     let proxy = ProxyId(self.one_of(PROXIES));
                     if !self.heard.contains(&proxy) {
                         continue;
@@ -358,10 +358,10 @@
                 let taken = self.chance.random_range(0..count);
                 self.carry_out(taken);
                 self.waiting.drain(..taken);
-                // A second refusal of the same, by its own fault or by a spoilt answer: it is given up.
+                // An order that is refused twice, by its own fault or because of a corrupted answer, is dropped.
                 if self.chance.random::<f64>() < 0.5 {
                     if let Some(order) = self.waiting.pop_front() {
-                        // What was accepted after it counted on it: nobody says that all holds until it is settled.
+                        // Later accepted orders relied on it, so nothing is guaranteed until the state is settled again.
                         (self.holds, self.plain_fits) = (false, false);
                         self.relay_news.push_back(News::NotTaken { order });
                     }
@@ -381,7 +381,7 @@
                 self.carry_out(count);
                 self.waiting.clear();
                 self.call = Call::Idle;
-                // Some fronts tell, some don't.
+                // Some fronts report it, some do not.
                 if self.chance.random_range(0..10) < self.tells {
                     self.relay_news.push_back(News::Done { place: self.judge.place() });
                 }
@@ -398,8 +398,8 @@
         }
     }
 
-    /// The relay tells at its time what is unsure, and what it gave up at once: its words take no news from proxies
-    /// over, and none overtakes them.
+    /// Delivers the relay's events: unsure calls at their time, dropped orders at once. They are not reordered with the
+    /// events of proxies.
     fn tell(&mut self) {
         if let Call::Unsure { tell, told } = &mut self.call {
             if !*told && self.now >= *tell {
@@ -436,7 +436,7 @@
                     stand.out.remove(host);
                 }
                 Order::Bind { proxy, table, classes } => {
-                    // A proxy that is away is not bound; the relay takes the rest all the same.
+                    // A proxy that is not joined is not bound; the relay carries out the other orders.
                     if let Some(held) = self.proxies.get(proxy).filter(|held| held.joined) {
                         for id in (0..PRODUCTS).map(ClassId) {
                             if *classes == ClassSet::ALL || classes.0 & ClassSet::one(id).0 != 0 {
@@ -451,7 +451,7 @@
         }
     }
 
-    /// A proxy reads some of what was carried out, and answers marks.
+    /// A proxy reads some of the carried-out orders and answers their marks.
     fn read(&mut self) {
         let proxy = ProxyId(self.one_of(PROXIES));
         let line = self.line.len();
@@ -500,7 +500,7 @@
         let held = self.proxies.entry(proxy).or_default();
         (held.zone, held.joined, held.read, held.session) = (zone, true, line, held.session + 1);
         if fresh || first {
-            // A standing table, or another steward's.
+            // A bootstrap table, or one of another controller.
             let all: BTreeSet<HostId> = (0..HOSTS).map(HostId).collect();
             held.before = (0..PRODUCTS).map(|id| (ClassId(id), all.clone())).collect();
         }
@@ -523,11 +523,11 @@
         self.news.push_back((self.now, News::Left { proxy }));
     }
 
-    /// The hosts that it may use by what was ordered, having read so far; none: it is not bound.
+    /// The hosts that the proxy may use after reading that many orders; `None` if it is not bound.
     fn bound(&self, proxy: ProxyId, held: &Held, read: usize, id: ClassId) -> Option<BTreeSet<HostId>> {
         let stand = &self.line[..read].last()?.1;
-        let tbl = stand.binds.get(&(proxy, held.session, id))?;
-        let lines = stand.tables.get(tbl).cloned().unwrap_or_default();
+        let table = stand.binds.get(&(proxy, held.session, id))?;
+        let lines = stand.tables.get(table).cloned().unwrap_or_default();
         Some(lines.into_iter().filter(|host| !stand.out.contains(host)).collect())
     }
 
@@ -536,9 +536,9 @@
         hosts.iter().any(|host| !self.within(*host, zones))
     }
 
-    /// Whatever a proxy reads next of what was carried out, in whatever order proxies do: nothing is outside.
-    fn look(&mut self) {
-        // Where a grace ends a line that stood is outside by time alone.
+    /// Checks that no proxy can hold a host outside the reach, however far it has read the carried-out orders.
+    fn check(&mut self) {
+        // When a drain grace ends, an existing table entry can become invalid by time alone.
         for place in self.places.values_mut().filter(|place| place.0 != place.1 && self.now >= place.2) {
             place.1 = place.0;
             self.holds = false;
@@ -557,7 +557,7 @@
         }
         if outside {
             self.found.outside += 1;
-            // Once is enough: what follows from it is not counted again.
+            // Consequences of the same breach are not counted again.
             self.holds = false;
         }
     }
@@ -569,7 +569,7 @@
         }
         let mut falsely = false;
         for (proxy, held) in &self.proxies {
-            // One of whose coming nothing was heard is another's still, and so is one long gone.
+            // A proxy whose join is not yet known belongs to another controller, and so does one that left long ago.
             let unheard =
                 |news: &(f64, News)| matches!(&news.1, News::Joined { proxy: of, .. } if of == proxy);
             if self.news.iter().any(unheard) || !held.joined && self.now >= held.left + LINGER {
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,46 +1,46 @@
-//! A discovery that all stewards share: it works through calls in turn, callers lose patience while they wait, watches
-//! end when it goes down, and what it tells is older at one steward than at another.
+//! A discovery service shared by all controllers. It handles calls one at a time, callers time out while they wait,
+//! watches end when it goes down, and the host list it reports is older for some controllers than for others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::{Availability, HostEntry};
 
-/// What it can do, and for whom how late.
+/// Capacity of the discovery service, and the age of the list that each controller receives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Asked {
-    /// Calls a second that it works through, one after the other.
+    /// Calls per second, handled one after the other.
     pub calls_per_s: f64,
-    /// So long a caller waits, ms. Its call is worked through all the same, for nobody.
+    /// Caller time-out, ms. A timed-out call still takes up its handling time.
     pub patience: f64,
-    /// How old the list is that each steward hears, ms; none named: not at all.
+    /// Age of the list that each controller receives, ms; a controller that is not named gets the current list.
     pub ages: Vec<f64>,
 }
 
-/// Counts how often it went down: what was on its way then never comes.
+/// Number of outages so far. Answers that were pending at an outage are never delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Up(u32);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
-    /// It is this one's turn at that time, if it stays up.
+    /// The call is answered at that time, unless an outage happens before.
     Turn(f64, Up),
-    /// Nothing will come; the caller knows at that time.
+    /// The call fails, and the caller notices at that time.
     Fails(f64),
 }
 
 pub struct Discovery {
     asked: Asked,
-    /// All that was ever listed, by when it was, and how far each watch has heard it.
+    /// All list entries ever published, with their time, and how many of them each watch has received.
     log: Vec<(f64, HostEntry)>,
     heard: BTreeMap<usize, usize>,
-    /// Watches that are told at their turn.
+    /// Watches with a scheduled delivery.
     due: BTreeSet<usize>,
-    /// Who waits for an answer, and who watches.
+    /// Controllers waiting for an answer, and controllers with a watch.
     waiting: BTreeSet<usize>,
     watches: BTreeSet<usize>,
     free_at: f64,
     down: bool,
-    /// Times the usual length of a call.
+    /// Factor on the normal duration of a call.
     slow: f64,
     up: Up,
     calls: BTreeMap<u64, u32>,
@@ -74,8 +74,8 @@
         Call::Turn(self.free_at, self.up)
     }
 
-    /// It is the caller's turn: the whole list, as old as this steward gets it, and when it hears more. None: it went
-    /// down since, or the caller is gone.
+    /// Answers a call: the full list at the age configured for this controller, and the time of the next delivery.
+    /// `None` if discovery went down since the call or the caller is gone.
     pub fn answer(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
         if self.up != up || !self.waiting.remove(&steward) {
             return None;
@@ -91,7 +91,7 @@
         Some((whole, self.next(now, steward)))
     }
 
-    /// What the watch has not heard yet, as far as its age lets it.
+    /// Entries that the watch has not received yet and that are old enough for this controller.
     fn news(&mut self, now: f64, steward: usize) -> Vec<HostEntry> {
         let from = self.heard.get(&steward).copied().unwrap_or(0);
         let until = now - self.age(steward);
@@ -101,7 +101,7 @@
         fresh
     }
 
-    /// Its next turn, where there is something that it has not heard.
+    /// Schedules the next delivery of the watch if there are entries that it has not received.
     fn next(&mut self, now: f64, steward: usize) -> Option<f64> {
         let heard = self.heard.get(&steward).copied().unwrap_or(0);
         let first = self.log.get(heard)?.0 + self.age(steward);
@@ -112,7 +112,8 @@
         Some(self.free_at.max(first))
     }
 
-    /// It is the watch's turn: what has changed since, all together, and its next turn. None: it ended.
+    /// Delivers to a watch all changes since the last delivery, with the time of the next one. `None` if the watch has
+    /// ended.
     pub fn tell(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
         if self.up != up || !self.watches.contains(&steward) || !self.due.remove(&steward) {
             return None;
@@ -121,8 +122,8 @@
         Some((news, self.next(now, steward)))
     }
 
-    /// The list changes: which watches hear of it, and when. That is work like a call is, so a discovery that is slow
-    /// tells them late.
+    /// Publishes list changes and returns the watches that receive them, with their delivery times. A delivery takes as
+    /// long as a call, so a slow discovery delivers late.
     pub fn change(&mut self, now: f64, rows: &[HostEntry]) -> Vec<(usize, f64)> {
         self.log.extend(rows.iter().map(|row| (now, row.clone())));
         let watches: Vec<usize> = self.watches.iter().copied().collect();
@@ -133,7 +134,7 @@
         self.up
     }
 
-    /// Who hears that its call or watch broke.
+    /// Starts an outage and returns the controllers whose call or watch broke.
     pub fn fall(&mut self) -> BTreeSet<usize> {
         (self.down, self.up, self.free_at) = (true, Up(self.up.0 + 1), 0.0);
         let mut all = std::mem::take(&mut self.waiting);
@@ -146,19 +147,19 @@
         self.down = false;
     }
 
-    /// Calls take so many times as long from now on.
+    /// Multiplies the duration of calls by `times` from now on.
     pub fn slow(&mut self, times: f64) {
         self.slow = times;
     }
 
-    /// The steward is gone, with its calls.
+    /// Drops the calls and the watch of a controller that stopped.
     pub fn lose(&mut self, steward: usize) {
         self.waiting.remove(&steward);
         self.watches.remove(&steward);
         self.due.remove(&steward);
     }
 
-    /// The most calls in one second, and all.
+    /// The maximum number of calls in one second, and the total.
     pub fn calls(&self) -> (u32, u32) {
         (self.calls.values().copied().max().unwrap_or(0), self.calls.values().sum())
     }
--- a/crates/emulator/src/governed.rs
+++ b/crates/emulator/src/governed.rs
@@ -1,5 +1,5 @@
-//! A governed day: what is permitted when, the stages of a change, and the judge between the decisions and their
-//! proxies. What a steward under agreement does, with nobody to agree with.
+//! A governed day: a plan of which hosts are permitted when, the stages of a change, and the judge between the decisions
+//! and their proxies. It does what a controller under consensus does, without other voters.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,50 +8,51 @@
 
 use crate::GRACE;
 
-/// How much of it is done, to tell what each part costs.
+/// Which parts of the governing are active, to measure the cost of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Care {
     /// Replies are judged.
     pub judged: bool,
-    /// A change goes through what satisfies both; else the new one holds at once.
+    /// A change goes through a joint stage that satisfies both the old and the new rule; otherwise the new rule is in
+    /// force at once.
     pub joint: bool,
-    /// The decisions hear nothing of it: all that keeps to it is the judge.
+    /// The decisions are not told about the rules; only the judge enforces them.
     pub deaf: bool,
 }
 
-/// What became of a governed day.
+/// Results of a governed day.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ruled {
-    /// Orders that were judged, and those that were left out.
+    /// Orders judged, and those refused.
     pub orders: u64,
     pub refused: u64,
-    /// Tries at hosts outside what held, once the judge had said that it is settled.
+    /// Tries at hosts outside the rule in force after the judge had reported it as settled.
     pub outside: u64,
-    /// The same before that: proxies still had what was permitted until then.
+    /// The same before the rule was settled: proxies still held tables that were permitted until then.
     pub before_settled: u64,
-    /// From each change of what may serve until it was settled, ms.
+    /// For each change of the permitted hosts, the time until it was settled, ms.
     pub settled_after: Vec<f64>,
-    /// Changes of revision that came to hold.
+    /// Number of rule changes that came into force.
     pub in_force: u32,
 }
 
 pub(crate) struct Governed {
     judge: Judge,
     care: Care,
-    /// Zones that each host counts for, by the list alone, and until when.
+    /// Zones that each host counts for according to the host list, and until when.
     places: BTreeMap<HostId, Vec<(ZoneId, f64)>>,
-    /// What is to hold, and from when.
+    /// Rules, with the time from which each applies.
     plan: VecDeque<(f64, Reach)>,
     holds: Reach,
-    /// While a change is under way: what holds alone once all is settled.
+    /// During a change: the rule that is in force alone once the joint stage is settled.
     next: Option<Reach>,
     in_use: InUse,
-    /// Since when what may serve has not been settled.
+    /// Since when the permitted hosts have been unsettled.
     unsettled: Option<f64>,
     pub ruled: Ruled,
 }
 
-/// As long as another steward needs to bind what a lost one had.
+/// Time that another controller needs to bind the proxies of a stopped one, ms.
 const LINGER: f64 = 3_000.0;
 
 impl Governed {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The judge hears what the decisions hear.
+    /// Passes the events for the decisions to the judge.
     pub fn hear(&mut self, now: f64, events: &[Event]) {
         for event in events {
             match event {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// What is due: returns what the decisions have to hear. `hosts` are those in service, by zone.
+    /// Applies what is due and returns the events for the decisions. `hosts` counts the hosts in service by zone.
     pub fn turn(&mut self, now: f64, hosts: &BTreeMap<ZoneId, u32>) -> Vec<Event> {
         let settled = self.judge.settled(now, LINGER).is_ok();
         if let Some(since) = self.unsettled.take_if(|_| settled) {
@@ -105,7 +106,7 @@
         }
         if self.next.is_none() && self.plan.front().is_some_and(|(at, _)| now >= *at) {
             if let Some((_, reach)) = self.plan.pop_front() {
-                // Where nothing held yet there is nothing to give way.
+                // If no rule is in force yet, no joint stage is needed.
                 let first = self.holds == Reach::default();
                 if self.care.joint && !first {
                     (self.holds, self.next) = (self.holds.joint(&reach), Some(reach));
@@ -129,10 +130,10 @@
         }
     }
 
-    /// What goes out of a reply.
+    /// Returns the orders of a reply that are sent.
     pub fn sift(&mut self, now: f64, orders: Vec<Order>) -> Vec<Order> {
         self.ruled.orders += orders.len() as u64;
-        // Where it is not heeded it is told all the same, so that what it would have left out is counted.
+        // If its verdict is not applied, the judge still gets the orders, so that refusals are counted.
         let all = (!self.care.judged).then(|| orders.clone());
         let sifted = self.judge.sift(now, orders);
         // The emulator's channel takes each reply once.
@@ -141,7 +142,7 @@
         all.unwrap_or(sifted.orders)
     }
 
-    /// A try at a host. One that has changed its zone in the list counts for both while a drain's grace lasts.
+    /// Records a try at a host. A host whose zone changed in the list counts for both zones during the drain grace.
     pub fn tried(&mut self, now: f64, pair: (ClassId, ZoneId), host: HostId) {
         let zones = self.in_use.get(&pair).copied().unwrap_or(Zones::ALL);
         let places = self.places.get(&host).into_iter().flatten();
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -1,4 +1,4 @@
-//! A host: cores that work, a queue before them, and how full it was of late.
+//! An emulated host: its cores, the queue in front of them, and its recent load.
 
 use std::collections::VecDeque;
 
@@ -6,34 +6,35 @@
 
 use crate::TxnId;
 
-/// A host's own figure looks back about a second, as a machine's load does.
+/// Time constant of a host's reported load, ms: about a second, like a machine's load average.
 const LOAD_LOOK_BACK: f64 = 1_000.0;
 
 pub struct Host {
     pub listed: HostEntry,
     pub cores: u32,
-    /// Times the speed that its weight promises; faults turn it down.
+    /// Factor on the nominal speed; faults reduce it.
     pub speed: f64,
     pub up: bool,
-    /// When it left the fleet for good.
+    /// When it left the fleet permanently.
     pub left: Option<f64>,
     pub cold_since: Option<f64>,
     pub room: usize,
     working: u32,
     queue: VecDeque<TxnId>,
-    /// Work that probes brought while all cores were busy, in ms of one: the next txn waits for it.
+    /// Work from probes that arrived while all cores were busy, in core-ms; it delays the next txn.
     owes: f64,
     load: f64,
     load_at: f64,
-    /// Counts its starts: what was under way before the last is lost.
+    /// Number of restarts. Work in progress before the last one is lost.
     pub starts: u32,
 }
 
+/// The response of a host to a txn.
 pub enum Offer {
-    /// Works at once, and needs that many times the work at full speed.
+    /// The txn starts at once and takes this many times as long as at full speed.
     Starts(f64),
     Waits,
-    /// Turned away unworked.
+    /// The queue is full; the txn is rejected without any work done.
     Full,
 }
 
@@ -70,7 +71,7 @@
         Offer::Waits
     }
 
-    /// One is done; gives the next that starts and how much longer than at full speed it takes.
+    /// Ends a txn and returns the next one that starts, with how many times as long as at full speed it takes.
     pub fn done(&mut self, now: f64, warmup: &Warmup) -> Option<(TxnId, f64)> {
         self.age(now);
         let next = self.queue.pop_front();
@@ -78,7 +79,7 @@
         next.map(|txn| (txn, 1.0 / self.pace(now, warmup)))
     }
 
-    /// A probe takes its answer's work from a core that is idle; where none is, from the txns.
+    /// The work of answering a probe uses an idle core; if there is none, it delays the next txn.
     pub fn probed(&mut self, work: f64) {
         self.owes += if self.up && self.working >= self.cores { work } else { 0.0 };
     }
@@ -87,7 +88,7 @@
         std::mem::take(&mut self.owes)
     }
 
-    /// Its process ends: what it had is lost, and its clients wait until they give up.
+    /// The process ends: its txns are lost, and their clients wait until the deadline.
     pub fn fall(&mut self, now: f64) {
         self.age(now);
         (self.up, self.working, self.starts, self.owes) = (false, 0, self.starts + 1, 0.0);
@@ -99,7 +100,7 @@
         self.listed.started_at = Some(now);
     }
 
-    /// The part of the speed that its weight promises.
+    /// Current speed as a fraction of the nominal speed.
     pub fn pace(&self, now: f64, warmup: &Warmup) -> f64 {
         let age = self.cold_since.map_or(1.0, |since| ((now - since) / warmup.duration).min(1.0));
         self.speed * (warmup.initial_capacity + (1.0 - warmup.initial_capacity) * age)
@@ -115,7 +116,7 @@
         self.load_at = now;
     }
 
-    /// What it reports: what it has in hand over its cores, of late; over 1 work waits.
+    /// The reported load: recent txns in progress and queued per core. Above 1, txns are queued.
     pub fn load(&mut self, now: f64) -> f64 {
         self.age(now);
         self.load
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! A fleet in virtual time, small and by seeds only, under one steward or many. A shape, faults and a seed go in; what
-//! became of the txns, and how tables dealt traffic over hosts, come out. It drives the decisions and the intake as a
-//! front does, and decides nothing itself.
+//! Emulates a small fleet in virtual time, deterministically by seed, under one controller or many. The input is a
+//! shape, a list of faults and a seed; the output is the outcome of the txns and how the tables distributed traffic
+//! over hosts. The emulator drives the decisions and the report intake as a front does, and makes no decisions itself.
 
 mod arrivals;
 mod discovery;
@@ -24,11 +24,11 @@
 pub use standing::{some_reply, standing, standing_plain};
 pub use world::{Fleet, Homes, Seen, SeenOf, World};
 
-/// A txn of a day, counted from its start.
+/// A txn of an emulated day, numbered from the start of the day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TxnId(pub u32);
 
-/// What goes wrong, and from when to when, in ms of the day.
+/// A fault and the time it is active, in ms from the start of the day.
 #[derive(Clone, Debug)]
 pub struct Fault {
     pub from: f64,
@@ -38,93 +38,97 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
-    /// The hosts work at this part of their speed.
+    /// The hosts work at this fraction of their speed.
     Slow { hosts: Vec<u32>, part: f64 },
-    /// So many times the usual txns come.
+    /// The arrival rate of txns is multiplied by `times`.
     Burst { times: f64 },
-    /// Probes, sums and reports of the zone do not reach the steward; what waits comes when it ends.
+    /// Probes, traffic reports and load reports of the zone do not reach the controller. Reports held back meanwhile
+    /// are delivered when the fault ends.
     Cut { zone: ZoneId },
-    /// The hosts end when it begins and start cold when it ends.
+    /// The hosts stop when the fault begins and start cold when it ends.
     Restart { hosts: Vec<u32> },
-    /// The hosts leave the fleet for good: their processes end, and discovery lists them as gone.
+    /// The hosts leave the fleet permanently: their processes end, and discovery lists them as removed.
     Leave { hosts: Vec<u32> },
-    /// The list names the hosts in these rows, zone and weight, one after the other; after that where they were.
+    /// The host list names the hosts in these rows (zone and weight), one after the other; when the fault ends they
+    /// are listed in their original zone again.
     Relist { hosts: Vec<u32>, rows: Vec<(ZoneId, f64)> },
-    /// The proxies neither send sums nor read orders.
+    /// The proxies neither send traffic reports nor read orders.
     Stall { proxies: Vec<u16> },
-    /// The stewards end when it begins, by whatever signal, and start anew, knowing nothing, when it ends.
+    /// The controllers stop when the fault begins and start again without any state when it ends.
     StewardsLost { stewards: Vec<u16> },
-    /// Calls to discovery fail, and its watches end.
+    /// Calls to discovery fail and its watches end.
     DiscoveryDown,
-    /// Each call to discovery takes so many times as long.
+    /// Each call to discovery takes `times` as long.
     DiscoverySlow { times: f64 },
-    /// The zone's hosts and proxies are out of reach for these stewards alone: their probes there time out, and sums
-    /// from there are lost.
+    /// The zone's hosts and proxies are unreachable for these controllers only: their probes there time out, and
+    /// traffic reports from there are lost.
     CutFor { zone: ZoneId, stewards: Vec<u16> },
-    /// Tries at the hosts get nothing and probes no answer, as seen from these zones; none named: from everywhere.
+    /// Tries at the hosts and probes get no answer from these zones; an empty list means from everywhere.
     Bad { hosts: Vec<u32>, seen_from: Vec<ZoneId> },
-    /// The hosts leave one after the other, and as many others start cold in their place.
+    /// The hosts leave one after the other, and the same number of new hosts start cold in their place.
     Replace { hosts: Vec<u32> },
-    /// That part of these stewards' calls to the relay gets no answer; half of those were carried out.
+    /// This fraction of these controllers' calls to the relay gets no answer; half of those calls were carried out.
     Unsure { stewards: Vec<u16>, part: f64 },
-    /// These stewards' processes get a turn only that often, ms; longer than the fault lasts: they stand still.
+    /// These controllers' processes run only once every `every` ms. If that is longer than the fault lasts, they are
+    /// paused for its whole duration.
     StewardsSlow { stewards: Vec<u16>, every: f64 },
-    /// Sums reach these stewards so much later, ms, and tell of hosts as they were.
+    /// Traffic reports reach these controllers `by` ms later and describe hosts as they were then.
     SumsLate { stewards: Vec<u16>, by: f64 },
 }
 
-/// How hosts' own reports reach the decisions.
+/// Whether hosts' load reports reach the decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reports {
     Off,
-    /// Through an intake with that budget for each host, in reports a second.
+    /// Through an intake with a budget of `each` reports per second and host.
     On {
         each: f64,
     },
 }
 
-/// What a steward that starts anew finds.
+/// The state that is available to a restarted controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Kept {
-    /// How old the list on disk is, ms; none: there is no disk.
+    /// Age of the host list on disk, ms; `None` if there is no stored list.
     pub list_age: Option<f64>,
-    /// How young it has to be to serve before it is proven.
+    /// Maximum age, ms, at which the stored list is used before probes confirm its hosts.
     pub confirmed_for: f64,
-    /// What was learnt of hosts is kept too.
+    /// Warm-start hints about hosts are stored too.
     pub hints: bool,
-    /// Until discovery answers, ms.
+    /// Time until discovery answers, ms.
     pub silent_for: f64,
-    /// Proxies start anew with it and hold nothing.
+    /// The proxies restart together with the controller and hold no tables.
     pub fresh_proxies: bool,
 }
 
+/// Size, load and settings of an emulated fleet.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub zones: u16,
     pub hosts: u32,
     pub cores: u32,
-    /// What may wait at a host.
+    /// Queue limit of a host, in txns.
     pub room: usize,
     pub proxies: u16,
-    /// With each product: its part of the txns, and the mean work of one in ms of a core.
+    /// Each request class, its fraction of the txns, and the mean work of one txn in core-ms.
     pub products: Vec<(RequestClass, f64, f64)>,
-    /// The part of the fleet's cores that the usual txns need.
+    /// Fraction of the fleet's cores that the normal load needs.
     pub use_of_cores: f64,
     pub levels: LevelKind,
     pub lasts: f64,
     pub warmup: Warmup,
     pub sums: ReportSettings,
-    /// From an order to the proxies.
+    /// Time from an order until the proxies receive it, ms.
     pub transit: f64,
-    /// The part of those who are turned away or left without an answer that comes again, after that long, and
-    /// so often at the most.
+    /// Client retries: the fraction of rejected or unanswered clients that ask again, the delay before they do, ms,
+    /// and the maximum number of retries.
     pub again: (f64, f64, u8),
 }
 
 impl Shape {
-    /// 24 hosts in three zones, 12 proxies, pages and submits, at 55 % of the cores.
+    /// 24 hosts in three zones, 12 proxies, the request classes pages and submits, at 55 % utilization.
     pub fn usual() -> Shape {
-        let product = |idempotency, latency_target, value, writes| RequestClass {
+        let class = |idempotency, latency_target, value, writes| RequestClass {
             latency_target,
             deadline: 3.0 * latency_target,
             idempotency,
@@ -135,8 +139,8 @@
             home_zone_only: false,
             writes,
         };
-        let pages = product(Idempotency::Idempotent, 400.0, 1.0, false);
-        let submits = product(Idempotency::NonIdempotent, 600.0, 3.0, true);
+        let pages = class(Idempotency::Idempotent, 400.0, 1.0, false);
+        let submits = class(Idempotency::NonIdempotent, 600.0, 3.0, true);
         Shape {
             zones: 3,
             hosts: 24,
@@ -159,8 +163,8 @@
         }
     }
 
-    /// An election night: detail pages, results pages and tally submits, clients that ask again, proxies that take
-    /// levels.
+    /// An election night: detail pages, results pages and tally submits, with clients that retry and proxies that
+    /// apply admission levels.
     pub fn election() -> Shape {
         let usual = Shape::usual();
         let (pages, submits) = (usual.products[0].0.clone(), usual.products[1].0.clone());
@@ -174,14 +178,14 @@
         }
     }
 
-    /// All txns a second.
+    /// Txns per second over all proxies and request classes.
     pub(crate) fn rate(&self) -> f64 {
         let work: f64 = self.products.iter().map(|(_, part, work)| part * work).sum();
         1_000.0 * f64::from(self.hosts * self.cores) * self.use_of_cores / work
     }
 
     fn steward(&self, seed: u64) -> Controller {
-        let post = InstanceSettings {
+        let instance = InstanceSettings {
             seed,
             zone: ZoneId(0),
             zone_count: self.zones,
@@ -199,35 +203,44 @@
             typical_transit: self.transit,
             max_transit: 2.0 * self.transit,
         };
-        self.steward_at(post, channel, false)
+        self.steward_at(instance, channel, false)
     }
 
-    /// One with that post and channel; `asked`: it has to ask for the list.
-    fn steward_at(&self, post: InstanceSettings, channel: Channel, on_request: bool) -> Controller {
-        let sidecars = ProxySettings {
+    /// A controller with these instance settings and channel. With `on_request` it has to request the host list.
+    fn steward_at(&self, instance: InstanceSettings, channel: Channel, on_request: bool) -> Controller {
+        let proxies = ProxySettings {
             proxy_count: u32::from(self.proxies),
-            bootstrap_hosts: STANDING,
-            max_time_without_host: BARE_FOR,
+            bootstrap_hosts: BOOTSTRAP_HOSTS,
+            max_time_without_host: MAX_TIME_WITHOUT_HOST,
             level_kind: self.levels,
             default_tries: RetryPolicy::AfterProof,
             try_factor: 0.8,
         };
-        let roster = HostListSettings {
+        let host_list = HostListSettings {
             on_request,
             request_within: 1e4,
             drain_grace: GRACE,
             removal_not_binding: false,
         };
-        let products = self.products.iter().map(|(product, ..)| product.clone()).collect();
-        Controller::new(post, products, channel, sidecars, self.warmup.clone(), roster, self.sums.clone())
+        let classes = self.products.iter().map(|(class, ..)| class.clone()).collect();
+        Controller::new(
+            instance,
+            classes,
+            channel,
+            proxies,
+            self.warmup.clone(),
+            host_list,
+            self.sums.clone(),
+        )
     }
 }
 
-/// Hosts in the table that a proxy starts with, and how long one may be without any, ms.
-const STANDING: u32 = 6;
-const BARE_FOR: f64 = 3_000.0;
+/// Number of hosts in the table that a proxy starts with.
+const BOOTSTRAP_HOSTS: u32 = 6;
+/// How long a proxy may be without a usable host, ms.
+const MAX_TIME_WITHOUT_HOST: f64 = 3_000.0;
 
-/// What became of the txns of one product.
+/// Outcomes of the txns of one request class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fate {
     pub came: u32,
@@ -235,63 +248,65 @@
     pub in_time: u32,
     pub late: u32,
     pub voided: u32,
-    /// Ran more than once: never for one that may run once only.
+    /// Txns that ran more than once. This must stay 0 for a non-idempotent class.
     pub twice: u32,
 }
 
-/// The grace for what is gone, ms.
+/// Drain grace: time, ms, that a removed host may still receive tries.
 pub const GRACE: f64 = 2_000.0;
 
-/// Of one product, what came in ten seconds, by when it came first.
+/// Figures of one request class over ten seconds; a retried txn counts at its first arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Window {
     pub offered: f64,
     pub earned: f64,
-    /// Let in, and answered within the SLA time.
+    /// Txns admitted, and of those the ones answered within the latency target (`in_time`).
     pub let_in: u32,
     pub in_time: u32,
 }
 
+/// Length of a `Window`, ms.
 pub const WINDOW: f64 = 10_000.0;
 
+/// The result of an emulated day.
 #[derive(Clone, Debug, Default)]
 pub struct Day {
     pub fates: Vec<Fate>,
-    /// Ten seconds after ten seconds, by product.
+    /// Consecutive ten-second windows, each by request class.
     pub windows: Vec<Vec<Window>>,
-    /// What the decisions had to say, and when.
+    /// Log texts of the decisions, with their time.
     pub said: Vec<(f64, String)>,
-    /// Lines of levels, counted at each proxy that they go to, and the most that one reply held.
+    /// Admission-level lines, counted once per proxy that receives them, and the maximum in one reply.
     pub level_lines: u64,
     pub most_level_lines: u64,
-    /// Of a governed day.
+    /// Results of a governed day.
     pub ruled: Ruled,
-    /// Of a day of many stewards.
+    /// Results of a day with several controllers.
     pub seen: Seen,
-    /// Tries sent to hosts that had left more than the grace before.
+    /// Tries sent to hosts that had left longer ago than the drain grace.
     pub to_gone: u32,
-    /// From a restart until every proxy has an open host for each product, ms.
+    /// Time from a restart until every proxy has a usable host for each request class, ms.
     pub bare_for: Option<f64>,
-    /// Revenue earned, and what all that came could have earned.
+    /// Value earned, and the value that all txns that arrived could have earned.
     pub earned: f64,
     pub offered: f64,
-    /// Each second, the part of all txns that tables deal to each host.
+    /// For each second, the fraction of all txns that the tables assign to each host.
     pub shares: Vec<Vec<f64>>,
-    /// The same of each steward beside.
+    /// The same for each controller that only observes the day (`World::beside`).
     pub beside: Vec<Vec<Vec<f64>>>,
-    /// Reports taken in, and those that came.
+    /// Load reports accepted by the intake, and those that arrived.
     pub taken: u64,
     pub reports: u64,
 }
 
 impl Day {
-    /// The part of what could be earned that was.
+    /// Earned value as a fraction of the offered value.
     pub fn service(&self) -> f64 {
         self.earned / self.offered.max(1e-9)
     }
 }
 
-/// How far two days' tables are apart: the part of the traffic that goes elsewhere, second by second.
+/// Distance between the tables of two days: the fraction of traffic assigned to different hosts, for each second.
 pub fn apart(a: &[Vec<f64>], b: &[Vec<f64>]) -> Vec<f64> {
     let moved =
         |(a, b): (&Vec<f64>, &Vec<f64>)| 0.5 * a.iter().zip(b).map(|(a, b)| (a - b).abs()).sum::<f64>();
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -1,25 +1,25 @@
-//! A proxy: what it holds of tables, and which host a txn goes to by them.
+//! An emulated proxy: the tables it holds, and how it selects a host for a txn.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::*;
 
-/// A table of one of the stewards.
-type Tbl = (u32, TableId);
+/// A table of one controller run: the number of the run, and the table.
+type TableKey = (u32, TableId);
 
 #[derive(Default)]
 pub struct Proxy {
     pub zone: ZoneId,
-    /// Txns a second of each product.
+    /// Txns per second of each request class.
     pub rates: Vec<f64>,
-    tables: BTreeMap<Tbl, BTreeMap<HostId, f64>>,
+    tables: BTreeMap<TableKey, BTreeMap<HostId, f64>>,
     out: BTreeSet<HostId>,
-    binds: BTreeMap<ClassId, Tbl>,
-    levels: BTreeMap<(Tbl, ClassId), (f64, RetryPolicy)>,
-    /// Counts the stewards that it has followed: tables are each one's own, and a proxy goes on with those that it
-    /// holds until it is bound to one of the next.
+    binds: BTreeMap<ClassId, TableKey>,
+    levels: BTreeMap<(TableKey, ClassId), (f64, RetryPolicy)>,
+    /// Number of the controller run it belongs to. Each run has its own tables; a proxy keeps using those it holds
+    /// until the next run binds it to one of its own.
     steward: u32,
-    /// It holds what it has heard, and reads on only later.
+    /// The proxy does not read orders; they are collected in `unread`.
     pub stalled: bool,
     pub unread: Vec<Order>,
 }
@@ -34,32 +34,32 @@
         all.map(ClassId).filter(move |id| products == ClassSet::ALL || products.0 & ClassSet::one(*id).0 != 0)
     }
 
-    /// Its steward starts anew, with no tables.
+    /// Its controller restarts, without tables.
     pub fn follow_next(&mut self) {
         self.steward += 1;
     }
 
-    /// It belongs to that run of a steward now.
+    /// Assigns the proxy to a controller run.
     pub fn follow(&mut self, run: u32) {
         self.steward = run;
     }
 
-    /// A table from before any steward, with these hosts alike.
+    /// Binds the proxy to a bootstrap table with these hosts at equal weights.
     pub fn start_with(&mut self, hosts: impl Iterator<Item = HostId>) {
-        let tbl = (self.steward, TableId::ALL);
-        self.tables.insert(tbl, hosts.map(|host| (host, 1.0)).collect());
-        self.binds.extend((0..self.rates.len() as u16).map(|id| (ClassId(id), tbl)));
+        let key = (self.steward, TableId::ALL);
+        self.tables.insert(key, hosts.map(|host| (host, 1.0)).collect());
+        self.binds.extend((0..self.rates.len() as u16).map(|id| (ClassId(id), key)));
     }
 
-    /// Lets go of tables of earlier stewards that no product uses any more.
+    /// Drops tables of earlier controller runs that no request class uses any more.
     pub fn tidy(&mut self) {
         let (now, binds) = (self.steward, &self.binds);
-        let keeps = |tbl: &Tbl| tbl.0 == now || binds.values().any(|bound| bound == tbl);
-        self.tables.retain(|tbl, _| keeps(tbl));
-        self.levels.retain(|(tbl, _), _| keeps(&(tbl.0, tbl.1)) || tbl.1 == TableId::ALL);
+        let keeps = |key: &TableKey| key.0 == now || binds.values().any(|bound| bound == key);
+        self.tables.retain(|key, _| keeps(key));
+        self.levels.retain(|(key, _), _| keeps(&(key.0, key.1)) || key.1 == TableId::ALL);
     }
 
-    /// Every product goes by a table of the steward that it belongs to.
+    /// Whether every request class uses a table of the controller run that the proxy belongs to.
     pub fn bound_by_its_steward(&self) -> bool {
         !self.binds.is_empty() && self.binds.values().all(|bound| bound.0 == self.steward)
     }
@@ -88,26 +88,26 @@
         }
     }
 
-    /// Open hosts of a product's table, with their weights.
+    /// Hosts of the class's table that are not withdrawn, with their weights.
     pub fn open(&self, product: ClassId) -> impl Iterator<Item = (HostId, f64)> + '_ {
-        let table = self.binds.get(&product).and_then(|tbl| self.tables.get(tbl));
+        let table = self.binds.get(&product).and_then(|key| self.tables.get(key));
         let lines = table.into_iter().flatten().map(|(host, weight)| (*host, *weight));
         lines.filter(|(host, _)| !self.out.contains(host))
     }
 
     pub fn level(&self, product: ClassId) -> (f64, RetryPolicy) {
-        let tbl = self.binds.get(&product);
-        let found = tbl.and_then(|tbl| {
-            self.levels.get(&(*tbl, product)).or(self.levels.get(&((tbl.0, TableId::ALL), product)))
+        let key = self.binds.get(&product);
+        let found = key.and_then(|key| {
+            self.levels.get(&(*key, product)).or(self.levels.get(&((key.0, TableId::ALL), product)))
         });
         found.copied().unwrap_or((1.0, RetryPolicy::AfterProof))
     }
 
-    pub fn uses(&self, tbl: TableId) -> bool {
-        self.binds.values().any(|bound| *bound == (self.steward, tbl))
+    pub fn uses(&self, table: TableId) -> bool {
+        self.binds.values().any(|bound| *bound == (self.steward, table))
     }
 
-    /// The host that lies at `chance`, from 0 to 1, of the weights; one that was tried before is left out.
+    /// Selects the host at position `chance` (0 to 1) of the cumulative weights, leaving out the host tried before.
     pub fn pick(&self, product: ClassId, chance: f64, not: Option<HostId>) -> Option<HostId> {
         let lines: Vec<(HostId, f64)> = self.open(product).filter(|(host, _)| Some(*host) != not).collect();
         let mut left = chance * lines.iter().map(|(_, weight)| weight).sum::<f64>();
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,18 +1,18 @@
-//! The way from one steward to its proxies: what the relay holds for them, what a reply makes of messages and lines,
-//! and the channel they go through in order, so many lines a second.
+//! The path from one controller to its proxies: the tables that the relay stores, the messages and lines that a reply
+//! causes, and the channel that transmits them in order at a fixed number of lines per second.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use amberarch_core::*;
 
-/// To one proxy, and when it is there.
+/// Orders for one proxy, and their time of arrival.
 pub struct Message {
     pub proxy: ProxyId,
     pub at: f64,
     pub orders: Vec<Order>,
 }
 
-/// What a limit was passed by.
+/// A channel limit that was exceeded: the backlog in lines, or the messages to one proxy within the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Over {
     Backlog(f64),
@@ -28,10 +28,11 @@
     joined: BTreeMap<ProxyId, BTreeMap<ClassId, TableId>>,
     users: BTreeMap<TableId, BTreeSet<ProxyId>>,
     unbound: BTreeSet<ProxyId>,
-    /// When all that was written has left.
+    /// When the channel has transmitted everything written so far.
     free_at: f64,
     written: BTreeMap<ProxyId, VecDeque<f64>>,
-    /// All lines so far, those of heads and marks among them, and the most that ever waited.
+    /// Total lines so far, including message overhead and marks (`heads` counts these alone), and the maximum backlog
+    /// (`most`).
     pub lines: f64,
     pub heads: f64,
     pub most: f64,
@@ -83,7 +84,8 @@
         (self.free_at - now).max(0.0) * self.channel.lines_per_s / 1e3
     }
 
-    /// So long the channel needs for the binds of all that are unbound, of tables of so many lines, after what waits.
+    /// Time, ms, that the channel needs to send the backlog and then a bind, with a table of `lines` lines, to every
+    /// unbound proxy.
     pub fn time_to_bind(&self, now: f64, lines: f64) -> f64 {
         let each = self.channel.message_overhead + 2.0 * (lines + f64::from(self.products)) + 2.0;
         let left = self.waits(now) + each * self.unbound.len() as f64;
@@ -97,11 +99,11 @@
 
     fn holders(&self, host: HostId) -> BTreeSet<ProxyId> {
         let naming = self.tables.iter().filter(|(_, lines)| lines.contains_key(&host));
-        let users = naming.filter_map(|(tbl, _)| self.users.get(tbl)).flatten().copied();
+        let users = naming.filter_map(|(table, _)| self.users.get(table)).flatten().copied();
         users.chain(self.unbound.iter().copied()).collect()
     }
 
-    /// A line goes with its host's state, which a proxy may not have heard of.
+    /// A table entry is sent with the withdrawal state of its host, which the proxy may not have received yet.
     fn line(&self, table: TableId, host: HostId, weight: f64) -> [Order; 2] {
         [
             Order::Withdraw { host, withdrawn: self.out.contains(&host) },
@@ -141,7 +143,7 @@
         to.put(proxy, lines, orders);
     }
 
-    /// What a reply sends, and which limits that passes.
+    /// Returns the messages that a reply causes and the channel limits that they exceed.
     pub fn write(&mut self, now: f64, orders: &[Order]) -> (Vec<Message>, Vec<Over>) {
         let mut mail = Mail::default();
         for order in orders {
@@ -213,7 +215,7 @@
     }
 }
 
-/// By proxy, lines beside the head, and orders.
+/// For each proxy, the number of lines without the message overhead, and the orders.
 #[derive(Default)]
 struct Mail(BTreeMap<ProxyId, (f64, Vec<Order>)>);
 
@@ -248,7 +250,8 @@
         Order::Bind { proxy: ProxyId(proxy), table: TableId(5), classes: ClassSet::ALL }
     }
 
-    /// Three lines of head, one of the table, one of the bind, one mark: six at 100 a second, then the way.
+    /// Three lines of message overhead, one table entry, one bind and one mark: six lines at 100 per second, plus the
+    /// transit time.
     #[test]
     fn a_bind_brings_the_table_and_who_is_shut_out_and_takes_its_time_in_the_channel() {
         let mut relay = relay(1e3, 0);
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,5 +1,5 @@
-//! The five rules, looked at for the fleet as a whole from outside: by what proxies hold, what hosts are offered and
-//! what channels carry, never by what a steward believes. Each breach comes with who and what it was seen at.
+//! Checks five safety rules for the whole fleet from outside: by the tables that proxies hold, the load that hosts are
+//! offered and the lines that channels carry, never by a controller's own view. Each breach names where it was seen.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,12 +14,12 @@
     Queue,
 }
 
-/// A rule was broken, first seen at that time.
+/// A broken rule and when it was first seen.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
     pub rule: Rule,
     pub at: f64,
-    /// Whose orders it was under; none: the proxy had no steward, or all of them together.
+    /// The controller whose orders applied; `None` if the proxy had none, or if all controllers together caused it.
     pub steward: Option<usize>,
     pub proxy: Option<ProxyId>,
     pub host: Option<HostId>,
@@ -28,7 +28,7 @@
 
 type Whose = (Option<usize>, Option<ProxyId>, Option<HostId>);
 
-/// What a cold host was offered lately.
+/// Work recently offered to a cold host, in core-ms.
 #[derive(Default)]
 struct Offered {
     tries: VecDeque<(f64, f64)>,
@@ -37,12 +37,12 @@
 
 #[derive(Default)]
 pub struct Checker {
-    /// The first of each rule, steward, proxy and host.
+    /// The first breach for each combination of rule, controller, proxy and host.
     pub breaches: Vec<Breach>,
     known: BTreeSet<(Rule, Whose)>,
     bare: BTreeMap<ProxyId, f64>,
     cold: BTreeMap<HostId, Offered>,
-    /// The most that a cold host was offered, times what it could do.
+    /// The maximum load offered to a cold host, as a multiple of its capacity.
     pub most: f64,
 }
 
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Whether the proxy has an open line for each product now; a break once it had none for longer than that.
+    /// Records whether the proxy has a usable host for each request class now; a breach once it has been without for
+    /// longer than `bare_for`.
     pub fn serves(&mut self, now: f64, proxy: ProxyId, steward: Option<usize>, open: bool, bare_for: f64) {
         if open {
             self.bare.remove(&proxy);
@@ -66,17 +67,18 @@
         }
     }
 
-    /// The proxy's steward can't be heard for so long: its limit waits.
+    /// The proxy cannot receive orders for `long` ms: its time limit is extended by that.
     pub fn waits(&mut self, proxy: ProxyId, long: f64) {
         self.bare.entry(proxy).and_modify(|since| *since += long);
     }
 
-    /// It ended: what it was offered until then counts no more.
+    /// The host stopped: work offered before no longer counts.
     pub fn fell(&mut self, host: HostId) {
         self.cold.remove(&host);
     }
 
-    /// Work in ms of a core comes to a cold host, which can do `able` of it in a ms. True: it is pushed over.
+    /// Offers `work` core-ms to a cold host with a capacity of `able` core-ms per ms. Returns true if the host is
+    /// overloaded enough to fail.
     pub fn offered(&mut self, now: f64, host: HostId, work: f64, able: f64, warmup: &Warmup) -> bool {
         let offered = self.cold.entry(host).or_default();
         offered.tries.push_back((now, work));
--- a/crates/emulator/src/standing.rs
+++ b/crates/emulator/src/standing.rs
@@ -1,17 +1,17 @@
-//! A fleet that stands: as many proxies and hosts as wanted, bound and answered, before a judge and its plain twin;
-//! and the replies that such a fleet's decisions write all day.
+//! A fleet in steady state, with any number of proxies and hosts, all bound and answered, set up in a judge and in the
+//! plain reference judge; and typical replies of the decisions for such a fleet.
 
 use amberarch_core::*;
 use amberarch_residency::{InUse, Judge, Plain};
 
 const ZONES: u16 = 8;
-/// Tables of a zone's class: hosts are dealt over them.
+/// Tables for each zone and group of request classes; the hosts are distributed over them.
 const NODES: u16 = 4;
 const PRODUCTS: u16 = 3;
-/// Two classes: the first two products may go to the next zone, the third stays.
+/// Two groups of request classes: the first two classes may use the next zone as well, the third stays in its zone.
 const CLASSES: [(ClassSet, u16); 2] = [(ClassSet(0b011), 2), (ClassSet(0b100), 1)];
 
-fn tbl(zone: u16, class: usize, node: u16) -> TableId {
+fn table_id(zone: u16, class: usize, node: u16) -> TableId {
     TableId(zone + ZONES * (2 * node + class as u16))
 }
 
@@ -19,7 +19,7 @@
     (0..width).map(|next| ZoneId((zone + next) % ZONES)).collect()
 }
 
-/// The judge of such a fleet, once all have answered.
+/// The judge of such a fleet after all proxies have answered.
 pub fn standing(proxies: u16, hosts: u32) -> Judge {
     let mut judge = Judge::new(PRODUCTS, 2_000.0);
     (0..hosts).map(HostId).for_each(|host| judge.listed(0.0, host, zone_of(host), Availability::InService));
@@ -56,7 +56,7 @@
     reach
 }
 
-/// What brings a fleet there from nothing.
+/// The orders that set up the fleet from an empty state.
 fn all(proxies: u16, hosts: u32) -> Vec<Order> {
     let mut orders = Vec::new();
     for zone in 0..ZONES {
@@ -64,13 +64,13 @@
             let zones = may(zone, *width);
             for host in (0..hosts).map(HostId).filter(|host| zones.contains(zone_of(*host))) {
                 let node = (host.0 / u32::from(ZONES)) as u16 % NODES;
-                orders.push(Order::SetEntry { table: tbl(zone, class, node), host, weight: 1.0 });
+                orders.push(Order::SetEntry { table: table_id(zone, class, node), host, weight: 1.0 });
             }
         }
     }
     for proxy in (0..proxies).map(ProxyId) {
         for (class, (products, _)) in CLASSES.iter().enumerate() {
-            let table = tbl(proxy.0 % ZONES, class, proxy.0 / ZONES % NODES);
+            let table = table_id(proxy.0 % ZONES, class, proxy.0 / ZONES % NODES);
             orders.push(Order::Bind { proxy, table, classes: *products });
         }
     }
@@ -78,8 +78,8 @@
     orders
 }
 
-/// The reply of that number, from one on: weights of a table, a host shut out and one let in, proxies that move to
-/// another table of their zone, and a mark.
+/// The reply with that number, counted from one: new weights in a table, one host withdrawn and one restored, proxies
+/// that move to another table of their zone, and a mark.
 pub fn some_reply(proxies: u16, hosts: u32, number: u32) -> Vec<Order> {
     let (zone, node) = ((number % u32::from(ZONES)) as u16, (number / 8) as u16 % NODES);
     let mut orders = Vec::new();
@@ -89,13 +89,17 @@
     let own = (0..hosts).map(HostId).filter(|host| zone_of(*host) == ZoneId(zone));
     let named = own.filter(|host| (host.0 / u32::from(ZONES)) as u16 % NODES == node).take(8);
     for host in named {
-        orders.push(Order::SetEntry { table: tbl(zone, 0, node), host, weight: 0.5 + f64::from(number % 2) });
+        orders.push(Order::SetEntry {
+            table: table_id(zone, 0, node),
+            host,
+            weight: 0.5 + f64::from(number % 2),
+        });
     }
     for step in 0..4 {
         let proxy = (number * 37 + step * u32::from(ZONES)) % u32::from(proxies);
         let (proxy, zone) = (ProxyId(proxy as u16), proxy as u16 % ZONES);
         let node = (number as u16).wrapping_add(step as u16) % NODES;
-        orders.push(Order::Bind { proxy, table: tbl(zone, 0, node), classes: CLASSES[0].0 });
+        orders.push(Order::Bind { proxy, table: table_id(zone, 0, node), classes: CLASSES[0].0 });
     }
     orders.push(Order::Mark { mark: MarkId(number as u16), all_proxies: false });
     orders
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,4 +1,4 @@
-//! The day itself: what happens when, in order of time.
+//! The emulated day: runs all actions in order of virtual time.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -24,11 +24,11 @@
 pub use fleet::{Fleet, Homes, Seen, SeenOf};
 use fleet::{Stations, Step};
 
-/// One way between two machines.
+/// One-way network latency between two machines, ms.
 const PATH: f64 = 1.0;
 const PROBE_LIMIT: f64 = 300.0;
-/// From the end of a sum's time to the steward.
-const SUM_LATE: f64 = 200.0;
+/// Delay from the end of a report window until the controller receives the report, ms.
+const REPORT_DELAY: f64 = 200.0;
 const TICK: f64 = 200.0;
 
 enum What {
@@ -36,7 +36,7 @@
         proxy: u16,
         product: u16,
     },
-    /// A client that got nothing asks again.
+    /// A client that got no answer retries.
     Again {
         proxy: ProxyId,
         product: ClassId,
@@ -80,15 +80,15 @@
     },
     Tick,
     Sample,
-    /// The first steward ends, and another begins in its place.
-    Anew,
-    /// Discovery answers it.
+    /// The first controller stops, and another starts in its place.
+    RestartController,
+    /// Discovery, or the check of the stored list, answers the restarted controller.
     Discovered,
     Fault {
         place: usize,
         begins: bool,
     },
-    /// Where many stewards are in force.
+    /// An action of a fleet with several controllers.
     Fleet(Step),
 }
 
@@ -96,21 +96,21 @@
     proxy: ProxyId,
     product: ClassId,
     came: f64,
-    /// When its client first asked, and how often it has.
+    /// When its client first sent it, and how often it has retried.
     first: f64,
     asked: u8,
     work: f64,
-    /// Where in the weights its first and its second try fall.
+    /// Random positions (0 to 1) in the table weights for its first and second try.
     chances: [f64; 2],
     tried: Option<HostId>,
-    /// Where it is under way.
+    /// The host that currently has it.
     under_way: Option<HostId>,
     again: bool,
     ran: bool,
     open: bool,
 }
 
-/// What a host's reporter holds; its clock is its own.
+/// State of a host's reporter, which has a clock of its own.
 struct Reporter {
     skew: f64,
     seq: u32,
@@ -118,27 +118,29 @@
     echo: Option<Echo>,
 }
 
+/// Txn counts of one report window.
 #[derive(Clone, Copy, Default)]
-struct Sum {
+struct ReportCounts {
     tries: u32,
-    voided: u32,
-    took: f64,
+    failed: u32,
+    latency_sum: f64,
 }
 
-impl Sum {
-    fn met(self, zone: ZoneId, host: HostId, covered: f64) -> Event {
-        let good = f64::from(self.tries.saturating_sub(self.voided));
+impl ReportCounts {
+    fn host_report(self, zone: ZoneId, host: HostId, covered: f64) -> Event {
+        let good = f64::from(self.tries.saturating_sub(self.failed));
         let (tries, failed, mean_latency) =
-            (self.tries.max(self.voided), self.voided, self.took / good.max(1.0));
+            (self.tries.max(self.failed), self.failed, self.latency_sum / good.max(1.0));
         Event::HostReport { host, zone, covered, tries, failed, mean_latency, load: LoadReport::default() }
     }
 
-    fn came(self, proxy: ProxyId, class: ClassId, covered: f64) -> Event {
-        Event::ProxyReport { proxy, class, txns: self.tries, failed: self.voided, covered }
+    fn proxy_report(self, proxy: ProxyId, class: ClassId, covered: f64) -> Event {
+        Event::ProxyReport { proxy, class, txns: self.tries, failed: self.failed, covered }
     }
 }
 
-/// One steward and what it steers: the first one's tables carry the day, others see the same and are followed.
+/// One controller with its proxies. The first one's tables route the day's traffic; the others receive the same events
+/// and their tables are only recorded.
 struct Front {
     steward: Box<dyn Decide>,
     intake: Option<Intake>,
@@ -146,7 +148,7 @@
     proxies: Vec<Proxy>,
     events: Vec<Event>,
     shares: Vec<Vec<f64>>,
-    /// What it learnt of hosts: the part that each carries, and who is shut out.
+    /// Stored warm-start hints: the latency factor of each host, and whether it is withdrawn.
     learnt: BTreeMap<HostId, (f64, bool)>,
     reports: u64,
     taken: u64,
@@ -164,17 +166,18 @@
     hosts: Vec<Host>,
     txns: BTreeMap<TxnId, Txn>,
     next: u32,
-    /// By the steward that the proxy belonged to, its zone and the host.
-    met: BTreeMap<(usize, ZoneId, HostId), Sum>,
-    came: BTreeMap<(u16, u16), Sum>,
-    /// What waits until a cut of its zone ends.
+    /// By the proxy's controller, the proxy's zone and the host.
+    host_counts: BTreeMap<(usize, ZoneId, HostId), ReportCounts>,
+    proxy_counts: BTreeMap<(u16, u16), ReportCounts>,
+    /// Actions held back until the network cut of their zone ends.
     held: Vec<(ZoneId, What)>,
-    /// Arrivals and work come from one source for each proxy, picks from another, as many for each txn whatever
-    /// becomes of it: two days with other decisions get the same txns and differ by those decisions alone.
+    /// Each proxy has one random source for arrivals and work and another for picks, with a fixed number of draws per
+    /// txn whatever its outcome. So two days with different decisions get the same txns and differ only by the
+    /// decisions.
     chances: Vec<ChaCha8Rng>,
     picks: Vec<ChaCha8Rng>,
     restart: Option<Kept>,
-    begun_anew: Option<f64>,
+    restarted_at: Option<f64>,
     governed: Option<Governed>,
     stations: Option<Stations>,
     decisions: u64,
@@ -212,7 +215,7 @@
         }
     }
 
-    /// The part of all txns that the tables deal to each host now.
+    /// The fraction of all txns that the tables currently assign to each host.
     fn shares(&self, hosts: usize, all: f64) -> Vec<f64> {
         let mut shares = vec![0.0; hosts];
         for proxy in &self.proxies {
@@ -249,14 +252,14 @@
             hosts: (0..shape.hosts).map(|at| Host::new(listed(at), shape.cores, shape.room)).collect(),
             txns: BTreeMap::new(),
             next: 0,
-            met: BTreeMap::new(),
-            came: BTreeMap::new(),
+            host_counts: BTreeMap::new(),
+            proxy_counts: BTreeMap::new(),
             held: Vec::new(),
             chances: (0..u64::from(shape.proxies)).map(source).collect(),
             picks: (0..u64::from(shape.proxies)).map(|at| source(at + (1 << 32))).collect(),
             day: Day { fates: vec![Fate::default(); shape.products.len()], ..Day::default() },
             restart: None,
-            begun_anew: None,
+            restarted_at: None,
             governed: None,
             stations: None,
             decisions: 0,
@@ -266,7 +269,7 @@
         }
     }
 
-    /// With named levels before the first steward's decisions; `acts` false only looks.
+    /// Adds named service levels to the first controller's decisions; with `acts` false they are only observed.
     pub fn levelled(mut self, ladder: Ladder, acts: bool) -> World {
         let products = self.shape.products.iter().map(|(product, ..)| product.clone()).collect();
         let levels = ServiceLevels::new(ladder, self.shape.zones, products, &self.shape.sums, acts);
@@ -275,25 +278,25 @@
         self
     }
 
-    /// With something between the first steward's decisions and its proxies.
+    /// Wraps the first controller's decisions, for example with an adapter between them and the proxies.
     pub fn behind(mut self, wrap: impl FnOnce(Box<dyn Decide>) -> Box<dyn Decide>) -> World {
         self.fronts[0].steward = wrap(Box::new(self.shape.steward(self.seed)));
         self
     }
 
-    /// The first steward is held to what is permitted from each of these times on.
+    /// Restricts the first controller to the rules in `plan`, each from its time on.
     pub fn governed(mut self, plan: Vec<(f64, Reach)>, care: Care) -> World {
         self.governed = Some(Governed::new(self.shape.products.len() as u16, plan, care));
         self
     }
 
-    /// The decisions hear that then, as of somebody beside the fleet.
+    /// Sends an external event to the decisions at that time.
     pub fn told(mut self, at: f64, event: Event) -> World {
         self.at(at, What::TellAll(event));
         self
     }
 
-    /// The judge hears what the decisions are about to hear, and they hear what changed of what is permitted.
+    /// Passes the pending events to the judge, and adds events for changes of the rules.
     fn govern(&mut self) {
         let mut hosts = BTreeMap::new();
         let on = self.hosts.iter().map(|host| &host.listed);
@@ -308,21 +311,21 @@
         }
     }
 
-    /// The first steward ends at that time and one that starts from what is kept takes its place.
+    /// Stops the first controller at that time and starts another from the kept state.
     pub fn restarted(mut self, at: f64, kept: Kept) -> World {
-        self.at(at, What::Anew);
+        self.at(at, What::RestartController);
         self.restart = Some(kept);
         self
     }
 
-    /// One more steward that sees this day as the first does, but for its own reports, and steers nothing: how
-    /// its tables differ is told apart from what other tables would have made of the day.
+    /// Adds a controller that receives the same events as the first, except for its own load reports, and routes no
+    /// traffic. So the difference between the tables can be measured without their effect on the day.
     pub fn beside(mut self, reports: Reports) -> World {
         self.fronts.push(Front::new(&self.shape, reports, self.seed));
         self
     }
 
-    /// The same txns, picked by other chances: what two days differ by where nothing decides otherwise.
+    /// The same txns with other random picks: shows how far two days differ when the decisions are the same.
     pub fn repicked(mut self, seed: u64) -> World {
         let source = |at| ChaCha8Rng::seed_from_u64(seed.wrapping_add(at));
         self.picks = (0..u64::from(self.shape.proxies)).map(source).collect();
@@ -341,11 +344,11 @@
                 let opened = intake.opened(0.0, ReporterId(host), &[HostId(host)]);
                 assert_eq!(opened, Ok(None), "there is room for a reporter of each host");
             }
-            // Not all at the same moment.
+            // The first reports are spread over 100 ms.
             let first = 100.0 * f64::from(host) / f64::from(hosts);
             self.at(first, What::Reported { front, host: HostId(host) });
         }
-        // What proxies hold before the first txns come.
+        // Time for the proxies to receive tables before the first txns arrive.
         let settle = 2_000.0;
         for proxy in 0..self.shape.proxies {
             for product in 0..self.shape.products.len() as u16 {
@@ -381,7 +384,7 @@
         }
     }
 
-    /// Plays the day to its end.
+    /// Runs the day to its end.
     pub fn play(mut self) -> Day {
         self.begin();
         self.decide();
@@ -411,7 +414,7 @@
         self.todo.insert(self.number, what);
     }
 
-    /// The tables that carry the day.
+    /// The proxies whose tables route the day's traffic.
     fn proxies(&self) -> &[Proxy] {
         &self.fronts[0].proxies
     }
@@ -420,7 +423,7 @@
         self.fronts.iter_mut().for_each(|front| front.events.push(event.clone()));
     }
 
-    /// Discovery lists what changed: a fleet's stewards hear of it as they can.
+    /// Publishes list changes; in a fleet, controllers receive them through their discovery watches.
     fn list(&mut self, entries: Vec<HostEntry>) {
         match self.stations.is_some() {
             true => self.changed(entries),
@@ -459,7 +462,7 @@
             }
             What::Tick => self.tick(),
             What::Sample => self.sample(),
-            What::Anew => self.anew(),
+            What::RestartController => self.restart_controller(),
             What::Discovered => self.discovered(),
             What::Fault { place, begins } => self.fault(place, begins),
             What::Fleet(step) => self.step(step),
@@ -502,9 +505,9 @@
         let id = TxnId(self.next);
         self.next += 1;
         self.day.fates[usize::from(product.0)].came += 1;
-        self.came.entry((proxy.0, product.0)).or_default().tries += 1;
+        self.proxy_counts.entry((proxy.0, product.0)).or_default().tries += 1;
         let (level, _) = self.proxies()[usize::from(proxy.0)].level(product);
-        // Answered at once: it is told to come back, and nothing of it is sent.
+        // Rejected at the proxy: the client may retry, and no host is tried.
         if self.shape.levels == LevelKind::Fraction && admitted >= level {
             self.day.fates[usize::from(product.0)].declined += 1;
             return self.ask_again(proxy, product, first, work, asked);
@@ -520,7 +523,7 @@
         self.send(id);
     }
 
-    /// Some of those who got nothing come again. A once-only txn that may have run is not asked for again.
+    /// Some of the clients without an answer retry. A non-idempotent txn that may have run is not retried.
     fn ask_again(&mut self, proxy: ProxyId, product: ClassId, first: f64, work: f64, asked: u8) {
         let (part, after, most) = self.shape.again;
         if asked < most && self.picks[usize::from(proxy.0)].random::<f64>() < part {
@@ -543,7 +546,7 @@
                 self.governed.iter_mut().for_each(|governed| governed.tried(now, pair, host));
                 let (zone, proxy) = (proxy.zone, txn.proxy);
                 let steward = self.steward_of(proxy);
-                self.met.entry((steward, zone, host)).or_default().tries += 1;
+                self.host_counts.entry((steward, zone, host)).or_default().tries += 1;
                 self.fleet_tried(proxy, host);
                 self.at(self.now + PATH, What::Reach { txn: id, host });
             }
@@ -587,12 +590,12 @@
         }
     }
 
-    /// The host has proven that it did nothing: where the table allows it, another may be tried.
+    /// The host has proven that it did no work: if the table's retry policy allows it, another host is tried.
     fn unworked(&mut self, id: TxnId, host: HostId) {
         let Some(txn) = self.txns.get_mut(&id) else { return };
         let proxy = &self.fronts[0].proxies[usize::from(txn.proxy.0)];
         let steward = self.stations.as_ref().map_or(0, |stations| stations.steward_of(txn.proxy));
-        self.met.entry((steward, proxy.zone, host)).or_default().voided += 1;
+        self.host_counts.entry((steward, proxy.zone, host)).or_default().failed += 1;
         let allowed = proxy.level(txn.product).1 != RetryPolicy::One && !txn.again;
         (txn.again, txn.under_way) = (true, None);
         match allowed {
@@ -608,7 +611,7 @@
         }
         let next = host.done(self.now, &self.shape.warmup);
         if let Some((next, longer)) = next {
-            // One that nobody waits for any more is worked all the same, as real hosts do.
+            // A txn whose client no longer waits is still processed, as real hosts do.
             let work = self.txns.get(&next).map_or(0.0, |txn| txn.work) + host.owed();
             self.at(self.now + work * longer, What::Done { txn: next, host: at, starts });
             self.ran(next);
@@ -617,13 +620,13 @@
             let (zone, took) =
                 (self.fronts[0].proxies[usize::from(txn.proxy.0)].zone, self.now - txn.came + PATH);
             let steward = self.steward_of(txn.proxy);
-            self.met.entry((steward, zone, at)).or_default().took += took;
+            self.host_counts.entry((steward, zone, at)).or_default().latency_sum += took;
             self.end(id, Some(took));
         }
         self.txns.remove(&id);
     }
 
-    /// The client has its final answer, or none.
+    /// Ends a txn for its client, with or without an answer.
     fn end(&mut self, id: TxnId, took: Option<f64>) {
         let Some(txn) = self.txns.get_mut(&id).filter(|txn| txn.open) else { return };
         txn.open = false;
@@ -645,10 +648,10 @@
         (window.earned, window.in_time) = (window.earned + earned, window.in_time + in_time);
         if took.is_none() {
             let zone = self.proxies()[usize::from(proxy.0)].zone;
-            self.came.entry((proxy.0, product.0)).or_default().voided += 1;
+            self.proxy_counts.entry((proxy.0, product.0)).or_default().failed += 1;
             if let Some(host) = under_way {
                 let steward = self.steward_of(proxy);
-                self.met.entry((steward, zone, host)).or_default().voided += 1;
+                self.host_counts.entry((steward, zone, host)).or_default().failed += 1;
             }
             if !(ran && of.idempotency == Idempotency::NonIdempotent) {
                 self.ask_again(proxy, product, first, work, asked);
@@ -664,7 +667,7 @@
         for order in orders {
             proxy.hear(to, order);
         }
-        // A fleet's proxies are all in the first place, whomever they belong to.
+        // In a fleet all proxies are stored in the first front, whichever controller they belong to.
         let answers_to = if self.stations.is_some() { self.steward_of(to) } else { front };
         for order in orders {
             if let Order::Mark { mark, .. } = order {
@@ -675,7 +678,7 @@
         let proxies = &self.fronts[front].proxies;
         let serves =
             |proxy: &Proxy| (0..proxy.rates.len() as u16).all(|id| proxy.open(ClassId(id)).next().is_some());
-        if let Some(begun) = self.begun_anew.filter(|_| front == 0 && self.day.bare_for.is_none()) {
+        if let Some(begun) = self.restarted_at.filter(|_| front == 0 && self.day.bare_for.is_none()) {
             self.day.bare_for = proxies.iter().all(serves).then_some(self.now - begun);
         }
     }
@@ -727,7 +730,7 @@
         }
         if front == 0 {
             let holders =
-                |tbl: &TableId| self.proxies().iter().filter(|proxy| proxy.uses(*tbl)).count() as u64;
+                |table: &TableId| self.proxies().iter().filter(|proxy| proxy.uses(*table)).count() as u64;
             let admits = sent.iter().filter_map(|order| match order {
                 Order::Admit { table, .. } => Some(holders(table)),
                 _ => None,
@@ -767,16 +770,16 @@
             self.fleet_sums();
             return self.at(self.now + over, What::Sums);
         }
-        let late = self.now + SUM_LATE;
-        for ((_, zone, host), sum) in std::mem::take(&mut self.met) {
-            self.held_or_at(zone, late, What::TellAll(sum.met(zone, host, over)));
+        let late = self.now + REPORT_DELAY;
+        for ((_, zone, host), sum) in std::mem::take(&mut self.host_counts) {
+            self.held_or_at(zone, late, What::TellAll(sum.host_report(zone, host, over)));
         }
-        for ((proxy, product), sum) in std::mem::take(&mut self.came) {
+        for ((proxy, product), sum) in std::mem::take(&mut self.proxy_counts) {
             let there = &self.proxies()[usize::from(proxy)];
             if there.stalled {
                 continue;
             }
-            let event = sum.came(ProxyId(proxy), ClassId(product), over);
+            let event = sum.proxy_report(ProxyId(proxy), ClassId(product), over);
             self.held_or_at(there.zone, late, What::TellAll(event));
         }
         self.at(self.now + over, What::Sums);
@@ -821,7 +824,7 @@
             let reporter = &mut reporters[host.0 as usize];
             reporter.echo = Some(paces.echo);
             reporter.every = paces.every.first().map_or(reporter.every, |(_, every)| *every);
-            // It answers at once: that shows how its clock stands.
+            // The reporter answers at once, which shows the offset of its clock.
             let (sent, echo) = (self.now + PATH + reporter.skew, reporter.echo);
             let answer = What::Reports { front, host, sent, echo, report: None };
             self.at(self.now + 2.0 * PATH, answer);
@@ -855,12 +858,12 @@
         self.at(self.now + 1_000.0, What::Sample);
     }
 
-    /// What the disk holds is heard as a daemon hears it: a fresh list at once, an old one once each host has passed
-    /// twice, none only when discovery answers.
-    fn anew(&mut self) {
+    /// Restarts the first controller as a daemon starts from its disk: a fresh stored list is used at once, an old one
+    /// after each host has passed two probes, and without a stored list it waits for discovery.
+    fn restart_controller(&mut self) {
         let Some(kept) = self.restart else { return };
         self.fronts[0].steward = Box::new(self.shape.steward(self.seed + 1));
-        // Its timers and what was on the way to the one before are gone with it.
+        // Timers and orders in transit of the stopped controller are dropped.
         self.todo
             .retain(|_, what| !matches!(what, What::Tell { front: 0, .. } | What::Heard { front: 0, .. }));
         self.fronts[0].proxies.iter_mut().for_each(Proxy::follow_next);
@@ -869,7 +872,7 @@
                 *proxy = Proxy::new(proxy.zone, proxy.rates.clone());
             }
         }
-        self.begun_anew = Some(self.now);
+        self.restarted_at = Some(self.now);
         let none = Event::List { update: ListUpdate::FromSnapshot, entries: vec![] };
         self.fronts[0].events = vec![none];
         for (at, zone) in (0..).zip(self.proxies().iter().map(|proxy| proxy.zone).collect::<Vec<_>>()) {
@@ -881,7 +884,7 @@
                 without_table: kept.fresh_proxies,
             });
         }
-        /// Two probes of the roster, the second 0.2 s after the first.
+        /// Time for two probes of each listed host, the second 0.2 s after the first, ms.
         const TWO_PASSES: f64 = 250.0;
         match kept.list_age {
             Some(age) if age < kept.confirmed_for => self.restore(kept),
@@ -891,7 +894,7 @@
         self.at(self.now + kept.silent_for, What::Discovered);
     }
 
-    /// The disk's list is from before the latest changes: it names hosts that have left since as on.
+    /// The stored list is older than the latest changes: it still lists removed hosts as in service.
     fn restore(&mut self, kept: Kept) {
         let on = |host: &Host| HostEntry { availability: Availability::InService, ..host.listed.clone() };
         let entries = self.hosts.iter().map(on).collect();
@@ -901,8 +904,8 @@
 
     fn discovered(&mut self) {
         let Some(kept) = self.restart else { return };
-        // Ahead of discovery, those that have passed twice; with it, all that it lists.
-        let answers = self.begun_anew.is_some_and(|begun| self.now >= begun + kept.silent_for);
+        // Before discovery answers: the hosts that have passed two probes. Afterwards: all hosts that it lists.
+        let answers = self.restarted_at.is_some_and(|begun| self.now >= begun + kept.silent_for);
         let listed = |host: &&Host| if answers { host.left.is_none() } else { host.up };
         let entries = self.hosts.iter().filter(listed).map(|host| host.listed.clone()).collect();
         let update = if answers { ListUpdate::Full } else { ListUpdate::Changes };
@@ -931,7 +934,7 @@
             self.fleet_fault(&what, begins, lasts);
         }
         match what {
-            // Of many stewards only.
+            // These concern fleets with several controllers only.
             Trouble::StewardsLost { .. } | Trouble::DiscoveryDown | Trouble::DiscoverySlow { .. } => {}
             Trouble::CutFor { .. } | Trouble::Bad { .. } | Trouble::Replace { .. } => {}
             Trouble::Unsure { .. } | Trouble::StewardsSlow { .. } | Trouble::SumsLate { .. } => {}
@@ -970,8 +973,8 @@
                     there.fall(now);
                     (there.left, there.listed.availability) = (Some(now), Availability::Removed);
                     let entries = vec![there.listed.clone()];
-                    // Discovery that is silent tells nobody.
-                    let silent = self.restart.zip(self.begun_anew);
+                    // A discovery that does not answer publishes no change.
+                    let silent = self.restart.zip(self.restarted_at);
                     if silent.is_none_or(|(kept, begun)| now >= begun + kept.silent_for) {
                         self.list(entries);
                     }
@@ -993,7 +996,7 @@
                 self.list_reporters();
             }
             Trouble::Stall { proxies } => {
-                // A fleet's proxies are all in the first place.
+                // In a fleet all proxies are stored in the first front.
                 let tables = if self.stations.is_some() { 1 } else { self.fronts.len() };
                 for (front, at) in (0..tables).flat_map(|f| proxies.iter().map(move |at| (f, *at))) {
                     let proxy = &mut self.fronts[front].proxies[usize::from(at)];
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -1,5 +1,5 @@
-//! Many stewards in force over one fleet. Each knows its own proxies, its own channel, its own probes and sums, and
-//! what the shared discovery tells it; hosts get the load and the probes of all.
+//! Several controllers active in one fleet. Each has its own proxies, channel, probes and traffic reports, and its view of
+//! the shared discovery; hosts receive the load and the probes of all of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
@@ -9,25 +9,26 @@
 use crate::relay::{Over, Relay};
 use crate::rules::{Breach, Checker, Rule};
 
-/// How often all is looked at from outside.
-const LOOK: f64 = 200.0;
-/// A call to the relay without an answer for so long is made again, first after that pause and at last after that.
-const ANSWER: f64 = 50.0;
-const AGAIN: f64 = 500.0;
-const AGAIN_MOST: f64 = 1_500.0;
-/// A host that is replaced works on so long after the list let it go.
-const WORKS_ON: f64 = 4_000.0;
-/// What a proxy starts with comes from no run of a steward.
+/// Interval of the checks of the whole fleet, ms.
+const CHECK_INTERVAL: f64 = 200.0;
+/// A call to the relay without an answer within `CALL_TIMEOUT` is repeated, first after `RETRY_PAUSE`; the pause
+/// doubles up to `MAX_RETRY_PAUSE`. All in ms.
+const CALL_TIMEOUT: f64 = 50.0;
+const RETRY_PAUSE: f64 = 500.0;
+const MAX_RETRY_PAUSE: f64 = 1_500.0;
+/// Time that a replaced host keeps working after it left the list, ms.
+const REPLACED_HOST_RUNS_FOR: f64 = 4_000.0;
+/// Run number of the bootstrap tables, which come from no controller run.
 const NO_RUN: u32 = 0;
 
-/// Whom proxies belong to while all stewards run.
+/// Which controller each proxy belongs to while all controllers run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Homes {
-    /// To the steward of their zone; zones are dealt over stewards.
+    /// The controller of its zone; zones are distributed over the controllers in turn.
     ByZone,
-    /// In turn, whatever the zone.
+    /// In turn, independent of the zone.
     Dealt,
-    /// All to this one: the others have none.
+    /// All proxies belong to this controller; the others have none.
     AllAt(u16),
 }
 
@@ -35,22 +36,21 @@
 pub struct Fleet {
     pub stewards: u16,
     pub homes: Homes,
-    /// Each steward's own.
+    /// The channel of each controller.
     pub channel: Channel,
     pub discovery: Asked,
-    /// Within so long its proxies come back to a steward that began anew, ms.
+    /// Time within which its proxies return to a restarted controller, ms.
     pub back_within: f64,
-    /// Stewards begin with the list as it is; else with none, and all ask at once.
+    /// Controllers start with the current host list; otherwise with none, and all request it at once.
     pub list_known: bool,
-    /// A cold host that is pushed over ends, and starts anew so long after, ms; none: it works on.
+    /// A cold host that is overloaded fails and restarts after this time, ms; `None`: it keeps working.
     pub falls_for: Option<f64>,
-    /// What answering a probe takes of a host, ms of a core.
+    /// Work of answering a probe, core-ms.
     pub probe_work: f64,
 }
 
 impl Fleet {
-    /// With channels as the days of many stewards have them: 1.75 lines a second and 24 of backlog to each proxy of the
-    /// whole fleet.
+    /// The usual channel: 1.75 lines per second and a backlog of 24 lines for each proxy of the whole fleet.
     pub fn usual(shape: &Shape, stewards: u16) -> Fleet {
         let proxies = f64::from(shape.proxies);
         let channel = Channel {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// One steward with the channels of all of these together: it sees what they see in parts.
+    /// A single controller with the combined channel capacity of all, which sees the whole fleet.
     pub fn seeing_all(&self) -> Fleet {
         let times = f64::from(self.stewards);
         let Channel { lines_per_s, max_backlog, .. } = self.channel;
@@ -88,41 +88,42 @@
     }
 }
 
-/// What a day of many stewards showed.
+/// Results of a day with several controllers.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     pub breaches: Vec<Breach>,
-    /// From the end of the last fault until the tables settled, ms; none: they had not at the end of the day.
+    /// From the end of the last fault until the tables settled, ms; `None` if they had not by the end of the day.
     pub settled_after: Option<f64>,
-    /// What was last seen that had not settled.
+    /// The last reason seen why the tables were not settled.
     pub unsettled: String,
-    /// Calls to discovery: in the worst second, and all.
+    /// Calls to discovery: the maximum in one second, and the total.
     pub calls: (u32, u32),
-    /// Probes a host and second: in the mean, and the most that one host got in one second.
+    /// Probes per host and second: the mean, and the maximum for one host.
     pub probes: (f64, u32),
     pub stewards: Vec<SeenOf>,
-    /// From its steward's death, by proxy: until it had an open line for each product whose host served, and until a
-    /// steward had bound it for all, ms. Those that had not when the day ended are not in it, but counted.
+    /// Per proxy whose controller stopped: time until it had a working host for each request class, and until a
+    /// controller had bound it for all classes, ms. Proxies that had not reached this by the end of the day are counted
+    /// in `never_bound` instead.
     pub serving_after: Vec<f64>,
     pub bound_after: Vec<f64>,
     pub never_bound: usize,
-    /// Decisions made, by all.
+    /// Number of decisions of all controllers.
     pub decisions: u64,
-    /// Cold hosts that were pushed over and ended; the most that one was offered, times what it could do.
+    /// Cold hosts that failed from overload, and the maximum load offered to one, as a multiple of its capacity.
     pub fallen: u32,
     pub cold_most: f64,
-    /// Calls to relays that got no answer.
+    /// Relay calls without an answer.
     pub unsure: u32,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SeenOf {
     pub lines: f64,
-    /// The most that waited, as a part of the backlog.
+    /// Maximum number of waiting lines, as a fraction of the backlog limit.
     pub most_waiting: f64,
     pub probes: u64,
     pub calls: u32,
-    /// Of the txns that came to its proxies.
+    /// Value of the txns that arrived at its proxies.
     pub offered: f64,
     pub earned: f64,
 }
@@ -145,7 +146,7 @@
         session: u32,
         orders: Vec<Order>,
     },
-    /// Its turn at discovery.
+    /// Discovery answers its call.
     Turn {
         front: usize,
         up: Up,
@@ -158,14 +159,14 @@
         front: usize,
         up: Up,
     },
-    /// A call that got no answer is made again, with what has come to wait behind it.
+    /// Repeats a call that got no answer, together with the orders queued since.
     Again {
         front: usize,
         run: u32,
     },
-    /// A steward that stood still gets its turn.
+    /// A paused controller process runs.
     Turned,
-    /// A host that fell starts anew.
+    /// A failed host restarts.
     Rises {
         host: HostId,
     },
@@ -176,21 +177,22 @@
     Ends {
         host: u32,
     },
-    Look,
+    Check,
 }
 
 struct Station {
     up: bool,
     run: u32,
     relay: Relay,
-    /// When this run heard that a host is to get no more.
+    /// When this run learnt that a host is draining or removed.
     gone: BTreeMap<HostId, f64>,
     seen: SeenOf,
-    /// Orders whose call was not answered yet, since when, and how long the next repeat waits; calls that were made.
+    /// Orders not yet acknowledged by the relay; since when a call is unanswered and the next retry pause, ms; and the
+    /// number of calls made.
     waiting: Vec<Order>,
     unsure: Option<(f64, f64)>,
     calls: u32,
-    /// Where the next round of sums begins, and when each pair was told last.
+    /// Where the next round of traffic reports starts, and when each pair was last reported.
     turn: usize,
     told: BTreeMap<Pair, f64>,
 }
@@ -204,11 +206,11 @@
 #[derive(Clone, Default)]
 struct Home {
     at: Option<usize>,
-    /// Counts its joins: what was sent before the last one is lost.
+    /// Number of joins and losses. Messages sent before the last one are dropped.
     session: u32,
-    /// No drain that its steward knows of binds it before that.
+    /// Drains known to its controller apply to it only from this time on.
     drains_from: f64,
-    /// Its steward died then; it has had a serving host, and a bind, since.
+    /// When its controller stopped, and whether it has had a working host, and a bind, since.
     lost: Option<(f64, bool, bool)>,
 }
 
@@ -220,21 +222,21 @@
     checker: Checker,
     runs: u32,
     probes: BTreeMap<(u64, HostId), u32>,
-    /// Turns of stewards that are held, by when they are.
+    /// Scheduled turns of paused controllers, by time.
     turns: BTreeSet<(usize, u64)>,
     seen: Seen,
     unsettled_at: f64,
 }
 
 impl Stations {
-    /// The steward that a proxy's sums go to; of one that has none, the first.
+    /// The controller that receives a proxy's traffic reports; the first one if the proxy has none.
     pub fn steward_of(&self, proxy: ProxyId) -> usize {
         self.homes[usize::from(proxy.0)].at.unwrap_or(0)
     }
 }
 
 impl World {
-    /// Many stewards in force, each with its part. Faults of stewards and of discovery mean something only here.
+    /// Runs the day with several controllers. Controller and discovery faults have an effect only here.
     pub fn fleet(mut self, fleet: Fleet) -> World {
         let products = self.shape.products.len() as u16;
         let hosts = self.hosts.iter().map(|host| host.listed.clone());
@@ -269,9 +271,9 @@
         self
     }
 
-    /// A fleet's proxies start with a few hosts of their zone, and its stewards all in the same moment.
+    /// Starts the proxies with a few hosts of their zone, and all controllers at the same time.
     pub(super) fn begin_fleet(&mut self) {
-        let standing = crate::STANDING as usize;
+        let bootstrap_hosts = crate::BOOTSTRAP_HOSTS as usize;
         for at in 0..self.fronts[0].proxies.len() {
             let zone = self.fronts[0].proxies[at].zone;
             let there: Vec<HostId> = self
@@ -282,7 +284,7 @@
                 .map(|row| row.host)
                 .collect();
             let first = self.hashed((at, "standing")) as usize;
-            let given = (0..standing.min(there.len())).map(|step| there[(first + step) % there.len()]);
+            let given = (0..bootstrap_hosts.min(there.len())).map(|step| there[(first + step) % there.len()]);
             self.fronts[0].proxies[at].start_with(given);
         }
         for front in 0..self.fronts.len() {
@@ -291,10 +293,10 @@
         for proxy in 0..self.shape.proxies {
             self.join(ProxyId(proxy));
         }
-        self.at(LOOK, What::Fleet(Step::Look));
+        self.at(CHECK_INTERVAL, What::Fleet(Step::Check));
     }
 
-    /// The same for the same seed, and unlike for what it is about.
+    /// A pseudo-random value that depends on the seed and on `about` only.
     fn hashed(&self, about: impl std::hash::Hash) -> u64 {
         let hashed = BuildHasherDefault::<DefaultHasher>::default();
         hashed.hash_one((self.seed, about)) >> 8
@@ -328,7 +330,7 @@
         let proxies_by_zone = stations.fleet.homes == Homes::ByZone;
         let (all, run) = (stations.all.len() as u32, stations.runs);
         let (channel, known) = (stations.fleet.channel.clone(), stations.fleet.list_known);
-        let post = InstanceSettings {
+        let instance = InstanceSettings {
             seed: self.hashed((front, run)),
             zone: self.zone_of(front),
             zone_count: self.shape.zones,
@@ -337,7 +339,7 @@
             slice_count: 0,
             may_probe: true,
         };
-        self.fronts[front].steward = Box::new(self.shape.steward_at(post, channel, true));
+        self.fronts[front].steward = Box::new(self.shape.steward_at(instance, channel, true));
         let on = self
             .hosts
             .iter()
@@ -345,7 +347,7 @@
             .filter(|row| row.availability == Availability::InService);
         let entries = if known { on.cloned().collect() } else { vec![] };
         self.fronts[front].events = vec![Event::List { update: ListUpdate::FromSnapshot, entries }];
-        // Those that wait for any steward come at once, its own when they find that it is back.
+        // Proxies without a controller join at once; its own proxies when they notice that it is back.
         for at in 0..self.shape.proxies {
             let within = self.stations().fleet.back_within;
             let home = self.stations().homes[usize::from(at)].clone();
@@ -360,7 +362,7 @@
         }
     }
 
-    /// Where a proxy goes now: home, or to one of those that run.
+    /// The controller that a proxy joins now: its home, or another that is running.
     fn home(&self, proxy: ProxyId) -> Option<usize> {
         let stations = self.stations.as_ref()?;
         let home = match stations.fleet.homes {
@@ -404,7 +406,7 @@
         });
     }
 
-    /// It ends: its channel, its calls and what it knew are gone, and its proxies go to the others at once.
+    /// Stops a controller: its channel, calls and state are lost, and its proxies move to the others at once.
     fn lose(&mut self, front: usize) {
         let now = self.now;
         if !std::mem::take(&mut self.stations().all[front].up) {
@@ -412,7 +414,7 @@
         }
         self.fronts[front].events.clear();
         self.todo.retain(|_, what| !matches!(what, What::Tell { front: of, .. } if *of == front));
-        self.met.retain(|(of, ..), _| *of != front);
+        self.host_counts.retain(|(of, ..), _| *of != front);
         let stations = self.stations();
         stations.discovery.lose(front);
         let (lines, most) = (stations.all[front].relay.lines, stations.all[front].relay.most);
@@ -458,14 +460,14 @@
                     self.call_again(front);
                 }
             }
-            // What was heard meanwhile is decided on after each step.
+            // Pending events are decided on after each step.
             Step::Turned => {}
             Step::Rises { host } => self.rise(host),
             Step::Replace { host } => self.replace(host),
             Step::Ends { host } => self.hosts[host as usize].fall(now),
-            Step::Look => {
-                self.look();
-                self.at(now + LOOK, What::Fleet(Step::Look));
+            Step::Check => {
+                self.check();
+                self.at(now + CHECK_INTERVAL, What::Fleet(Step::Check));
             }
         }
     }
@@ -493,7 +495,7 @@
     }
 
     fn tell_list(&mut self, front: usize, update: ListUpdate, entries: Vec<HostEntry>) {
-        // One that stands still has heard of it when it has its turn.
+        // A paused controller learns of it when its process runs.
         let now = self.turn_at(front);
         let named: BTreeMap<HostId, Availability> =
             entries.iter().map(|row| (row.host, row.availability)).collect();
@@ -510,7 +512,7 @@
         self.fronts[front].events.push(Event::List { update, entries });
     }
 
-    /// Discovery lists what changed.
+    /// Publishes list changes through discovery.
     pub(super) fn changed(&mut self, rows: Vec<HostEntry>) {
         let now = self.now;
         let discovery = &mut self.stations().discovery;
@@ -520,7 +522,7 @@
         }
     }
 
-    /// A host leaves, and another starts cold in its place.
+    /// Removes a host and starts a new cold one in its place.
     fn replace(&mut self, host: u32) {
         let (now, cores, room) = (self.now, self.shape.cores, self.shape.room);
         let old = &mut self.hosts[host as usize];
@@ -536,7 +538,7 @@
         let listed = new.listed.clone();
         self.hosts.push(new);
         self.changed(vec![gone, listed]);
-        self.at(now + WORKS_ON, What::Fleet(Step::Ends { host }));
+        self.at(now + REPLACED_HOST_RUNS_FOR, What::Fleet(Step::Ends { host }));
     }
 
     pub(super) fn fleet_fault(&mut self, trouble: &Trouble, begins: bool, lasts: f64) {
@@ -550,7 +552,7 @@
                     }
                 }
             }
-            // Nobody can tell a proxy that does not read: it counts from when it reads on.
+            // A stalled proxy receives no orders: drains apply to it from the time it reads again.
             Trouble::Stall { proxies } if !begins => {
                 for proxy in proxies {
                     let home = &mut self.stations().homes[usize::from(*proxy)];
@@ -578,7 +580,7 @@
         }
     }
 
-    /// Whether what this steward's probes and its proxies' sums say of the host reaches it as it is.
+    /// Whether this controller's probes and its proxies' reports about the host reach it.
     pub(super) fn sees(&self, front: usize, host: HostId) -> bool {
         let (at, own) = (self.hosts[host.0 as usize].listed.zone, self.zone_of(front));
         !self.faults_now().any(|trouble| match trouble {
@@ -590,7 +592,7 @@
         })
     }
 
-    /// Whether a try from there is lost at the host.
+    /// Whether a try from that zone is lost at the host.
     pub(super) fn loses(&self, from: ZoneId, host: HostId) -> bool {
         self.faults_now().any(|trouble| match trouble {
             Trouble::Bad { hosts, seen_from } => {
@@ -613,8 +615,8 @@
         }
     }
 
-    /// What a steward writes goes to its own proxies, through its own channel: at once, but behind a call that got no
-    /// answer.
+    /// Sends a controller's orders to its proxies through its own channel: at once, or after a call that is still
+    /// unanswered.
     pub(super) fn write(&mut self, front: usize, orders: &[Order]) {
         let station = &mut self.stations().all[front];
         station.waiting.extend_from_slice(orders);
@@ -623,7 +625,7 @@
         }
     }
 
-    /// All that waits goes as one call. One without an answer may have been carried out.
+    /// Sends all waiting orders as one call. A call without an answer may have been carried out.
     fn call(&mut self, front: usize) {
         let (now, part) = (self.now, self.unsure_part(front));
         let station = &mut self.stations().all[front];
@@ -635,9 +637,9 @@
             let stations = self.stations();
             stations.seen.unsure += 1;
             let station = &mut stations.all[front];
-            let (since, pause) = station.unsure.unwrap_or((now, AGAIN));
-            station.unsure = Some((since, AGAIN_MOST.min(2.0 * pause)));
-            self.at(now + ANSWER + pause, What::Fleet(Step::Again { front, run }));
+            let (since, pause) = station.unsure.unwrap_or((now, RETRY_PAUSE));
+            station.unsure = Some((since, MAX_RETRY_PAUSE.min(2.0 * pause)));
+            self.at(now + CALL_TIMEOUT + pause, What::Fleet(Step::Again { front, run }));
         } else {
             self.answered(front);
         }
@@ -649,7 +651,7 @@
         }
     }
 
-    /// Time limits wait while a call has no answer: what was told before counts from so much later.
+    /// Time limits are suspended while a call is unanswered: earlier drain times move by the time it took.
     fn answered(&mut self, front: usize) {
         let now = self.now;
         let station = &mut self.stations().all[front];
@@ -659,7 +661,7 @@
         }
     }
 
-    /// The steward hears that its marks' messages may come once more, as its front tells it.
+    /// Repeats a call, and tells the controller that the messages of its marks may arrive twice.
     fn call_again(&mut self, front: usize) {
         let marks = self.stations().all[front].waiting.iter().filter_map(|order| match order {
             Order::Mark { mark, .. } => Some(Event::CallDuplicated { mark: *mark }),
@@ -678,12 +680,12 @@
         self.faults_now().map(of).fold(0.0, f64::max)
     }
 
-    /// When the steward's process has its next turn: now, where nothing holds it.
+    /// When the controller's process runs next: now, unless a fault pauses it.
     fn turn_at(&self, front: usize) -> f64 {
         let now = self.now;
         let turn = |fault: &Fault| match &fault.what {
             Trouble::StewardsSlow { stewards, every } if stewards.contains(&(front as u16)) => {
-                // Times are whole microseconds: a turn that is that near is now.
+                // Times are whole microseconds: a turn within one microsecond counts as now.
                 let turns = ((now - fault.from) / every - 1e-3 / every).ceil();
                 (fault.from + turns.max(0.0) * every).min(fault.until)
             }
@@ -693,7 +695,7 @@
         held.map(turn).fold(now, f64::max)
     }
 
-    /// Its process has no turn now: what it hears waits until it has.
+    /// Whether the controller's process is paused now; its events wait until it runs.
     pub(super) fn stands_still(&mut self, front: usize) -> bool {
         let (now, turn) = (self.now, self.turn_at(front));
         if self.stations.is_none() || turn <= now + 1e-3 {
@@ -726,15 +728,15 @@
         }
     }
 
-    /// A round of late sums: each steward takes in so many lines a second, so each pair waits its turn.
+    /// A round of traffic reports. A controller accepts a limited number of lines per second, so pairs take turns.
     pub(super) fn fleet_sums(&mut self) {
         let (now, every) = (self.now, self.shape.sums.interval);
         let most = (self.shape.sums.max_lines_per_s * every / 1e3) as usize;
         let mut pairs: Vec<Vec<Pair>> = vec![Vec::new(); self.fronts.len()];
-        for (front, zone, host) in self.met.keys() {
+        for (front, zone, host) in self.host_counts.keys() {
             pairs[*front].push(Pair::Met(*zone, *host));
         }
-        for (proxy, product) in self.came.keys().copied() {
+        for (proxy, product) in self.proxy_counts.keys().copied() {
             let there = &self.fronts[0].proxies[usize::from(proxy)];
             let home = self.stations.as_ref().and_then(|stations| stations.homes[usize::from(proxy)].at);
             if let Some(front) = home.filter(|_| !there.stalled) {
@@ -753,19 +755,19 @@
                 let over = now - self.stations().all[front].told.insert(pair, now).unwrap_or(now - every);
                 let (event, seen) = match pair {
                     Pair::Met(zone, host) => {
-                        let sum = self.met.remove(&(front, zone, host)).unwrap_or_default();
-                        (sum.met(zone, host, over), !self.cut(zone) && !self.cut_for(front, zone))
+                        let sum = self.host_counts.remove(&(front, zone, host)).unwrap_or_default();
+                        (sum.host_report(zone, host, over), !self.cut(zone) && !self.cut_for(front, zone))
                     }
                     Pair::Came(proxy, product) => {
-                        let sum = self.came.remove(&(proxy, product)).unwrap_or_default();
+                        let sum = self.proxy_counts.remove(&(proxy, product)).unwrap_or_default();
                         let zone = self.fronts[0].proxies[usize::from(proxy)].zone;
                         let seen = !self.cut(zone) && !self.cut_for(front, zone);
-                        (sum.came(ProxyId(proxy), ClassId(product), over), seen)
+                        (sum.proxy_report(ProxyId(proxy), ClassId(product), over), seen)
                     }
                 };
-                // What a cut holds back is lost: here it says nothing that a later one does not.
+                // Reports held back by a network cut are dropped here; later reports replace them.
                 if seen {
-                    self.at(now + SUM_LATE + self.late_by(front), What::Tell { front, event });
+                    self.at(now + REPORT_DELAY + self.late_by(front), What::Tell { front, event });
                 }
             }
         }
@@ -819,7 +821,7 @@
         }
     }
 
-    /// One that fell is back, cold, if nothing else ended or started it since.
+    /// Restarts a failed host, cold, unless something else stopped or started it meanwhile.
     fn rise(&mut self, host: HostId) {
         let now = self.now;
         let down =
@@ -852,11 +854,11 @@
         }
     }
 
-    /// All proxies, hosts and stewards, as they are.
-    fn look(&mut self) {
-        let (now, bare_for) = (self.now, crate::BARE_FOR);
+    /// Checks the state of all proxies, hosts and controllers.
+    fn check(&mut self) {
+        let (now, bare_for) = (self.now, crate::MAX_TIME_WITHOUT_HOST);
         let products = self.shape.products.len() as u16;
-        // One that gets its turn within a second is slow, no more.
+        // A controller that runs within a second counts as slow, not as paused.
         let held: Vec<bool> = (0..self.fronts.len()).map(|front| self.turn_at(front) > now + 1e3).collect();
         let Some(stations) = &mut self.stations else { return };
         let hosts = &self.hosts;
@@ -866,9 +868,9 @@
             let home = &mut stations.homes[at];
             let id = ProxyId(at as u16);
             let open = (0..products).all(|id| proxy.open(ClassId(id)).next().is_some());
-            // Nothing can be told to it now: its limit waits.
+            // Nothing can be sent to the proxy now, so its time limit is suspended.
             if home.at.is_some_and(|front| held[front] || stations.all[front].unsure.is_some()) {
-                stations.checker.waits(id, LOOK);
+                stations.checker.waits(id, CHECK_INTERVAL);
             }
             stations.checker.serves(now, id, home.at, open, bare_for);
             let bound = home.at.is_some() && proxy.bound_by_its_steward();
@@ -913,7 +915,7 @@
         }
     }
 
-    /// What the day showed.
+    /// Collects the results of the day.
     pub(super) fn fleet_seen(&mut self) -> Seen {
         let (lasts, faults) = (self.shape.lasts, &self.faults);
         let ends = faults.iter().map(|fault| if fault.until < lasts { fault.until } else { fault.from });
@@ -921,7 +923,7 @@
         let (now, hosts) = (self.now.min(lasts), f64::from(self.shape.hosts));
         let Some(mut stations) = self.stations.take() else { return Seen::default() };
         let mut seen = std::mem::take(&mut stations.seen);
-        let settled = stations.unsettled_at + 2.0 * LOOK < now;
+        let settled = stations.unsettled_at + 2.0 * CHECK_INTERVAL < now;
         seen.settled_after = settled.then_some((stations.unsettled_at - last).max(0.0));
         seen.breaches = stations.checker.breaches;
         seen.cold_most = stations.checker.most;
@@ -943,7 +945,7 @@
 }
 
 impl Station {
-    /// Takes the figures of a run's channel.
+    /// Adds the channel figures of a controller run.
     fn close(&mut self, lines: f64, most: f64, backlog: f64) {
         self.seen.lines += lines;
         self.seen.most_waiting = self.seen.most_waiting.max(most / backlog);
