--- a/crates/worlds/src/explore.rs
+++ b/crates/worlds/src/explore.rs
@@ -1,10 +1,10 @@
-//! Small worlds explored breadth first: at each state every choice of what happens next is tried, and a state that
-//! was seen is not gone on from. What it finds first has the fewest choices.
+//! Explores small fleets exhaustively, breadth first: in each state every choice of what happens next is tried, and a
+//! state that was seen before is not explored again. So the first breach found has the fewest choices.
 //!
-//! All clocks are one, chance is even, texts are checked and proxies confirm at once, each link keeps its order. Time
-//! goes on when nothing is under way and nobody is due, so a message takes no time unless it is lost or its receiver
-//! stopped. How states are folded and which orders are left out, and why that loses nothing, stands in
-//! `docs/fleet-policy.md`.
+//! All members share one clock, random draws are fixed, revisions are checked and proxies confirm at once, and each link
+//! keeps the order of its messages. Time advances when no message is in transit and no timer is due, so a message takes
+//! no time unless it is lost or its receiver is paused. `docs/fleet-policy.md` describes how equivalent states are merged
+//! and which orders of choices are skipped, and why this misses no breach.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -20,60 +20,60 @@
 use crate::machine::{Bounds, Machine};
 use crate::{Shape, World};
 
-/// One thing that may happen next.
+/// One step that may happen next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// The oldest message from the first to the second arrives.
+    /// The oldest message from the first to the second member arrives.
     Deliver(usize, usize),
-    /// It is lost.
+    /// The oldest message of the link is lost.
     Lose(usize, usize),
-    /// It is held up: what comes after it on that link, and time, may pass it.
+    /// The oldest message of the link is delayed: later messages on the link, and time, may overtake it.
     Late(usize, usize),
-    /// One that was held up arrives.
+    /// A delayed message arrives.
     Comes(usize, usize),
-    /// A timer of this member is called.
+    /// A timer of this member expires.
     Tick(usize),
-    /// Nothing is under way, and time goes on to the next timer.
+    /// No message is in transit, and time advances to the next timer.
     Time,
-    /// For a stated time all arrives at once in one order, as far as no cut is in the way.
+    /// For a fixed time all messages arrive at once in one order, unless a network cut stops them.
     Calm,
     Restart(usize),
-    /// All to and from this one is lost.
+    /// All messages to and from this member are lost.
     Cut(usize),
     Heal,
-    /// It stops for longer than a lease.
+    /// The member is paused for longer than a lease.
     Pause(usize),
-    /// The revision of this number is proposed here.
+    /// The revision with this number is proposed at this member.
     Propose(usize, u64),
 }
 
-/// What may still be done to a world, to whom.
+/// The actions and faults that may still happen, and at which members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Plan {
-    /// Each of them crashes once, and starts again at once on its disk.
+    /// Each of these members crashes once and restarts at once with its disk.
     pub restarts: Vec<usize>,
-    /// They are cut off one after the other, in this order, when nothing is under way, each for as long as it may be.
+    /// Members that are cut off one after the other, in this order, when no message is in transit, each for any time.
     pub cuts: Vec<usize>,
     pub pauses: Vec<usize>,
-    /// One message of this link is lost.
+    /// One message of each of these links is lost.
     pub losses: Vec<(usize, usize)>,
-    /// One message of this link is held up, for as long as it may be.
+    /// One message of each of these links is delayed by any time.
     pub lates: Vec<(usize, usize)>,
-    /// Where, and of which number.
+    /// Proposals: at which member, and the revision number.
     pub proposals: Vec<(usize, u64)>,
-    /// So many terms more than the first; what would go on to a further one is not gone on from.
+    /// Number of terms after the first; states that would reach a further term are not explored.
     pub terms: u64,
-    /// Time goes on by calm steps of so many ms, and what is done above is done between them. None: each message and
-    /// each timer is a choice.
+    /// Time advances in calm steps of this many ms, and the actions above happen between them. `None`: each message and
+    /// each timer is a choice of its own.
     pub calm: Option<u16>,
 }
 
-/// How states are told apart, and which choices are left out: to measure what each brings.
+/// Which reductions of the state space are active; each can be switched off to measure its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ways {
-    /// Times and counts are relative.
+    /// States that differ only in absolute times and counts are merged.
     pub folds: bool,
-    /// One member goes first where it makes no difference.
+    /// Orders of choices that lead to the same state are tried only once.
     pub orders: bool,
 }
 
@@ -81,61 +81,61 @@
     pub const ALL: Ways = Ways { folds: true, orders: true };
 }
 
-/// What an exploration came to.
+/// Result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Explored {
     pub states: usize,
-    /// All states of fewer choices than this were gone on from.
+    /// All states reached by fewer choices than this were explored further.
     pub depth: usize,
-    /// Nothing was left to explore within what may be done.
+    /// Every state that the plan allows was explored.
     pub whole: bool,
-    /// The fewest choices to a breach, and which it is.
+    /// The shortest sequence of choices to a breach, and the breach.
     pub breach: Option<(Vec<Choice>, &'static str)>,
 }
 
-/// More than thrice what a calm second takes.
+/// Step limit: more than three times what a calm second takes.
 const STEPS_CALM: u32 = 10_000;
 
-/// One small world, all of it.
+/// Complete state of one small fleet.
 #[derive(Clone)]
 pub struct Small {
     shape: Shape,
     #[cfg_attr(not(feature = "seeded-bugs"), expect(dead_code))]
     bug: Option<Bug>,
     now: f64,
-    members: Vec<Arc<One>>,
+    members: Vec<Arc<Member>>,
     net: BTreeMap<(usize, usize), VecDeque<Said>>,
     held_up: BTreeMap<(usize, usize), VecDeque<Said>>,
     cut: Option<usize>,
     pub left: Plan,
-    chairs: BTreeMap<Term, usize>,
-    stood: BTreeMap<Place, u64>,
+    leaders: BTreeMap<Term, usize>,
+    committed: BTreeMap<Place, u64>,
     breach: Option<&'static str>,
 }
 
 #[derive(Clone)]
-struct One {
+struct Member {
     accord: Accord,
     kept: Kept,
     boot: u64,
     stopped: f64,
-    folded: Folded,
+    cached_hash: CachedHash,
 }
 
-/// The hash of one member, kept for as long as it does nothing: most steps are one member's, and folding all of them
-/// anew took more than half of the time. The first number is the hash, the second the same with what it is relative to,
-/// so that one half written by another thread is told from a whole one.
+/// Cached hash of one member, valid until the member changes. Most steps change one member, and rehashing all of them took
+/// more than half of the time. The first number is the hash; the second is the hash combined with the values it is
+/// relative to, so that a value half written by another thread is recognized.
 #[derive(Default)]
-struct Folded(AtomicU64, AtomicU64);
+struct CachedHash(AtomicU64, AtomicU64);
 
-impl Clone for Folded {
-    /// A copy is made to be changed.
-    fn clone(&self) -> Folded {
-        Folded::default()
+impl Clone for CachedHash {
+    /// A copy starts without a cached hash, since copies are made to be changed.
+    fn clone(&self) -> CachedHash {
+        CachedHash::default()
     }
 }
 
-impl Folded {
+impl CachedHash {
     fn get(&self, relative_to: u64, anew: impl FnOnce() -> u64) -> u64 {
         let (hash, check) = (self.0.load(Ordering::Relaxed), self.1.load(Ordering::Relaxed));
         if check != 0 && hash ^ check == relative_to {
@@ -161,7 +161,7 @@
 }
 
 impl Small {
-    /// All start at once on empty disks. None: such a world can't be.
+    /// All members start at once on empty disks. `None` if the shape is invalid.
     pub fn new(shape: Shape, bug: Option<Bug>) -> Option<Small> {
         let mut small = Small {
             shape,
@@ -172,20 +172,20 @@
             held_up: BTreeMap::new(),
             cut: None,
             left: Plan::default(),
-            chairs: BTreeMap::new(),
-            stood: BTreeMap::new(),
+            leaders: BTreeMap::new(),
+            committed: BTreeMap::new(),
             breach: None,
         };
         for member in 0..shape.members() {
             let disk = (member < shape.voters).then_some(Disk(member as u64 + 1));
             let kept = Kept { disk, ..Kept::default() };
             let accord = small.started(member, 0, &kept)?;
-            small.members.push(Arc::new(One {
+            small.members.push(Arc::new(Member {
                 accord,
                 kept,
                 boot: 0,
                 stopped: 0.0,
-                folded: Folded::default(),
+                cached_hash: CachedHash::default(),
             }));
         }
         Some(small)
@@ -205,16 +205,16 @@
         self.members.iter().map(|one| one.accord.chair().0).max().unwrap_or_default()
     }
 
-    /// The steward that takes itself for the chair, of the highest term.
+    /// The controller that considers itself the leader, in the highest term.
     pub fn chair(&self) -> Option<usize> {
-        let chairs = (0..self.members.len()).filter_map(|member| {
+        let leaders = (0..self.members.len()).filter_map(|member| {
             let (term, chair) = self.members[member].accord.chair();
             (chair == Some(&self.shape.name(member))).then_some((term, member))
         });
-        chairs.max().map(|(_, member)| member)
+        leaders.max().map(|(_, member)| member)
     }
 
-    /// The promise that was broken, if one was.
+    /// The broken guarantee, if any.
     pub fn breach(&self) -> Option<&'static str> {
         self.breach
     }
@@ -231,7 +231,7 @@
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let one = Arc::make_mut(&mut self.members[member]);
-            one.folded = Folded::default();
+            one.cached_hash = CachedHash::default();
             for output in one.accord.handle(self.now, input) {
                 match output {
                     Output::Last(lasting) => {
@@ -258,10 +258,10 @@
             }
         }
         self.look_at(member);
-        self.look();
+        self.check_all();
     }
 
-    /// What a member orders by, if it orders.
+    /// The set of revisions that a member's orders satisfy, if it sends orders.
     fn bounds(&self, member: usize) -> Option<Bounds> {
         let one = &self.members[member];
         match one.accord.act(self.now) {
@@ -272,27 +272,27 @@
         }
     }
 
-    /// What must hold of a member that has just done something.
+    /// Checks the guarantees of a member after its step.
     fn look_at(&mut self, member: usize) {
         let one = &self.members[member];
         if let (term, Some(chair)) = one.accord.chair() {
             let mine = *chair == one.accord.facts().me;
-            if mine && *self.chairs.entry(term).or_insert(member) != member {
-                self.breach = Some("two chairs in one term");
+            if mine && *self.leaders.entry(term).or_insert(member) != member {
+                self.breach = Some("two leaders in one term");
             }
         }
         let (stands, _) = one.accord.standing();
         for place in (1..=stands.0).map(Place) {
             let Some(logged) = one.accord.stood(place) else { continue };
             let logged = hash_of(logged);
-            if *self.stood.entry(place).or_insert(logged) != logged {
+            if *self.committed.entry(place).or_insert(logged) != logged {
                 self.breach = Some("logs differ in what stands");
             }
         }
     }
 
-    /// What must hold of all of them together, at every state.
-    fn look(&mut self) {
+    /// Checks the guarantees across all members, in every state.
+    fn check_all(&mut self) {
         for one in self.members.iter().filter(|one| one.stopped <= self.now) {
             if matches!(one.accord.act(self.now), Act::On { until, .. } if until <= self.now) {
                 self.breach = Some("a steward acts after its lease");
@@ -321,17 +321,17 @@
     }
 
     fn next_due(&self) -> f64 {
-        let due = |one: &Arc<One>| one.accord.due().max(one.stopped);
+        let due = |one: &Arc<Member>| one.accord.due().max(one.stopped);
         self.members.iter().map(due).fold(f64::INFINITY, f64::min)
     }
 
-    /// Nothing is under way to one that is up, and none of them is due.
+    /// Whether no message is in transit to a running member and no timer is due.
     fn quiet(&self) -> bool {
         !self.net.keys().any(|(_, to)| self.up(*to))
             && !(0..self.members.len()).any(|member| self.due(member))
     }
 
-    /// All that can arrive does, at once, timers are called one after the other, and time goes on for so long.
+    /// Delivers all messages at once, runs timers one after the other, and advances time by this long.
     pub fn calm(&mut self, ms: f64) {
         let until = self.now + ms;
         let mut steps = 0;
@@ -354,10 +354,10 @@
 
     fn time(&mut self, to: f64) {
         self.now = self.now.max(to);
-        self.look();
+        self.check_all();
     }
 
-    /// What this member may do next by itself.
+    /// Choices of this member that need no other member.
     fn choices_of(&self, member: usize) -> Vec<Choice> {
         let (mut all, left) = (vec![], &self.left);
         if !self.up(member) {
@@ -394,8 +394,8 @@
         all
     }
 
-    /// All choices of one member, where no other can bring about a further one before the first of them is made, so
-    /// that going first with it loses no order.
+    /// All choices of one member to which no other member can add before one of them is made. Trying only these first
+    /// therefore skips no distinct outcome.
     fn first_alone(&self) -> Option<Vec<Choice>> {
         let term = self.term();
         let steady = self.net.values().chain(self.held_up.values()).flatten().all(|said| match said {
@@ -407,7 +407,7 @@
         });
         let chair = self.chair().filter(|_| steady)?;
         let all = 0..self.members.len();
-        // It says nothing to that one for now: it hears its chair, speaks to none but it, and starts no run.
+        // It sends nothing to that member for now: it follows its leader, sends only to it, and starts no election.
         let mute = |by: usize, to: usize| {
             by != chair
                 && to != chair
@@ -425,7 +425,7 @@
                     self.net.contains_key(&(other, member)) || silent(other) || mute(other, member)
                 })
             };
-            // Without one of these, time may go on before any of them.
+            // Without one of these, time may advance before any of them.
             let must = |choice: &Choice| matches!(choice, Choice::Deliver(..) | Choice::Tick(_));
             (choices.iter().any(must) && (self.cut == Some(member) || closed() || alone())).then_some(choices)
         })
@@ -460,11 +460,16 @@
                 take(&mut self.left.restarts, &member);
                 let (boot, kept) = (self.members[member].boot + 1, self.members[member].kept.clone());
                 match self.started(member, boot, &kept) {
-                    // What is under way to it stays: outboxes outlive a peer. So its start commutes with what arrives
-                    // elsewhere.
+                    // Messages in transit to it are kept, since send queues outlive a peer. So its restart commutes
+                    // with deliveries at other members.
                     Some(accord) => {
-                        self.members[member] =
-                            Arc::new(One { accord, kept, boot, stopped: 0.0, folded: Folded::default() })
+                        self.members[member] = Arc::new(Member {
+                            accord,
+                            kept,
+                            boot,
+                            stopped: 0.0,
+                            cached_hash: CachedHash::default(),
+                        })
                     }
                     None => self.breach = Some("a steward can't start on its own disk"),
                 }
@@ -479,7 +484,7 @@
                 take(&mut self.left.pauses, &member);
                 let until = self.now + 1.5 * self.shape.length.acts;
                 let one = Arc::make_mut(&mut self.members[member]);
-                (one.stopped, one.folded) = (until, Folded::default());
+                (one.stopped, one.cached_hash) = (until, CachedHash::default());
             }
             Choice::Propose(member, no) => {
                 take(&mut self.left.proposals, &(member, no));
@@ -488,7 +493,7 @@
         }
     }
 
-    /// The revision that every member acts on alone, if they do.
+    /// The single revision that all members act on, if there is one.
     pub fn all_on(&self) -> Option<RevisionNo> {
         let mut on = self.members.iter().map(|one| match one.accord.act(self.now) {
             Act::On { stage, .. } if stage.staged.is_none() => match stage.holds {
@@ -503,7 +508,7 @@
 
     fn key(&self, folds: bool) -> u64 {
         let mut hasher = DefaultHasher::new();
-        (self.cut, &self.left, &self.chairs, &self.stood).hash(&mut hasher);
+        (self.cut, &self.left, &self.leaders, &self.committed).hash(&mut hasher);
         if !folds {
             self.now.to_bits().hash(&mut hasher);
         }
@@ -519,7 +524,7 @@
                     false => hash_of(&(all, &one.accord)),
                 }
             };
-            one.folded.get(relative_to, anew).hash(&mut hasher);
+            one.cached_hash.get(relative_to, anew).hash(&mut hasher);
         }
         self.net.len().hash(&mut hasher);
         for ((from, to), queue) in self.net.iter().chain(&self.held_up) {
@@ -527,14 +532,14 @@
             (from, to, queue.len()).hash(&mut hasher);
             for said in queue {
                 let folded = if folds { fold.said(&by, &at, said) } else { said.clone() };
-                // One that can't be encoded would only be taken for another; no message is such.
+                // A message that cannot be encoded would be confused with others; there are no such messages.
                 postcard::to_stdvec(&folded).unwrap_or_default().hash(&mut hasher);
             }
         }
         hasher.finish()
     }
 
-    /// What may come next, as the states after it.
+    /// The possible next states.
     fn next(&self, orders: bool) -> Vec<(Choice, Small)> {
         let after = |choices: Vec<Choice>| {
             let chosen = choices.into_iter().map(|choice| {
@@ -546,7 +551,7 @@
         };
         if let Some(choices) = self.first_alone().filter(|_| orders && self.left.calm.is_none()) {
             let next = after(choices);
-            // What it orders is seen beside what others order: then each order counts.
+            // Its orders are compared with the orders of others, so the order of choices matters.
             let seen = |(_, next): &(Choice, Small)| {
                 (0..self.members.len()).any(|member| next.bounds(member) != self.bounds(member))
             };
@@ -558,8 +563,8 @@
     }
 }
 
-/// Breadth first from there, up to so many states. A state's key is a hash of 64 bits: of ten million states two
-/// different ones are taken for one with a chance of 3 in a million.
+/// Explores breadth first from this state, up to a maximum number of states. States are identified by a 64-bit hash: among
+/// ten million states, the probability that two different ones collide is 3 in a million.
 pub fn explore(from: &Small, ways: Ways, most: usize) -> Explored {
     let last = Term(from.term().0 + from.left.terms);
     let mut seen = HashSet::from([from.key(ways.folds)]);
@@ -601,8 +606,9 @@
 mod tests {
     use super::*;
 
-    /// One went first with a thing that may be done at any time, and nothing was ever proposed later than at once: a
-    /// quarter of the states of one proposal were seen, and the rest was called explored.
+    /// Guards against a fault of the order reduction: it tried an action first that may happen at any time, so proposals
+    /// were only ever made at once. A quarter of the states of one proposal were seen, and the exploration was reported
+    /// as complete.
     #[test]
     fn whoever_goes_first_keeps_time_from_going_on_before_a_proposal() {
         let (mut small, chair) = crate::begin(None).expect("a small fleet comes together");
--- a/crates/worlds/src/figures.rs
+++ b/crates/worlds/src/figures.rs
@@ -1,10 +1,11 @@
-//! What the agreement costs: at rest, in a change with all up or one down, and at a start on a long log.
+//! Measures the cost of the consensus: when idle, during a change with all members up or one down, and at a start with a
+//! long log.
 
 use amberarch_accord::{Act, Base, Disk, Entry, Facts, Kept, Logged, Name, RevisionNo, Said, Term};
 
 use crate::{DiskIs, Late, Shape, World};
 
-/// A fleet that stands, and has stood for a while.
+/// A fleet that has formed and has run idle for a while.
 fn formed(seed: u64, shape: Shape) -> Result<World, Late> {
     let mut world = World::new(seed, shape);
     world.run_till("the fleet comes together", 20_000.0, World::all_on_one_stage)?;
@@ -12,14 +13,14 @@
     Ok(world)
 }
 
-/// What one member says in a second. Bytes are without what the transport adds.
+/// Messages and bytes that one member sends per second. Bytes exclude the overhead of the transport.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
     pub messages: f64,
     pub bytes: f64,
 }
 
-/// Of the chair, and of the others on average.
+/// Rates of the leader, and the average rates of the other voters and of the followers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rest {
     pub chair: Rate,
@@ -27,7 +28,7 @@
     pub follower: Rate,
 }
 
-/// Nothing is proposed for so many seconds of virtual time. Late if the fleet does not come together.
+/// Measures an idle fleet for `seconds` of virtual time. Returns `Late` if the fleet does not form in time.
 pub fn rest(seed: u64, shape: Shape, seconds: f64) -> Result<Rest, Late> {
     let mut world = formed(seed, shape)?;
     world.weigh();
@@ -49,18 +50,19 @@
     Ok(Rest { chair: said(chair), voter: mean(0, voters), follower: mean(voters, shape.members()) })
 }
 
-/// What becomes of the last member that is not the chair; it is back before the next change.
+/// What happens to the last member that is not the leader; it restarts before the next change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Down {
     Nobody,
-    /// It dies as soon as it knows of the proposal, so its lease and the linger are waited for.
+    /// It crashes as soon as it knows of the proposal, so its lease and the linger have to expire.
     Heard,
-    /// It dies just before the proposal: what it may still act by on its own is waited for, and the linger.
+    /// It crashes just before the proposal, so the time during which it may still act on its own and the linger have to
+    /// expire.
     Unheard,
 }
 
-/// ms from each proposal until it is in force and all that are up act on it. Late if one takes 20 s, or anything was
-/// breached.
+/// Time from each proposal until it is in force and all members that are up act on it, ms. Returns `Late` if one takes
+/// longer than 20 s, or if there was any breach.
 pub fn changes(seed: u64, shape: Shape, down: Down, count: u64) -> Result<Vec<f64>, Late> {
     let mut world = formed(seed, shape)?;
     let mut took = vec![];
@@ -98,7 +100,7 @@
     }
 }
 
-/// The disk of a voter alone whose log of so many revisions was never folded, and the facts it starts with.
+/// The disk of a single voter whose log of `revisions` revisions was never compacted, and the settings it starts with.
 pub fn long_log(revisions: u64) -> (Facts, Kept) {
     let me = Name::from("s0");
     let mut entries = vec![Logged { term: Term(1), entry: Entry::Begun }];
@@ -114,8 +116,8 @@
     (Shape::of(1, 0).facts(0, 1, Some(Disk(1)), 0), kept)
 }
 
-/// Bytes of the message that brings up a voter that has nothing of so many revisions, without members; and of the
-/// log that it stands for.
+/// Size in bytes of the snapshot message (without members) for a voter that has none of the revisions, and of the log
+/// that it replaces.
 pub fn behind(revisions: u64, log: &[Logged]) -> (usize, usize) {
     let all = log.iter().map(|logged| postcard::to_stdvec(logged).map_or(0, |bytes| bytes.len())).sum();
     let mut base = Base::default();
--- a/crates/worlds/src/judge.rs
+++ b/crates/worlds/src/judge.rs
@@ -1,5 +1,5 @@
-//! What must hold at every step, by what the world itself sees: its own reading of the log, its own sets of what is
-//! ordered, and nobody's word for it.
+//! Checks the guarantees at every step from the simulation's own observations: it reads the log itself and keeps its own
+//! sets of the orders in use, without relying on what any controller reports.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
@@ -9,10 +9,10 @@
 
 use crate::machine::{Bounds, Machine};
 
-/// A promise that was broken.
+/// A broken guarantee.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Breach {
-    /// Orders, or what proxies go by, that no revision satisfies together.
+    /// Two sets of orders, at controllers or proxies, that no single revision satisfies.
     Mixed {
         at: f64,
         by: usize,
@@ -25,20 +25,20 @@
         one: Name,
         other: Name,
     },
-    /// Two members have different entries that stand at one place, or what they amount to differs.
+    /// Two members have different committed entries at one place, or different states after it.
     LogsDiffer {
         at: f64,
         by: usize,
         place: Place,
     },
-    /// A stage that the entries before it do not lead to, or that none of them brought.
+    /// A stage that does not follow from the entries before it, or that no entry started.
     StageOutOfOrder {
         at: f64,
         by: usize,
         place: Place,
         why: &'static str,
     },
-    /// An operator was told one thing and the log says another.
+    /// The answer to an operator contradicts the log.
     ToldWrong {
         at: f64,
         by: usize,
@@ -50,22 +50,22 @@
 #[derive(Default)]
 pub(crate) struct Judge {
     pub breaches: Vec<Breach>,
-    chairs: BTreeMap<Term, Name>,
+    leaders: BTreeMap<Term, Name>,
     entries: BTreeMap<Place, Logged>,
-    /// What the entries up to a place amount to, as the first member to come there had it.
+    /// Hash of the state after the entries up to a place, as of the first member that reached it.
     amounts: BTreeMap<Place, u64>,
     seen: BTreeMap<usize, (u64, Place)>,
-    /// The stages by this judge's own reading, and how far it has read.
+    /// How far this judge has read the log, and the stage according to it.
     read: Place,
     stage: Stage,
     highest: RevisionNo,
     pub stages: BTreeMap<StageNo, Stage>,
-    /// By revision: its digest, and the stage that brought it in force.
+    /// For each revision: its digest, and the stage with which it came into force.
     pub in_force: BTreeMap<RevisionNo, (Digest, StageNo)>,
     pub withdrawn: BTreeMap<RevisionNo, Digest>,
     proposed: BTreeMap<RevisionNo, Digest>,
     told: Vec<(f64, usize, RevisionNo, Digest, Option<StageNo>)>,
-    /// How many go by each set right now.
+    /// How many controllers or proxy groups currently use each set of revisions.
     claims: BTreeMap<Bounds, usize>,
 }
 
@@ -100,13 +100,13 @@
         }
     }
 
-    /// Looks at a member after each of its steps.
-    pub fn look(&mut self, at: f64, by: usize, machine: &Machine) {
+    /// Checks a member after each of its steps.
+    pub fn check(&mut self, at: f64, by: usize, machine: &Machine) {
         let Some(accord) = &machine.accord else { return };
         let boot = machine.boot;
         if let (term, Some(chair)) = accord.chair() {
             if *chair == accord.facts().me {
-                let one = self.chairs.entry(term).or_insert_with(|| chair.clone()).clone();
+                let one = self.leaders.entry(term).or_insert_with(|| chair.clone()).clone();
                 if one != *chair {
                     self.breaches.push(Breach::TwoChairs { at, term, one, other: chair.clone() });
                 }
@@ -120,7 +120,7 @@
         let from = if seen.0 == boot { seen.1 } else { Place(0) };
         *seen = (boot, stands);
         for place in (from.0 + 1..=stands.0).map(Place) {
-            // What it was given folded into a base it never wrote.
+            // The member received this entry only as part of a snapshot and never wrote it.
             let Some(logged) = machine.written.get(&place) else { continue };
             let known = self.entries.entry(place).or_insert_with(|| logged.clone());
             if known != logged {
@@ -192,7 +192,7 @@
         self.stage = after;
     }
 
-    /// What a steward says it acts on has to be a stage that stood.
+    /// Checks that the stage a controller reports to act on was in force.
     pub fn acts_on(&mut self, at: f64, by: usize, stage: &Stage) {
         if stage.no.0 <= self.read.0 && stage.no > StageNo(0) && self.stages.get(&stage.no) != Some(stage) {
             let why = "a steward acts on what never stood";
@@ -204,10 +204,10 @@
         self.told.push((at, by, no, digest, outcome));
     }
 
-    /// At the end, since a steward may die between its answer and this judge's look: what was told to be in force
-    /// was, at that stage, and what was refused never came in force.
+    /// Checks the answers to operators: a revision answered as in force came into force at that stage, and a refused one
+    /// never did. This happens at the end, since a controller may crash between its answer and this judge's check.
     ///
-    /// One that was refused may have been proposed again: `open` says whether a wish for it had no answer, or this.
+    /// A refused revision may have been proposed again: `open` tells whether a proposal of it is unanswered or unsure.
     pub fn close(&mut self, open: impl Fn(RevisionNo) -> bool) {
         for (at, by, no, digest, outcome) in std::mem::take(&mut self.told) {
             if outcome.is_none() && open(no) {
--- a/crates/worlds/src/lib.rs
+++ b/crates/worlds/src/lib.rs
@@ -1,8 +1,9 @@
-//! Fleets of stewards that agree, in virtual time. A shape, a seed and what is done to the fleet go in; how it went,
-//! what it cost and each breach of what `docs/fleet-policy.md` promises come out. Each steward is a whole
-//! [`amberarch_accord::Accord`] with a clock, a disk and proxies of its own; the same seed brings the same world.
+//! Simulates fleets of controllers that run the consensus, in virtual time. The input is a shape, a seed and the actions
+//! and faults applied to the fleet; the output is the course of the run, its cost, and each breach of the guarantees in
+//! `docs/fleet-policy.md`. Each controller is a complete [`amberarch_accord::Accord`] with a clock, a disk and proxies of
+//! its own. The same seed gives the same run.
 //!
-//! What it never does: read a clock, open a socket, or help the agreement along.
+//! The simulation never reads a real clock, opens a socket, or assists the consensus.
 
 mod explore;
 pub mod figures;
--- a/crates/worlds/src/machine.rs
+++ b/crates/worlds/src/machine.rs
@@ -1,24 +1,24 @@
-//! One steward with its clock, its disk and its proxies: what the front does round the agreement.
+//! One controller with its clock, its disk and its proxies: the part of a front that surrounds the consensus.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use amberarch_accord::{Accord, Disk, Kept, Lasting, Length, Logged, Place, StageNo};
 
-/// What a steward finds when it starts again.
+/// The disk that a controller finds when it restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskIs {
     Kept,
     Empty,
-    /// As it was when [`crate::World::copy_disk`] was called.
+    /// The disk as it was when [`crate::World::copy_disk`] was called.
     Copy,
 }
 
-/// The revisions that all of an order has to satisfy; 0 stands for not being governed at all.
+/// The revisions that an order has to satisfy all at once; 0 means that no policy applies.
 pub(crate) type Bounds = Vec<u64>;
 
 pub(crate) struct Machine {
-    /// `None`: it is down.
+    /// `None` while the controller is down.
     pub accord: Option<Accord>,
     pub boot: u64,
     /// Its clock is `offset + rate * true time`.
@@ -26,26 +26,26 @@
     pub offset: f64,
     pub kept: Kept,
     pub copy: Option<Kept>,
-    /// By its own file, where that differs from the others'.
+    /// Lease lengths from its own settings file, if they differ from the others'.
     pub length: Option<Length>,
-    /// Every entry that it wrote and did not cut off since, also those that are folded into a base.
+    /// Every entry that it wrote and has not truncated since, including those compacted into a snapshot.
     pub written: BTreeMap<Place, Logged>,
-    /// Stopped, up to this true time.
+    /// The process is paused until this true time.
     pub stopped: f64,
-    /// When it is ticked next; an older tick is void.
+    /// Time of its next tick; earlier scheduled ticks are ignored.
     pub tick: f64,
-    /// It is being ended in good order; true: its process hangs, and is killed only once its time is over.
+    /// Set during a graceful shutdown; `true` if the process hangs and is killed only when its time is over.
     pub ending: Option<bool>,
-    /// So many outputs more are carried out before it dies.
+    /// Number of outputs that are still carried out before it crashes.
     pub dies_after: Option<u64>,
-    /// The revisions that it can't use.
+    /// Revisions that fail its checks.
     pub cannot_use: BTreeSet<u64>,
-    /// Its proxies never confirm.
+    /// Its proxies never confirm orders.
     pub deaf_proxies: bool,
-    /// What it orders by, and since which of its runs' stages.
+    /// The set of revisions its orders satisfy, and the stage since which they do.
     pub orders: Option<Bounds>,
     pub stage: StageNo,
-    /// What proxies may still go by, with the true time at which they no longer do.
+    /// Sets of revisions that proxies may still use, with the true time at which this ends.
     pub lingers: Vec<(Bounds, f64)>,
 }
 
@@ -76,7 +76,7 @@
         self.offset + self.rate * at
     }
 
-    /// The first true time at which its clock shows that.
+    /// The true time at which its clock shows `local`.
     pub fn true_time(&self, local: f64) -> f64 {
         (local - self.offset) / self.rate
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What has lasted, as a front's disk has it.
+    /// Applies a durable write, as a front's disk does.
     pub fn last(&mut self, lasting: &Lasting) {
         let kept = &mut self.kept;
         let base = kept.base.as_ref().map_or(0, |((_, place), _)| place.0);
@@ -105,7 +105,7 @@
                 let gone = ((at.1 .0 - base) as usize).min(kept.entries.len());
                 kept.entries.drain(..gone);
                 if self.written.get(&at.1).is_none_or(|logged| logged.term != at.0) {
-                    // A base from another: what was written here up to it need not be what stands.
+                    // A snapshot from another member: the entries written here up to it may differ from the committed ones.
                     self.written = self.written.split_off(&Place(at.1 .0 + 1));
                 }
                 kept.base = Some((*at, (**to).clone()));
--- a/crates/worlds/src/shape.rs
+++ b/crates/worlds/src/shape.rs
@@ -1,4 +1,4 @@
-//! How large a fleet is, how long its times are, and what its network does.
+//! Size of a simulated fleet, its time settings, and the behaviour of its network.
 
 use amberarch_accord::{Boot, Disk, Facts, FleetId, Length, Name};
 
@@ -14,20 +14,20 @@
     pub election: f64,
     pub beat: f64,
     pub check_within: f64,
-    /// How long a steward takes to check a revision.
+    /// Maximum time in which a controller checks a revision.
     pub checks: f64,
-    /// How long until proxies have confirmed new orders, or are bound by another steward; under `linger`.
+    /// Time until proxies have confirmed new orders, or are bound by another controller; less than `linger`.
     pub transit: f64,
-    /// Clocks run by up to this part faster or slower than true time. Two of them are apart by twice that and a
-    /// bit, which has to be under `drift`.
+    /// Clocks run faster or slower than true time by up to this fraction. Two clocks differ by slightly more than twice
+    /// that, which has to be less than `drift`.
     pub wander: f64,
     pub net: Net,
 }
 
-/// What happens to each message, by chance.
+/// Random treatment of messages; `lost` and `twice` are probabilities.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Net {
-    /// Least and most ms under way: what is sent later may arrive sooner.
+    /// Minimum and maximum latency, ms; messages may arrive out of order.
     pub delay: (f64, f64),
     pub lost: f64,
     pub twice: f64,
@@ -38,7 +38,7 @@
 }
 
 impl Shape {
-    /// Times as an operator's file has them if it says nothing, with leases a little shorter than they may be.
+    /// The default times of the settings, with leases slightly shorter than allowed.
     pub fn of(voters: usize, followers: usize) -> Shape {
         Shape {
             voters,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sizes by turns; and times from those of an operator's file down to what is just enough.
+    /// Sizes that vary with the seed, and times from the defaults down to the shortest that still work.
     pub fn by_turns(seed: u64) -> Shape {
         let mut shape = match seed % 4 {
             0 => Shape::of(3, 0),
@@ -78,7 +78,7 @@
         self.voters + self.followers
     }
 
-    /// `s0` and so on; voters come first.
+    /// The member's name: `s0`, `s1` and so on; voters come first.
     pub fn name(&self, member: usize) -> Name {
         Name::from(format!("s{member}").as_str())
     }
--- a/crates/worlds/src/small.rs
+++ b/crates/worlds/src/small.rs
@@ -1,11 +1,11 @@
-//! Which small worlds are explored: three voters with a chair elected and revision 1 in force, and what may be done to
-//! them from there.
+//! The configurations for exhaustive exploration: three voters with an elected leader and revision 1 in force, and the
+//! actions and faults that may follow.
 
 use amberarch_accord::{Bug, Length, RevisionNo};
 
 use crate::{Choice, Late, Plan, Shape, Small};
 
-/// Times of one grid, the shortest that may be: fewer things are due in each lease, and states recur.
+/// The shortest allowed times, all multiples of one step: fewer timers expire in each lease, and states recur.
 fn shape() -> Shape {
     let mut shape = Shape::of(3, 0);
     (shape.beat, shape.election) = (120.0, 360.0);
@@ -14,7 +14,7 @@
     shape
 }
 
-/// The world that all small ones begin with, and its chair. Late if it does not come together.
+/// The common initial state of all explorations, and its leader. Returns `Late` if the fleet does not form.
 pub fn begin(bug: Option<Bug>) -> Result<(Small, usize), Late> {
     let late = |why: &str| Late { now: 0.0, why: why.into() };
     let mut small = Small::new(shape(), bug).ok_or_else(|| late("such a world can't be"))?;
@@ -29,20 +29,20 @@
     }
 }
 
-/// Of a world that is not explored whole, so many states are looked at: those of the fewest choices.
+/// Number of states checked of a fleet that is not explored completely: those reached by the fewest choices.
 const MOST_STATES: usize = 200_000;
 
-/// One small world, by what may be done to it.
+/// One configuration to explore, given by the actions and faults that may happen.
 #[derive(Clone, Debug)]
 pub struct SmallPlan {
     pub what: &'static str,
     pub plan: Plan,
-    /// How many states are looked at before it is given up; none: it is explored whole.
+    /// Maximum number of states to check; `None`: it is explored completely.
     pub most: Option<usize>,
 }
 
-/// The worlds that are explored. The chair is member 0; 1 and 2 differ by nothing but their names, so what is done to 2
-/// alone is left out.
+/// The explored configurations. The leader is member 0. Members 1 and 2 differ only by name, so faults of member 2 alone
+/// are left out.
 pub fn small_plans() -> Vec<SmallPlan> {
     let plan = Plan { terms: 1, ..Plan::default() };
     let two = vec![(0, 2), (1, 3)];
--- a/crates/worlds/src/storm.rs
+++ b/crates/worlds/src/storm.rs
@@ -1,4 +1,5 @@
-//! Faults and wishes by seed, and then a time without: whatever was under way has to end everywhere or nowhere.
+//! Randomized faults and proposals by seed, followed by a time without faults in which every change in progress has to
+//! complete at all members or at none.
 
 use std::collections::BTreeMap;
 
@@ -9,38 +10,39 @@
 
 use crate::{Breach, DiskIs, Late, Net, Shape, World};
 
-/// A daemon that is ended in good order takes no longer.
+/// Maximum duration of a graceful shutdown, ms.
 const ENDS_WITHIN: f64 = 500.0;
-/// One that hangs at its end is killed by then.
+/// Time by which a process that hangs in its shutdown is killed, ms.
 const HANGS_UP_TO: f64 = 10_000.0;
+
 /// Which disks are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loses {
     None,
-    /// Fewer than half of the voters' at a time: by what stands, and by every older set that one of them still goes by.
-    /// More than that, and the fleet may never have a chair again.
+    /// Disks of fewer than half of the voters at a time, in the committed membership and in every older one that a voter
+    /// still uses. If more are lost, the fleet may never have a leader again.
     FewerThanHalf,
-    /// Whichever, as long as one voter of those that the files name has anything written on its own: else they would
-    /// found another fleet. What is to hold even then is that nothing is mixed, not that it ends.
+    /// Any disks, as long as one voter named in the settings files still has a written disk; otherwise the voters would
+    /// found a new fleet. In this case only safety is guaranteed, not that changes complete.
     Any,
 }
 
-/// How hard a storm is. Times in ms.
+/// Kinds and rates of the randomized faults. Times in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Storm {
     pub lasts: f64,
-    /// Between two faults, on average.
+    /// Mean time between two faults.
     pub faults_every: f64,
     pub proposes_every: f64,
-    /// The network when nothing is wrong with it.
+    /// The network without faults.
     pub calm: Net,
-    /// Once all faults have ended.
+    /// Time within which changes have to complete after all faults have ended.
     pub ends_within: f64,
     pub loses: Loses,
     pub changes_members: bool,
-    /// Clocks run up to 1 % fast, or 0.8 % slow, from some moment on: together just within a drift of 2 %.
+    /// Clocks change their rate to 1 % fast or 0.8 % slow at some time; together this is just within a drift of 2 %.
     pub bends_clocks: bool,
-    /// Stewards are ended in good order too, and some hang at their end.
+    /// Controllers are also shut down gracefully, and some hang in the shutdown.
     pub ends_in_order: bool,
 }
 
@@ -59,41 +61,41 @@
         }
     }
 
-    /// Some elections, the verdicts, and two rounds of waiting for whoever was silent.
+    /// Time for several elections, the checks of a revision, and two waits for members that do not answer.
     fn bound(shape: &Shape) -> f64 {
         let silent = shape.length.knows * (1.0 + shape.drift) + shape.slack + shape.linger;
         10.0 * shape.election + shape.check_within + 2.0 * silent + shape.length.acts
     }
 }
 
-/// How it went.
+/// Result of a run with randomized faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stormed {
     pub faults: BTreeMap<&'static str, u64>,
     pub proposed: u64,
     pub in_force: u64,
     pub refused: u64,
-    /// Neither answer came: the one who was asked went down, or found no chair in time.
+    /// Proposals without a definite answer: the member that was asked went down, or found no leader in time.
     pub unsure: u64,
-    /// ms from the end of all faults until all acted on one stage and nothing was under way.
+    /// Time from the end of all faults until all members acted on one stage and no change was in progress, ms.
     pub ended: Result<f64, Late>,
     pub breaches: Vec<Breach>,
-    /// ms from proposal to its being in force, of each that was answered so.
+    /// For each proposal answered as in force, the time until the answer, ms.
     pub through: Vec<f64>,
     pub steps: u64,
 }
 
-/// Runs a world through a storm.
+/// Runs a simulated fleet with randomized faults.
 pub fn storm(world: &mut World, storm: &Storm) -> Stormed {
     let mut chance = {
         use rand::SeedableRng;
         ChaCha8Rng::seed_from_u64(world.chance.next_u64())
     };
-    // In one of five the fleet has to come together amid it all.
+    // In one run of five the fleet has to form while faults happen.
     if chance.random::<f64>() < 0.8 {
         let bound = storm.ends_within;
         if let Err(late) = world.run_till("the fleet comes together", bound, World::all_on_one_stage) {
-            return stormed(world, BTreeMap::new(), &[], Err(late));
+            return summarize(world, BTreeMap::new(), &[], Err(late));
         }
     }
     let ends = world.now() + storm.lasts;
@@ -106,14 +108,14 @@
         world.run_until(fault_at.min(propose_at));
         if propose_at <= fault_at {
             propose_at = world.now() + after(&mut chance, storm.proposes_every);
-            // Now and then two at once, a retry, or a number that is old.
+            // Some proposals come in pairs, as a retry, or with an old number.
             for _ in 0..chance.random_range(1..=2) {
                 no = if chance.random::<f64>() < 0.8 { no + 1 } else { no.max(1) };
                 asked.push(world.propose(chance.random_range(0..world.members()), no));
             }
         } else {
             fault_at = world.now() + after(&mut chance, storm.faults_every);
-            let fault = throw(world, storm, &mut chance, no);
+            let fault = inject_fault(world, storm, &mut chance, no);
             *faults.entry(fault).or_default() += 1;
         }
     }
@@ -121,10 +123,10 @@
     world.heal();
     world.shape.net = storm.calm;
     let ended = world.run_till("one stage everywhere", storm.ends_within, World::all_on_one_stage);
-    stormed(world, faults, &asked, ended)
+    summarize(world, faults, &asked, ended)
 }
 
-fn stormed(
+fn summarize(
     world: &mut World,
     faults: BTreeMap<&'static str, u64>,
     asked: &[u64],
@@ -155,13 +157,13 @@
     of.choose(chance).copied()
 }
 
-/// One fault, and its name.
-fn throw(world: &mut World, storm: &Storm, chance: &mut ChaCha8Rng, no: u64) -> &'static str {
+/// Injects one random fault and returns its name.
+fn inject_fault(world: &mut World, storm: &Storm, chance: &mut ChaCha8Rng, no: u64) -> &'static str {
     let all: Vec<usize> = (0..world.members()).collect();
     let (up, down): (Vec<usize>, Vec<usize>) =
         all.iter().partition(|member| world.steward(**member).is_some());
     let any = chance.random_range(0..all.len());
-    // What breaks and what mends stand about level, so that changes come through in between.
+    // Faults and repairs are about equally likely, so that changes can complete in between.
     match chance.random_range(0..if storm.ends_in_order { 30 } else { 24 }) {
         0 | 1 => match one(chance, &up) {
             Some(member) => world.crash(member),
@@ -276,7 +278,7 @@
             return "withdrawal";
         }
         _ if storm.changes_members => {
-            want_others(world, any, chance);
+            change_members(world, any, chance);
             return "other members";
         }
         _ => return "nothing",
@@ -284,7 +286,7 @@
     "crash"
 }
 
-/// Whether what is on this member's disk may be lost.
+/// Whether this member's disk may be lost.
 fn may_lose(world: &World, loses: Loses, member: usize) -> bool {
     let Some((_, base)) = world.newest() else { return false };
     let machine = |name: &Name| (0..world.members()).find(|machine| world.shape.name(*machine) == *name);
@@ -309,7 +311,8 @@
     }
 }
 
-/// The voters that a disk goes by, with each change after its base: whoever wrote one down may not know that it stands.
+/// The sets of voters on a disk: that of its snapshot, and one after each later change. The member may not know whether
+/// a change that it wrote is committed.
 fn voters_of(kept: &Kept) -> Vec<BTreeMap<Name, Option<Disk>>> {
     let Some((_, base)) = &kept.base else { return vec![] };
     let mut all = vec![base.voters.iter().cloned().collect::<BTreeMap<_, _>>()];
@@ -317,7 +320,7 @@
         let Entry::Members(change) = &logged.entry else { continue };
         let mut voters = all.last().cloned().unwrap_or_default();
         match change {
-            // A new disk counts only once that entry stands; then it is in a base.
+            // A new disk counts only once its entry is committed; then it is in a snapshot.
             MemberChange::Votes { name, disk } => drop(voters.entry(name.clone()).or_insert(Some(*disk))),
             MemberChange::Follows { name } | MemberChange::Leaves { name } => drop(voters.remove(name)),
         }
@@ -326,8 +329,8 @@
     all
 }
 
-/// Some voters follow from now on, some followers leave, or all are wanted as they were in the beginning.
-fn want_others(world: &mut World, at: usize, chance: &mut ChaCha8Rng) {
+/// Requests a membership in which some voters become followers and some followers leave, or the original membership.
+fn change_members(world: &mut World, at: usize, chance: &mut ChaCha8Rng) {
     let first = world.shape.voters;
     let mut voters: Vec<usize> = (0..first).collect();
     let mut followers: Vec<usize> = (first..world.members()).collect();
--- a/crates/worlds/src/world.rs
+++ b/crates/worlds/src/world.rs
@@ -1,4 +1,4 @@
-//! The world: who is up, what is under way between them, and true time.
+//! The simulated fleet: members, messages in transit, and true time.
 
 mod front;
 mod hands;
@@ -17,11 +17,11 @@
 use crate::machine::Machine;
 use crate::{Breach, DiskIs, Shape};
 
-/// A world that goes on for so many steps without time passing is caught in itself.
+/// Limit of steps without time advancing; more mean an endless loop.
 const STEPS_AT_ONCE: u64 = 1_000_000;
 
 enum Event {
-    /// One that was ended in good order is gone at the latest.
+    /// Latest end of a process in a graceful shutdown.
     Ends {
         member: usize,
         boot: u64,
@@ -46,7 +46,7 @@
         boot: u64,
         stage: StageNo,
     },
-    /// What a member's proxies went by at its end is gone.
+    /// The linger of a member's earlier orders at its proxies has expired.
     Gone {
         member: usize,
     },
@@ -74,23 +74,24 @@
     }
 }
 
-/// What did not come about in time.
+/// A condition that was not met in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Late {
     pub now: f64,
     pub why: String,
 }
 
-/// What members said to each other.
+/// Counts of the messages between members.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Talk {
-    /// By who said it.
+    /// Messages by sender.
     pub messages: Vec<u64>,
-    /// In a compact encoding, without what the transport adds; counted only where asked for.
+    /// Bytes by sender, in a compact encoding without the overhead of the transport; counted only after
+    /// [`World::weigh`].
     pub bytes: Vec<u64>,
 }
 
-/// An operator's wish and its answer.
+/// An operator's proposal and its answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answered {
     pub told: f64,
@@ -102,7 +103,7 @@
 pub struct World {
     pub shape: Shape,
     seed: u64,
-    /// Read only where stewards can have one.
+    /// Read only with the feature `seeded-bugs`.
     #[cfg_attr(not(feature = "seeded-bugs"), expect(dead_code))]
     bug: Option<Bug>,
     now: f64,
@@ -111,7 +112,7 @@
     sent: u64,
     pub(crate) machines: Vec<Machine>,
     names: BTreeMap<Name, usize>,
-    /// Messages from the first to the second are lost.
+    /// Links, from the first to the second member, on which messages are lost.
     cuts: BTreeSet<(usize, usize)>,
     pub(crate) chance: ChaCha8Rng,
     pub(crate) judge: Judge,
@@ -128,7 +129,7 @@
         World::of(seed, shape, None)
     }
 
-    /// The same with stewards that have one line wrong.
+    /// The same with controllers that contain a deliberate bug.
     #[cfg(feature = "seeded-bugs")]
     pub fn with_bug(seed: u64, shape: Shape, bug: Bug) -> World {
         World::of(seed, shape, Some(bug))
@@ -166,7 +167,7 @@
         world
     }
 
-    /// True time, in ms since the world began.
+    /// True time, ms since the start of the simulation.
     pub fn now(&self) -> f64 {
         self.now
     }
@@ -192,7 +193,7 @@
         machine.accord.as_ref().map(|accord| accord.status(machine.local(self.now)))
     }
 
-    /// What a steward may do now; nothing while it is down or stopped.
+    /// What a controller may act on now; nothing while it is down or paused.
     pub fn act(&self, member: usize) -> Act {
         let machine = &self.machines[member];
         match &machine.accord {
@@ -205,7 +206,7 @@
         self.machines[member].accord.is_some() && self.machines[member].stopped <= self.now
     }
 
-    /// The chair of the highest term that is up.
+    /// The running leader of the highest term.
     pub fn chair(&self) -> Option<usize> {
         let up = (0..self.members()).filter(|member| self.is_up(*member));
         let chairs = up.filter_map(|member| {
@@ -219,12 +220,12 @@
         self.answers.get(&id)
     }
 
-    /// Lines that stewards wrote for operators: when, who, what.
+    /// Log lines of controllers for operators: time, member, text.
     pub fn logs(&self) -> &[(f64, usize, String)] {
         &self.logs
     }
 
-    /// Counts bytes as well from here on.
+    /// Counts bytes as well from now on.
     pub fn weigh(&mut self) {
         self.weighed = true;
     }
@@ -233,7 +234,7 @@
         &self.talk
     }
 
-    /// What stands by the newest that is known, from whoever knows it.
+    /// The newest committed state that any running member knows.
     pub fn newest(&self) -> Option<(Place, &Base)> {
         self.machines
             .iter()
@@ -242,7 +243,7 @@
             .max_by_key(|(place, _)| *place)
     }
 
-    /// How all stand, a line each: for people who look at a seed.
+    /// The state of each member, one line each, for debugging a seed.
     pub fn show(&self) -> String {
         let line = |member: usize| {
             let Some(status) = self.status(member) else { return format!("s{member} down") };
@@ -272,7 +273,7 @@
         self.queue.push(Reverse(At(at.max(self.now), self.sent, event)));
     }
 
-    /// The next thing happens. False: nothing is left.
+    /// Runs the next event. Returns false if there is none.
     pub fn step(&mut self) -> bool {
         let Some(Reverse(At(at, _, event))) = self.queue.pop() else { return false };
         self.now = at;
@@ -350,7 +351,8 @@
         self.run_until(self.now + ms);
     }
 
-    /// Until it is so; how long that took, in ms. Late if it is not so within the bound.
+    /// Runs until the condition is met and returns how long that took, ms. Returns `Late` if it is not met within the
+    /// bound.
     pub fn run_till(
         &mut self,
         what: &str,
@@ -371,7 +373,7 @@
         Ok(self.now - begun)
     }
 
-    /// Every member that is up acts on one stage, or on none if it can't use it, and nothing is under way.
+    /// Whether every running member acts on the same stage, or on none if it cannot use it, and no change is in progress.
     pub fn all_on_one_stage(&self) -> bool {
         let newest = self.judge.newest();
         let under_way = newest.staged.is_some() || matches!(newest.holds, Holds::Joint { .. });
--- a/crates/worlds/src/world/front.rs
+++ b/crates/worlds/src/world/front.rs
@@ -1,4 +1,4 @@
-//! What a front does: hands over what comes, carries out what is answered in its order, and orders by what holds.
+//! The part of a front: passes inputs to the consensus, carries out its outputs in order, and orders by the stage in force.
 
 use amberarch_accord::{Act, Input, Name, Output, Refusal, Said, StageNo, Wish};
 use rand::RngExt;
@@ -23,8 +23,8 @@
         }
         let machine = &mut self.machines[member];
         let Some(accord) = &machine.accord else { return };
-        self.judge.look(self.now, member, machine);
-        // A clock in floating point shows a time a hair late.
+        self.judge.check(self.now, member, machine);
+        // Rounding: the floating-point clock may reach a time slightly late.
         let due = machine.true_time(accord.due()).max(self.now) + 1e-6;
         if due < machine.tick {
             machine.tick = due;
@@ -47,7 +47,7 @@
             Output::Act { .. } => {}
             Output::Answer { id, outcome } => self.answered(member, id, outcome),
             Output::Gone if self.machines[member].ending == Some(true) => {}
-            // Nothing waits for it any more: the process ends.
+            // The shutdown is complete: the process ends.
             Output::Gone => self.crash(member),
             Output::Log(line) => self.logs.push((self.now, member, line)),
         }
@@ -66,7 +66,7 @@
     fn send(&mut self, from: usize, to: &Name, said: Said) {
         self.talk.messages[from] += 1;
         if self.weighed {
-            // A message that can't be encoded would be a fault of this world, and count as nothing.
+            // A message that cannot be encoded would be a fault of the simulation; it counts as 0 bytes.
             self.talk.bytes[from] += postcard::to_stdvec(&said).map_or(0, |bytes| bytes.len() as u64);
         }
         let Some(&to) = self.names.get(to) else { return };
@@ -82,7 +82,7 @@
         self.at(first, Event::Arrives { from, to, said });
     }
 
-    /// Looks at what the steward orders by now, and what its proxies still go by.
+    /// Updates the set of revisions that the controller orders by, and those that its proxies may still use.
     fn orders(&mut self, member: usize) {
         let until = self.now + self.shape.transit;
         let act = self.act(member);
@@ -97,8 +97,8 @@
         let machine = &mut self.machines[member];
         let turns = machine.stage != stage;
         if !matches!(act, Act::On { .. }) && machine.lingers.iter().any(|linger| linger.1 > until) {
-            // Deaf proxies are slow beyond any bound while their steward has a lease. After it, what still reaches
-            // them is over within the linger: that is what an operator states by it.
+            // Deaf proxies confirm nothing while their controller has a lease. After the lease, orders in transit
+            // to them end within the linger: the operator guarantees this with that setting.
             machine.lingers.iter_mut().for_each(|linger| linger.1 = linger.1.min(until));
             self.at(until, Event::Gone { member });
         }
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Moves a claim from the steward's orders to its proxies' tables.
+    /// Moves a claim from the controller's orders to its proxies' tables.
     fn lingers(&mut self, member: usize, bounds: Bounds, ms: f64) {
         let until = self.now + ms;
         self.machines[member].lingers.push((bounds, until));
@@ -129,8 +129,8 @@
         }
     }
 
-    /// It is gone or stopped: others bind its proxies.
-    pub(super) fn lets_go(&mut self, member: usize) {
+    /// The controller is down or paused: other controllers bind its proxies.
+    pub(super) fn release_proxies(&mut self, member: usize) {
         let until = self.now + self.shape.transit;
         if let Some(orders) = self.machines[member].orders.take() {
             self.lingers(member, orders, self.shape.transit);
--- a/crates/worlds/src/world/hands.rs
+++ b/crates/worlds/src/world/hands.rs
@@ -1,4 +1,4 @@
-//! What is done to a world: operators' wishes, and faults.
+//! Actions on the simulated fleet: operators' proposals, and faults.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use crate::DiskIs;
 
 impl World {
-    // What operators do.
+    // Actions of operators.
 
     pub fn revision(no: u64) -> Revision {
         let text = format!("revision {no}");
@@ -23,7 +23,7 @@
         self.wish(at, Wish::Revision(World::revision(no)))
     }
 
-    /// The wish's number; a wish told to a steward that is down is never answered.
+    /// Sends a proposal and returns its number. A proposal sent to a controller that is down is never answered.
     pub fn wish(&mut self, at: usize, wish: Wish) -> u64 {
         let id = self.wishes.len() as u64 + 1;
         self.wishes.insert(id, (self.now, at, wish.clone()));
@@ -31,14 +31,14 @@
         id
     }
 
-    /// Other members are wanted, by their numbers.
+    /// Requests another membership, by member numbers.
     pub fn want(&mut self, at: usize, voters: &[usize], followers: &[usize]) -> u64 {
         let names = |members: &[usize]| members.iter().map(|member| self.shape.name(*member)).collect();
         let wanted = Wanted { voters: names(voters), followers: names(followers) };
         self.wish(at, Wish::Members(wanted))
     }
 
-    /// A steward that was not there, up from here on. It knows the first members and is none of them.
+    /// Starts an additional controller. It knows the initial members and is not one of them.
     pub fn add(&mut self, votes: bool) -> usize {
         let member = self.machines.len();
         let disk = votes.then(|| self.new_disk());
@@ -55,7 +55,7 @@
         Disk(self.chance.random())
     }
 
-    /// The end: each answer is held against what came of it.
+    /// Ends the run: compares each answer with its actual outcome.
     pub fn close(&mut self) {
         let open: BTreeSet<RevisionNo> = (self.wishes.iter())
             .filter(|(id, _)| {
@@ -72,17 +72,17 @@
 
     // Faults.
 
-    /// The process is gone at once; its disk stays.
+    /// Ends the process at once; its disk is kept.
     pub fn crash(&mut self, member: usize) {
         let machine = &mut self.machines[member];
         machine.accord = None;
         (machine.dies_after, machine.ending) = (None, None);
         machine.stopped = 0.0;
-        self.lets_go(member);
+        self.release_proxies(member);
     }
 
-    /// SIGTERM: it orders nothing any more, says that it lets go, and is killed so many ms later if it has not ended by
-    /// itself. One that hangs has not.
+    /// SIGTERM: the controller stops ordering, announces that it releases its lease, and is killed after this many ms
+    /// unless it has ended by itself. With `hangs` it does not end by itself.
     pub fn end_in_order(&mut self, member: usize, within: f64, hangs: bool) {
         self.machines[member].ending = Some(hangs);
         let boot = self.machines[member].boot;
@@ -90,7 +90,7 @@
         self.feed(member, Input::LetGo);
     }
 
-    /// It dies after it has carried out so many outputs more: before or after a write, or between two messages.
+    /// Crashes the controller after this many further outputs: before or after a write, or between two messages.
     pub fn die_after(&mut self, member: usize, outputs: u64) {
         self.machines[member].dies_after = Some(outputs);
     }
@@ -127,28 +127,28 @@
         self.feed(member, Input::Tick);
     }
 
-    /// From its next start on its file says other lengths than the others', or the same again.
+    /// From its next start on, its settings file has lease lengths that differ from the others', or the same again.
     pub fn set_length(&mut self, member: usize, length: Option<Length>) {
         self.machines[member].length = length;
     }
 
-    /// An operator copies a folder, to put it back one day.
+    /// Saves a copy of the disk, which may be restored later.
     pub fn copy_disk(&mut self, member: usize) {
         self.machines[member].copy = Some(self.machines[member].kept.clone());
     }
 
-    /// SIGSTOP, and SIGCONT so many ms later.
+    /// SIGSTOP, and SIGCONT this many ms later.
     pub fn pause(&mut self, member: usize, ms: f64) {
         if self.machines[member].accord.is_none() {
             return;
         }
         let until = self.now + ms;
         self.machines[member].stopped = until.max(self.machines[member].stopped);
-        self.lets_go(member);
+        self.release_proxies(member);
         self.at(until, Event::Wakes { member });
     }
 
-    /// A clock goes ahead by so many ms.
+    /// Moves a clock ahead by this many ms.
     pub fn jump(&mut self, member: usize, ms: f64) {
         self.machines[member].offset += ms;
         self.feed(member, Input::Tick);
@@ -187,7 +187,7 @@
         self.cuts.extend([(one, other), (other, one)]);
     }
 
-    /// Nothing gets from these members to the others, nor back.
+    /// Cuts the links between these members and the others in both directions.
     pub fn isolate(&mut self, members: &[usize]) {
         for inside in members {
             for outside in (0..self.members()).filter(|other| !members.contains(other)) {
@@ -200,7 +200,7 @@
         self.cuts.clear();
     }
 
-    /// All faults end: cuts, losses, pauses, and who is down starts on its disk.
+    /// Ends all faults: cuts, losses and pauses; members that are down restart with their disks.
     pub fn heal(&mut self) {
         self.mend();
         (self.shape.net.lost, self.shape.net.twice) = (0.0, 0.0);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// A message that nobody sent, as if from that member.
+    /// Injects a forged message with that member as its sender.
     pub fn inject(&mut self, from: usize, to: usize, said: Said) {
         self.at(self.now, Event::Arrives { from, to, said });
     }
--- a/crates/worlds/tests/explore.rs
+++ b/crates/worlds/tests/explore.rs
@@ -1,5 +1,5 @@
-//! Small worlds of three voters, each choice of what happens next tried. They begin with a chair elected and
-//! revision 1 in force: from empty disks that alone would take more choices than can be explored.
+//! Exhaustive exploration of fleets of three voters. They start with an elected leader and revision 1 in force, since
+//! reaching that from empty disks would take more choices than can be explored.
 
 use std::time::Instant;
 
@@ -19,7 +19,7 @@
     explored
 }
 
-/// What is explored whole in a few seconds; the lab explores more.
+/// Configurations that are explored completely in a few seconds; the lab explores more.
 #[test]
 fn some_order_of_few_choices_breaks_a_promise() {
     let (begun, _) = begun(None);
@@ -42,7 +42,8 @@
     }
 }
 
-/// Folding loses no state and going first no breach: with either left out there are more states and the same end.
+/// Merging equivalent states loses no state, and skipping equivalent orders misses no breach: with either switched off
+/// there are more states and the same result.
 #[test]
 fn states_that_are_folded_or_left_out_hide_a_breach() {
     let (mut small, _) = begun(None);
@@ -51,7 +52,7 @@
     let every_order = explore(&small, Ways { orders: false, ..Ways::ALL }, MOST);
     assert!(folded.whole && every_order.whole && folded.states < every_order.states);
     assert_eq!((folded.breach, every_order.breach), (None, None));
-    // Without relative times no state recurs, and there is no end.
+    // Without relative times no state recurs, and the exploration does not end.
     let never_folded = explore(&small, Ways { folds: false, ..Ways::ALL }, MOST);
     assert!(!never_folded.whole);
 }
@@ -66,7 +67,7 @@
         found_after(bug, (&[], Plan::default()), plan);
     }
 
-    /// What is done first, by a plan of its own, is not sought: only what comes after it is shortest.
+    /// The first steps follow a fixed plan and are not searched; only the choices after them are the shortest.
     fn found_after(bug: Bug, (first, by): (&[Choice], Plan), plan: Plan) {
         let ((mut wrong, _), (mut clean, _)) = (begun(Some(bug)), begun(None));
         for small in [&mut wrong, &mut clean] {
@@ -77,7 +78,7 @@
         }
         let explored = told(&format!("{bug:?}"), &wrong, 400_000);
         let (trace, why) = explored.breach.expect("the seeded bug is found");
-        // The very same choices harm no clean steward, or are not open to it.
+        // The same choices cause no breach with a controller without the bug, or are not available to it.
         for choice in trace {
             if !clean.choices().contains(&choice) {
                 return;
@@ -115,7 +116,7 @@
     #[cfg_attr(debug_assertions, ignore = "takes minutes without optimisation")]
     fn an_entry_of_an_earlier_term_that_stands_by_count_is_not_found() {
         use Choice::{Calm, Cut, Heal, Propose};
-        // A chair that is cut off writes an entry; another is elected, and writes another there while it is cut off.
+        // A leader that is cut off writes an entry; another leader is elected and writes a different entry at that place.
         let first = [Cut(0), Propose(0, 2), Calm, Heal, Cut(1), Propose(1, 3), Calm];
         let by = Plan { cuts: vec![0, 1], proposals: vec![(0, 2), (1, 3)], calm: Some(720), ..coarse() };
         let plan = Plan { cuts: vec![0], terms: 3, ..Plan::default() };
--- a/crates/worlds/tests/storms.rs
+++ b/crates/worlds/tests/storms.rs
@@ -1,6 +1,6 @@
 use amberarch_worlds::{storm, Loses, Shape, Storm, World};
 
-/// So many worlds in each CI run; the lab runs thousands.
+/// Number of seeds in each CI run; the lab runs thousands.
 const WORLDS: u64 = 120;
 
 #[test]
@@ -16,7 +16,7 @@
         if let Err(late) = &stormed.ended {
             panic!("seed {seed}: {late:?} {stormed:#?}\n{}", world.show());
         }
-        // No storm puts an old copy of a disk back.
+        // The randomized faults never restore an old copy of a disk.
         let went_back = world.logs().iter().find(|(_, _, line)| line.contains("older copy"));
         assert_eq!(went_back, None, "seed {seed}");
         sum.0 += stormed.proposed;
@@ -29,19 +29,21 @@
     assert!(sum.1 > sum.0 / 10, "hardly any change came through: {sum:?}");
 }
 
-/// An answer that came when its lease was long over told a steward of the joint stage. It said so, and its proxies
-/// still went by what it had ordered just before, by its second end and the old revision alone.
+/// Guards against this failure: a controller learnt of the joint stage from an answer that arrived long after its lease
+/// had ended. It reported the joint stage while its proxies still used its previous orders, sent under the second end of
+/// the lease and the old revision alone.
 #[test]
 fn a_steward_hears_of_the_joint_stage_while_it_goes_on_with_the_old_alone() {
     let mut world = World::new(204_965, Shape::by_turns(204_965));
-    // The faults as they were drawn when it was found.
+    // The random draws of the faults with which the failure was found.
     let as_found =
         Storm { bends_clocks: false, ends_in_order: false, ..Storm::of(&Shape::by_turns(204_965)) };
     let stormed = storm(&mut world, &as_found);
     assert!(stormed.breaches.is_empty(), "{:#?}", stormed.breaches);
 }
 
-/// However many disks are lost: what nobody is left to know is not decided anew. Such a fleet may stand still for good.
+/// However many disks are lost, a decision that no member remembers is not made again. Such a fleet may stop
+/// permanently.
 #[test]
 fn more_disks_are_lost_than_any_fleet_gets_over_and_something_is_mixed() {
     let (mut lost, mut stands_still) = (0, 0);
