--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -55,14 +55,14 @@
         Discovery { asked, log, heard, due, waiting, watches, free_at, down, slow, up, calls }
     }
 
-    fn age(&self, steward: usize) -> f64 {
-        self.asked.ages.get(steward).copied().unwrap_or(0.0)
+    fn age(&self, controller: usize) -> f64 {
+        self.asked.ages.get(controller).copied().unwrap_or(0.0)
     }
 
-    pub fn ask(&mut self, now: f64, steward: usize) -> Call {
+    pub fn ask(&mut self, now: f64, controller: usize) -> Call {
         *self.calls.entry((now / 1e3) as u64).or_default() += 1;
-        self.watches.remove(&steward);
-        self.due.remove(&steward);
+        self.watches.remove(&controller);
+        self.due.remove(&controller);
         if self.down {
             return Call::Fails(now);
         }
@@ -70,42 +70,42 @@
         if self.free_at > now + self.asked.patience {
             return Call::Fails(now + self.asked.patience);
         }
-        self.waiting.insert(steward);
+        self.waiting.insert(controller);
         Call::Turn(self.free_at, self.up)
     }
 
     /// Answers a call: the full list at the age configured for this controller, and the time of the next delivery.
     /// `None` if discovery went down since the call or the caller is gone.
-    pub fn answer(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
-        if self.up != up || !self.waiting.remove(&steward) {
+    pub fn answer(&mut self, now: f64, controller: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
+        if self.up != up || !self.waiting.remove(&controller) {
             return None;
         }
-        self.watches.insert(steward);
-        self.due.remove(&steward);
-        self.heard.insert(steward, 0);
+        self.watches.insert(controller);
+        self.due.remove(&controller);
+        self.heard.insert(controller, 0);
         let mut whole = BTreeMap::new();
-        for row in self.news(now, steward) {
+        for row in self.news(now, controller) {
             whole.insert(row.host, row);
         }
         let whole = whole.into_values().filter(|row| row.availability != Availability::Removed).collect();
-        Some((whole, self.next(now, steward)))
+        Some((whole, self.next(now, controller)))
     }
 
     /// Entries that the watch has not received yet and that are old enough for this controller.
-    fn news(&mut self, now: f64, steward: usize) -> Vec<HostEntry> {
-        let from = self.heard.get(&steward).copied().unwrap_or(0);
-        let until = now - self.age(steward);
+    fn news(&mut self, now: f64, controller: usize) -> Vec<HostEntry> {
+        let from = self.heard.get(&controller).copied().unwrap_or(0);
+        let until = now - self.age(controller);
         let fresh: Vec<HostEntry> =
             self.log[from..].iter().take_while(|row| row.0 <= until).map(|row| row.1.clone()).collect();
-        self.heard.insert(steward, from + fresh.len());
+        self.heard.insert(controller, from + fresh.len());
         fresh
     }
 
     /// Schedules the next delivery of the watch if there are entries that it has not received.
-    fn next(&mut self, now: f64, steward: usize) -> Option<f64> {
-        let heard = self.heard.get(&steward).copied().unwrap_or(0);
-        let first = self.log.get(heard)?.0 + self.age(steward);
-        if !self.watches.contains(&steward) || !self.due.insert(steward) {
+    fn next(&mut self, now: f64, controller: usize) -> Option<f64> {
+        let heard = self.heard.get(&controller).copied().unwrap_or(0);
+        let first = self.log.get(heard)?.0 + self.age(controller);
+        if !self.watches.contains(&controller) || !self.due.insert(controller) {
             return None;
         }
         self.free_at = self.free_at.max(now) + self.slow * 1e3 / self.asked.calls_per_s;
@@ -114,12 +114,12 @@
 
     /// Delivers to a watch all changes since the last delivery, with the time of the next one. `None` if the watch has
     /// ended.
-    pub fn tell(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
-        if self.up != up || !self.watches.contains(&steward) || !self.due.remove(&steward) {
+    pub fn tell(&mut self, now: f64, controller: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
+        if self.up != up || !self.watches.contains(&controller) || !self.due.remove(&controller) {
             return None;
         }
-        let news = self.news(now, steward);
-        Some((news, self.next(now, steward)))
+        let news = self.news(now, controller);
+        Some((news, self.next(now, controller)))
     }
 
     /// Publishes list changes and returns the watches that receive them, with their delivery times. A delivery takes as
@@ -127,7 +127,7 @@
     pub fn change(&mut self, now: f64, rows: &[HostEntry]) -> Vec<(usize, f64)> {
         self.log.extend(rows.iter().map(|row| (now, row.clone())));
         let watches: Vec<usize> = self.watches.iter().copied().collect();
-        watches.into_iter().filter_map(|steward| Some((steward, self.next(now, steward)?))).collect()
+        watches.into_iter().filter_map(|controller| Some((controller, self.next(now, controller)?))).collect()
     }
 
     pub fn up(&self) -> Up {
@@ -153,10 +153,10 @@
     }
 
     /// Drops the calls and the watch of a controller that stopped.
-    pub fn lose(&mut self, steward: usize) {
-        self.waiting.remove(&steward);
-        self.watches.remove(&steward);
-        self.due.remove(&steward);
+    pub fn lose(&mut self, controller: usize) {
+        self.waiting.remove(&controller);
+        self.watches.remove(&controller);
+        self.due.remove(&controller);
     }
 
     /// The maximum number of calls in one second, and the total.
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -184,7 +184,7 @@
         1_000.0 * f64::from(self.hosts * self.cores) * self.use_of_cores / work
     }
 
-    fn steward(&self, seed: u64) -> Controller {
+    fn controller(&self, seed: u64) -> Controller {
         let instance = InstanceSettings {
             seed,
             zone: ZoneId(0),
@@ -203,11 +203,11 @@
             typical_transit: self.transit,
             max_transit: 2.0 * self.transit,
         };
-        self.steward_at(instance, channel, false)
+        self.controller_at(instance, channel, false)
     }
 
     /// A controller with these instance settings and channel. With `on_request` it has to request the host list.
-    fn steward_at(&self, instance: InstanceSettings, channel: Channel, on_request: bool) -> Controller {
+    fn controller_at(&self, instance: InstanceSettings, channel: Channel, on_request: bool) -> Controller {
         let proxies = ProxySettings {
             proxy_count: u32::from(self.proxies),
             bootstrap_hosts: BOOTSTRAP_HOSTS,
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -62,7 +62,7 @@
         }
         let since = *self.bare.entry(proxy).or_insert(now);
         if now > since + bare_for {
-            let what = format!("without an open line since {since:.0}");
+            let what = format!("without a usable host since {since:.0} ms");
             self.broke(Breach { rule: Rule::Bare, at: now, steward, proxy: Some(proxy), host: None, what });
         }
     }
@@ -89,7 +89,7 @@
         let times = offered.work / (able * warmup.failure_after).max(1e-9);
         self.most = self.most.max(times);
         if times > warmup.failure_load {
-            let what = format!("offered {times:.1} times what it can do, over {} ms", warmup.failure_after);
+            let what = format!("offered {times:.1} times its capacity over {} ms", warmup.failure_after);
             let (steward, proxy, host) = (None, None, Some(host));
             self.broke(Breach { rule: Rule::PushedOver, at: now, steward, proxy, host, what });
         }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -34,12 +34,12 @@
 enum What {
     Arrive {
         proxy: u16,
-        product: u16,
+        class: u16,
     },
     /// A client that got no answer retries.
     Again {
         proxy: ProxyId,
-        product: ClassId,
+        class: ClassId,
         first: f64,
         work: f64,
         asked: u8,
@@ -94,7 +94,7 @@
 
 struct Txn {
     proxy: ProxyId,
-    product: ClassId,
+    class: ClassId,
     came: f64,
     /// When its client first sent it, and how often it has retried.
     first: f64,
@@ -142,7 +142,7 @@
 /// One controller with its proxies. The first one's tables route the day's traffic; the others receive the same events
 /// and their tables are only recorded.
 struct Front {
-    steward: Box<dyn Decide>,
+    controller: Box<dyn Decide>,
     intake: Option<Intake>,
     reporters: Vec<Reporter>,
     proxies: Vec<Proxy>,
@@ -203,7 +203,7 @@
         let reporter =
             |number: u32| Reporter { skew: 1e5 * f64::from(number), seq: 0, every: 100.0, echo: None };
         Front {
-            steward: Box::new(shape.steward(seed)),
+            controller: Box::new(shape.controller(seed)),
             intake,
             reporters: (0..shape.hosts).map(reporter).collect(),
             proxies: (0..shape.proxies).map(proxy).collect(),
@@ -219,11 +219,11 @@
     fn shares(&self, hosts: usize, all: f64) -> Vec<f64> {
         let mut shares = vec![0.0; hosts];
         for proxy in &self.proxies {
-            for (product, rate) in (0..).map(ClassId).zip(&proxy.rates) {
-                let sum: f64 = proxy.open(product).map(|(_, weight)| weight).sum();
+            for (class, rate) in (0..).map(ClassId).zip(&proxy.rates) {
+                let sum: f64 = proxy.open(class).map(|(_, weight)| weight).sum();
                 let each =
                     |(host, weight): (HostId, f64)| shares[host.0 as usize] += rate / all * weight / sum;
-                proxy.open(product).for_each(each);
+                proxy.open(class).for_each(each);
             }
         }
         shares
@@ -271,16 +271,16 @@
 
     /// Adds named service levels to the first controller's decisions; with `acts` false they are only observed.
     pub fn levelled(mut self, ladder: Ladder, acts: bool) -> World {
-        let products = self.shape.products.iter().map(|(product, ..)| product.clone()).collect();
+        let products = self.shape.products.iter().map(|(class, ..)| class.clone()).collect();
         let levels = ServiceLevels::new(ladder, self.shape.zones, products, &self.shape.sums, acts);
-        let inner = self.shape.steward(self.seed);
-        self.fronts[0].steward = Box::new(Levelled::new(inner, Rc::new(RefCell::new(levels))));
+        let inner = self.shape.controller(self.seed);
+        self.fronts[0].controller = Box::new(Levelled::new(inner, Rc::new(RefCell::new(levels))));
         self
     }
 
     /// Wraps the first controller's decisions, for example with an adapter between them and the proxies.
     pub fn behind(mut self, wrap: impl FnOnce(Box<dyn Decide>) -> Box<dyn Decide>) -> World {
-        self.fronts[0].steward = wrap(Box::new(self.shape.steward(self.seed)));
+        self.fronts[0].controller = wrap(Box::new(self.shape.controller(self.seed)));
         self
     }
 
@@ -351,8 +351,8 @@
         // Time for the proxies to receive tables before the first txns arrive.
         let settle = 2_000.0;
         for proxy in 0..self.shape.proxies {
-            for product in 0..self.shape.products.len() as u16 {
-                self.at(settle, What::Arrive { proxy, product });
+            for class in 0..self.shape.products.len() as u16 {
+                self.at(settle, What::Arrive { proxy, class });
             }
         }
         self.at(settle + self.shape.sums.interval, What::Sums);
@@ -445,10 +445,8 @@
 
     fn happen(&mut self, what: What) {
         match what {
-            What::Arrive { proxy, product } => self.arrive(proxy, product),
-            What::Again { proxy, product, first, work, asked } => {
-                self.come(proxy, product, first, work, asked)
-            }
+            What::Arrive { proxy, class } => self.arrive(proxy, class),
+            What::Again { proxy, class, first, work, asked } => self.come(proxy, class, first, work, asked),
             What::Reach { txn, host } => self.reach(txn, host),
             What::Done { txn, host, starts } => self.done(txn, host, starts),
             What::Expire { txn } => self.end(txn, None),
@@ -469,7 +467,7 @@
         }
     }
 
-    fn arrive(&mut self, proxy: u16, product: u16) {
+    fn arrive(&mut self, proxy: u16, class: u16) {
         let times: f64 = self
             .faults_now()
             .map(|trouble| match trouble {
@@ -477,58 +475,57 @@
                 _ => 1.0,
             })
             .product();
-        let work = Exp::new(1.0 / self.shape.products[usize::from(product)].2).expect("work of some length");
-        let rate = times * self.proxies()[usize::from(proxy)].rates[usize::from(product)] / 1e3;
+        let work = Exp::new(1.0 / self.shape.products[usize::from(class)].2).expect("work of some length");
+        let rate = times * self.proxies()[usize::from(proxy)].rates[usize::from(class)] / 1e3;
         let source = &mut self.chances[usize::from(proxy)];
         let wait = Exp::new(rate).expect("txns at some rate").sample(source);
         let work = work.sample(source);
-        self.at(self.now + wait, What::Arrive { proxy, product });
-        let (proxy, product) = (ProxyId(proxy), ClassId(product));
-        let revenue = self.shape.products[usize::from(product.0)].0.value;
+        self.at(self.now + wait, What::Arrive { proxy, class });
+        let (proxy, class) = (ProxyId(proxy), ClassId(class));
+        let revenue = self.shape.products[usize::from(class.0)].0.value;
         self.day.offered += revenue;
-        self.window(product, self.now).offered += revenue;
+        self.window(class, self.now).offered += revenue;
         self.fleet_earned(proxy, revenue, 0.0);
-        self.come(proxy, product, self.now, work, 0);
+        self.come(proxy, class, self.now, work, 0);
     }
 
-    fn window(&mut self, product: ClassId, first: f64) -> &mut Window {
+    fn window(&mut self, class: ClassId, first: f64) -> &mut Window {
         let (place, products) = ((first / WINDOW) as usize, self.shape.products.len());
         if self.day.windows.len() <= place {
             self.day.windows.resize(place + 1, vec![Window::default(); products]);
         }
-        &mut self.day.windows[place][usize::from(product.0)]
+        &mut self.day.windows[place][usize::from(class.0)]
     }
 
-    fn come(&mut self, proxy: ProxyId, product: ClassId, first: f64, work: f64, asked: u8) {
+    fn come(&mut self, proxy: ProxyId, class: ClassId, first: f64, work: f64, asked: u8) {
         let picks = &mut self.picks[usize::from(proxy.0)];
         let (admitted, chances): (f64, [f64; 2]) = (picks.random(), [picks.random(), picks.random()]);
         let id = TxnId(self.next);
         self.next += 1;
-        self.day.fates[usize::from(product.0)].came += 1;
-        self.proxy_counts.entry((proxy.0, product.0)).or_default().tries += 1;
-        let (level, _) = self.proxies()[usize::from(proxy.0)].level(product);
+        self.day.fates[usize::from(class.0)].came += 1;
+        self.proxy_counts.entry((proxy.0, class.0)).or_default().tries += 1;
+        let (level, _) = self.proxies()[usize::from(proxy.0)].level(class);
         // Rejected at the proxy: the client may retry, and no host is tried.
         if self.shape.levels == LevelKind::Fraction && admitted >= level {
-            self.day.fates[usize::from(product.0)].declined += 1;
-            return self.ask_again(proxy, product, first, work, asked);
+            self.day.fates[usize::from(class.0)].declined += 1;
+            return self.ask_again(proxy, class, first, work, asked);
         }
         let (came, tried, under_way) = (self.now, None, None);
         let (again, ran, open) = (false, false, true);
-        let txn =
-            Txn { proxy, product, came, first, asked, work, chances, tried, under_way, again, ran, open };
+        let txn = Txn { proxy, class, came, first, asked, work, chances, tried, under_way, again, ran, open };
         self.txns.insert(id, txn);
-        self.window(product, first).let_in += 1;
-        let expiry = self.shape.products[usize::from(product.0)].0.deadline;
+        self.window(class, first).let_in += 1;
+        let expiry = self.shape.products[usize::from(class.0)].0.deadline;
         self.at(self.now + expiry, What::Expire { txn: id });
         self.send(id);
     }
 
     /// Some of the clients without an answer retry. A non-idempotent txn that may have run is not retried.
-    fn ask_again(&mut self, proxy: ProxyId, product: ClassId, first: f64, work: f64, asked: u8) {
+    fn ask_again(&mut self, proxy: ProxyId, class: ClassId, first: f64, work: f64, asked: u8) {
         let (part, after, most) = self.shape.again;
         if asked < most && self.picks[usize::from(proxy.0)].random::<f64>() < part {
             let asked = asked + 1;
-            self.at(self.now + after, What::Again { proxy, product, first, work, asked });
+            self.at(self.now + after, What::Again { proxy, class, first, work, asked });
         }
     }
 
@@ -536,17 +533,17 @@
         let Some(txn) = self.txns.get_mut(&id) else { return };
         let proxy = &self.fronts[0].proxies[usize::from(txn.proxy.0)];
         let chance = txn.chances[usize::from(txn.again)];
-        let host = proxy.pick(txn.product, chance, txn.tried);
+        let host = proxy.pick(txn.class, chance, txn.tried);
         (txn.tried, txn.under_way) = (host, host);
         match host {
             Some(host) => {
                 let left = self.hosts[host.0 as usize].left;
                 self.day.to_gone += u32::from(left.is_some_and(|left| self.now > left + GRACE));
-                let (now, pair) = (self.now, (txn.product, proxy.zone));
+                let (now, pair) = (self.now, (txn.class, proxy.zone));
                 self.governed.iter_mut().for_each(|governed| governed.tried(now, pair, host));
                 let (zone, proxy) = (proxy.zone, txn.proxy);
-                let steward = self.steward_of(proxy);
-                self.host_counts.entry((steward, zone, host)).or_default().tries += 1;
+                let controller = self.controller_of(proxy);
+                self.host_counts.entry((controller, zone, host)).or_default().tries += 1;
                 self.fleet_tried(proxy, host);
                 self.at(self.now + PATH, What::Reach { txn: id, host });
             }
@@ -580,9 +577,9 @@
 
     fn ran(&mut self, id: TxnId) {
         if let Some(txn) = self.txns.get_mut(&id) {
-            self.day.fates[usize::from(txn.product.0)].twice += u32::from(txn.ran);
+            self.day.fates[usize::from(txn.class.0)].twice += u32::from(txn.ran);
             let once =
-                self.shape.products[usize::from(txn.product.0)].0.idempotency == Idempotency::NonIdempotent;
+                self.shape.products[usize::from(txn.class.0)].0.idempotency == Idempotency::NonIdempotent;
             if std::mem::replace(&mut txn.ran, true) && once {
                 let proxy = txn.proxy;
                 self.fleet_twice(proxy);
@@ -594,9 +591,9 @@
     fn unworked(&mut self, id: TxnId, host: HostId) {
         let Some(txn) = self.txns.get_mut(&id) else { return };
         let proxy = &self.fronts[0].proxies[usize::from(txn.proxy.0)];
-        let steward = self.stations.as_ref().map_or(0, |stations| stations.steward_of(txn.proxy));
-        self.host_counts.entry((steward, proxy.zone, host)).or_default().failed += 1;
-        let allowed = proxy.level(txn.product).1 != RetryPolicy::One && !txn.again;
+        let controller = self.stations.as_ref().map_or(0, |stations| stations.controller_of(txn.proxy));
+        self.host_counts.entry((controller, proxy.zone, host)).or_default().failed += 1;
+        let allowed = proxy.level(txn.class).1 != RetryPolicy::One && !txn.again;
         (txn.again, txn.under_way) = (true, None);
         match allowed {
             true => self.send(id),
@@ -619,8 +616,8 @@
         if let Some(txn) = self.txns.get(&id).filter(|txn| txn.open) {
             let (zone, took) =
                 (self.fronts[0].proxies[usize::from(txn.proxy.0)].zone, self.now - txn.came + PATH);
-            let steward = self.steward_of(txn.proxy);
-            self.host_counts.entry((steward, zone, at)).or_default().latency_sum += took;
+            let controller = self.controller_of(txn.proxy);
+            self.host_counts.entry((controller, zone, at)).or_default().latency_sum += took;
             self.end(id, Some(took));
         }
         self.txns.remove(&id);
@@ -630,31 +627,31 @@
     fn end(&mut self, id: TxnId, took: Option<f64>) {
         let Some(txn) = self.txns.get_mut(&id).filter(|txn| txn.open) else { return };
         txn.open = false;
-        let (proxy, product, first, asked, work) = (txn.proxy, txn.product, txn.first, txn.asked, txn.work);
+        let (proxy, class, first, asked, work) = (txn.proxy, txn.class, txn.first, txn.asked, txn.work);
         let (ran, under_way) = (txn.ran, txn.under_way);
-        let of = self.shape.products[usize::from(product.0)].0.clone();
+        let of = self.shape.products[usize::from(class.0)].0.clone();
         let (earned, in_time) = match took {
             Some(took) if took <= of.latency_target => (of.value, 1),
             Some(_) => (of.value * of.late_value_fraction, 0),
             None => (0.0, 0),
         };
-        let fate = &mut self.day.fates[usize::from(product.0)];
+        let fate = &mut self.day.fates[usize::from(class.0)];
         fate.in_time += in_time;
         fate.late += u32::from(took.is_some()) - in_time;
         fate.voided += u32::from(took.is_none());
         self.day.earned += earned;
         self.fleet_earned(proxy, 0.0, earned);
-        let window = self.window(product, first);
+        let window = self.window(class, first);
         (window.earned, window.in_time) = (window.earned + earned, window.in_time + in_time);
         if took.is_none() {
             let zone = self.proxies()[usize::from(proxy.0)].zone;
-            self.proxy_counts.entry((proxy.0, product.0)).or_default().failed += 1;
+            self.proxy_counts.entry((proxy.0, class.0)).or_default().failed += 1;
             if let Some(host) = under_way {
-                let steward = self.steward_of(proxy);
-                self.host_counts.entry((steward, zone, host)).or_default().failed += 1;
+                let controller = self.controller_of(proxy);
+                self.host_counts.entry((controller, zone, host)).or_default().failed += 1;
             }
             if !(ran && of.idempotency == Idempotency::NonIdempotent) {
-                self.ask_again(proxy, product, first, work, asked);
+                self.ask_again(proxy, class, first, work, asked);
             }
         }
     }
@@ -668,7 +665,7 @@
             proxy.hear(to, order);
         }
         // In a fleet all proxies are stored in the first front, whichever controller they belong to.
-        let answers_to = if self.stations.is_some() { self.steward_of(to) } else { front };
+        let answers_to = if self.stations.is_some() { self.controller_of(to) } else { front };
         for order in orders {
             if let Order::Mark { mark, .. } = order {
                 let duration = self.shape.transit;
@@ -694,7 +691,7 @@
             let events = std::mem::take(&mut self.fronts[front].events);
             if !events.is_empty() {
                 self.decisions += 1;
-                let orders = self.fronts[front].steward.decide(self.now, &events);
+                let orders = self.fronts[front].controller.decide(self.now, &events);
                 self.carry_out(front, orders);
             }
         }
@@ -774,12 +771,12 @@
         for ((_, zone, host), sum) in std::mem::take(&mut self.host_counts) {
             self.held_or_at(zone, late, What::TellAll(sum.host_report(zone, host, over)));
         }
-        for ((proxy, product), sum) in std::mem::take(&mut self.proxy_counts) {
+        for ((proxy, class), sum) in std::mem::take(&mut self.proxy_counts) {
             let there = &self.proxies()[usize::from(proxy)];
             if there.stalled {
                 continue;
             }
-            let event = sum.proxy_report(ProxyId(proxy), ClassId(product), over);
+            let event = sum.proxy_report(ProxyId(proxy), ClassId(class), over);
             self.held_or_at(there.zone, late, What::TellAll(event));
         }
         self.at(self.now + over, What::Sums);
@@ -862,7 +859,7 @@
     /// after each host has passed two probes, and without a stored list it waits for discovery.
     fn restart_controller(&mut self) {
         let Some(kept) = self.restart else { return };
-        self.fronts[0].steward = Box::new(self.shape.steward(self.seed + 1));
+        self.fronts[0].controller = Box::new(self.shape.controller(self.seed + 1));
         // Timers and orders in transit of the stopped controller are dropped.
         self.todo
             .retain(|_, what| !matches!(what, What::Tell { front: 0, .. } | What::Heard { front: 0, .. }));
--- a/crates/emulator/src/world/fleet.rs
+++ b/crates/emulator/src/world/fleet.rs
@@ -230,7 +230,7 @@
 
 impl Stations {
     /// The controller that receives a proxy's traffic reports; the first one if the proxy has none.
-    pub fn steward_of(&self, proxy: ProxyId) -> usize {
+    pub fn controller_of(&self, proxy: ProxyId) -> usize {
         self.homes[usize::from(proxy.0)].at.unwrap_or(0)
     }
 }
@@ -288,7 +288,7 @@
             self.fronts[0].proxies[at].start_with(given);
         }
         for front in 0..self.fronts.len() {
-            self.begin_steward(front);
+            self.start_controller(front);
         }
         for proxy in 0..self.shape.proxies {
             self.join(ProxyId(proxy));
@@ -306,15 +306,15 @@
         self.stations.as_mut().expect("only a fleet gets here")
     }
 
-    pub(super) fn steward_of(&self, proxy: ProxyId) -> usize {
-        self.stations.as_ref().map_or(0, |stations| stations.steward_of(proxy))
+    pub(super) fn controller_of(&self, proxy: ProxyId) -> usize {
+        self.stations.as_ref().map_or(0, |stations| stations.controller_of(proxy))
     }
 
     fn zone_of(&self, front: usize) -> ZoneId {
         ZoneId(front as u16 % self.shape.zones)
     }
 
-    pub(super) fn begin_steward(&mut self, front: usize) {
+    pub(super) fn start_controller(&mut self, front: usize) {
         let Some(stations) = &mut self.stations else { return };
         let station = &mut stations.all[front];
         if station.up {
@@ -339,7 +339,7 @@
             slice_count: 0,
             may_probe: true,
         };
-        self.fronts[front].steward = Box::new(self.shape.steward_at(instance, channel, true));
+        self.fronts[front].controller = Box::new(self.shape.controller_at(instance, channel, true));
         let on = self
             .hosts
             .iter()
@@ -548,7 +548,7 @@
                 for front in stewards.iter().map(|steward| usize::from(*steward)) {
                     match begins {
                         true => self.lose(front),
-                        false => self.begin_steward(front),
+                        false => self.start_controller(front),
                     }
                 }
             }
@@ -736,11 +736,11 @@
         for (front, zone, host) in self.host_counts.keys() {
             pairs[*front].push(Pair::Met(*zone, *host));
         }
-        for (proxy, product) in self.proxy_counts.keys().copied() {
+        for (proxy, class) in self.proxy_counts.keys().copied() {
             let there = &self.fronts[0].proxies[usize::from(proxy)];
             let home = self.stations.as_ref().and_then(|stations| stations.homes[usize::from(proxy)].at);
             if let Some(front) = home.filter(|_| !there.stalled) {
-                pairs[front].push(Pair::Came(proxy, product));
+                pairs[front].push(Pair::Came(proxy, class));
             }
         }
         for (front, mut pairs) in pairs.into_iter().enumerate() {
@@ -758,11 +758,11 @@
                         let sum = self.host_counts.remove(&(front, zone, host)).unwrap_or_default();
                         (sum.host_report(zone, host, over), !self.cut(zone) && !self.cut_for(front, zone))
                     }
-                    Pair::Came(proxy, product) => {
-                        let sum = self.proxy_counts.remove(&(proxy, product)).unwrap_or_default();
+                    Pair::Came(proxy, class) => {
+                        let sum = self.proxy_counts.remove(&(proxy, class)).unwrap_or_default();
                         let zone = self.fronts[0].proxies[usize::from(proxy)].zone;
                         let seen = !self.cut(zone) && !self.cut_for(front, zone);
-                        (sum.proxy_report(ProxyId(proxy), ClassId(product), over), seen)
+                        (sum.proxy_report(ProxyId(proxy), ClassId(class), over), seen)
                     }
                 };
                 // Reports held back by a network cut are dropped here; later reports replace them.
@@ -798,8 +798,11 @@
         let Some(told) = stations.all[front].gone.get(&host) else { return };
         let from = told.max(home.drains_from) + GRACE;
         if now > from {
-            let what =
-                format!("a try {:.0} ms after the list told, {:.0} after the grace", now - told, now - from);
+            let what = format!(
+                "a try {:.0} ms after the list change, {:.0} ms after the grace",
+                now - told,
+                now - from
+            );
             let (rule, steward, proxy, host) = (Rule::Drains, Some(front), Some(proxy), Some(host));
             stations.checker.broke(Breach { rule, at: now, steward, proxy, host, what });
         }
@@ -839,7 +842,7 @@
         let now = self.now;
         if let Some(stations) = &mut self.stations {
             let steward = stations.homes[usize::from(proxy.0)].at;
-            let what = "a once-only txn ran again".into();
+            let what = "a non-idempotent txn ran more than once".into();
             let (rule, proxy, host) = (Rule::Twice, Some(proxy), None);
             stations.checker.broke(Breach { rule, at: now, steward, proxy, host, what });
         }
@@ -873,7 +876,7 @@
                 stations.checker.waits(id, CHECK_INTERVAL);
             }
             stations.checker.serves(now, id, home.at, open, bare_for);
-            let bound = home.at.is_some() && proxy.bound_by_its_steward();
+            let bound = home.at.is_some() && proxy.bound_by_its_controller();
             if let Some((since, serving, was_bound)) = &mut home.lost {
                 let serves = (0..products).all(|id| proxy.open(ClassId(id)).any(|(host, _)| up(host)));
                 if serves && !std::mem::replace(serving, true) {
@@ -890,8 +893,8 @@
                 let dead =
                     || (0..products).flat_map(|id| proxy.open(ClassId(id))).find(|(host, _)| !up(*host));
                 unsettled = match (bound, dead()) {
-                    (false, _) => Some(format!("proxy {at} is not bound by steward {:?}", home.at)),
-                    (_, Some((host, _))) => Some(format!("proxy {at} uses host {} that is gone", host.0)),
+                    (false, _) => Some(format!("proxy {at} is not bound by controller {:?}", home.at)),
+                    (_, Some((host, _))) => Some(format!("proxy {at} uses host {} that is down", host.0)),
                     _ => None,
                 };
             }
@@ -906,7 +909,7 @@
             if unsettled.is_none() && well {
                 let front = (0..stations.all.len()).find(shut);
                 let text =
-                    |front| format!("host {} is well and shut out by steward {front}", host.listed.host.0);
+                    |front| format!("healthy host {} is withdrawn by controller {front}", host.listed.host.0);
                 unsettled = front.map(text);
             }
         }
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,4 +1,4 @@
-//! What any day of the emulator must show, whatever decides.
+//! Properties that every emulated day must have, whatever makes the decisions.
 
 use amberarch_core::{ClassId, LevelKind, RetryPolicy, ZoneId};
 use amberarch_emulator::{apart, Day, Fault, Reports, Shape, Trouble, World};
@@ -60,7 +60,7 @@
         Trouble::Cut { zone: ZoneId(0) },
         Trouble::Stall { proxies: (0..12).collect() },
     ];
-    // Orders have something to tell all day, so that who does not read them shows.
+    // There are orders throughout the day, so a proxy that does not read them is noticed.
     let slow = || fault(4_000.0, 30_000.0, Trouble::Slow { hosts: vec![0, 4, 8], part: 0.4 });
     let calm = play(short(0.6), vec![slow()], Reports::On { each: 2.0 }, 2);
     for trouble in troubles {
@@ -75,13 +75,13 @@
         assert_eq!(day.fates[1].twice, 0, "{trouble:?}");
         for fate in &day.fates {
             let ended = fate.declined + fate.in_time + fate.late + fate.voided;
-            // But for those under way when the day ends, one answer each.
+            // Each txn has exactly one outcome, except for those in progress when the day ends.
             assert!(ended <= fate.came && fate.came - ended < 1_500, "{fate:?}");
         }
     }
 }
 
-/// What waited through a cut is tens of seconds old when it comes: no table follows it.
+/// Reports held back by a network cut are tens of seconds old when they arrive: no table follows them.
 #[test]
 fn reports_that_a_cut_held_back_move_no_table() {
     let faults = || vec![fault(6_000.0, 24_000.0, Trouble::Cut { zone: ZoneId(1) })];
@@ -91,7 +91,7 @@
     assert!(after.iter().all(|part| *part < 1e-9), "{after:?}");
 }
 
-/// Full service, then a level that sheds details, then one that sheds pages too, by an emergency.
+/// Levels: full service, one that sheds details, and one for emergencies that sheds pages too.
 fn ladder(shape: &Shape) -> Ladder {
     let on = |signal, value, lasting| Condition { signal, value, lasting };
     let quiet = vec![on(Signal::Pressure, 0.45, 6_000.0), on(Signal::Voided, 0.05, 6_000.0)];
@@ -119,7 +119,7 @@
     Ladder::new(levels, &products).expect("a ladder that can serve")
 }
 
-/// A night without and with named levels, and when each level was taken up and whether by an emergency.
+/// A night without and with named levels, and when each level started and whether as an emergency.
 fn night(shape: &Shape, faults: &[Fault]) -> (Day, Day, Vec<(f64, String, bool)>) {
     let own = World::new(shape.clone(), faults.to_vec(), Reports::Off, 9).play();
     let named =
@@ -134,8 +134,8 @@
     (own, named, changes)
 }
 
-/// Guards against an outage for good, too: with every zone gone, tables held the neighbours' hosts, whose lines went
-/// only once all that came back served, while cold hosts came back only once those lines had gone.
+/// Also guards against a permanent outage: with every zone down, tables held the neighbours' hosts. Their entries were
+/// removed only once all returning hosts served, while cold hosts were restored only once those entries were removed.
 #[test]
 fn all_hosts_restart_at_once_and_levels_end_at_full_service() {
     let shape = Shape { lasts: 150_000.0, ..Shape::election() };
@@ -148,7 +148,7 @@
     assert_eq!(named.fates[2].twice, 0);
 }
 
-/// Orders take longer than a round of sums: levels are told late, and do not chase what they have not done yet.
+/// Orders take longer than a report interval: levels take effect late, and must not be raised further before they do.
 #[test]
 fn a_channel_that_is_too_slow_for_a_change_brings_no_flapping() {
     let shape = Shape { lasts: 150_000.0, transit: 5_000.0, ..Shape::election() };
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! Many stewards over one fleet: each hard case caused, and the five rules looked at for the fleet as a whole.
+//! Several controllers in one fleet: each hard case is provoked, and the five safety rules are checked for the whole fleet.
 
 use amberarch_core::{Channel, ZoneId};
 use amberarch_emulator::{Asked, Day, Fault, Fleet, Homes, Reports, Rule, Seen, Shape, Trouble, World};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Four zones of eight hosts and twelve proxies, at half of the cores.
+/// Four zones of eight hosts and twelve proxies, at half of the capacity.
 fn shape() -> Shape {
     let mut shape = Shape {
         zones: 4,
@@ -20,7 +20,7 @@
     shape
 }
 
-/// A steward a zone, with a channel that takes what the day asks for: four times the usual part.
+/// One controller per zone, with a channel large enough for the day: four times the usual capacity.
 fn fleet(shape: &Shape) -> Fleet {
     let mut fleet = Fleet::usual(shape, 4);
     (fleet.channel.lines_per_s, fleet.channel.max_backlog) =
@@ -40,11 +40,11 @@
     World::new(shape.clone(), faults, Reports::Off, seed).fleet(fleet).play()
 }
 
-/// A cold host is let in by steps until it is warm; gates take seconds more.
+/// A cold host is admitted in steps until it is warm; the gates take some seconds more.
 const SETTLES: f64 = 20_000.0;
 const NEVER: f64 = 1e9;
 
-/// All five rules kept, and the tables settled within so long after the last fault.
+/// Checks that all five rules hold and that the tables settle within this time after the last fault.
 fn holds(day: &Day, settles_within: f64) -> &Seen {
     let seen = &day.seen;
     assert_eq!(seen.breaches, vec![], "{:?}", day.fates);
@@ -81,7 +81,8 @@
     assert_ne!(one.fates, other.fates);
 }
 
-/// Twenty ask in one millisecond; ten calls are through before the rest lose patience, and they come again apart.
+/// Twenty controllers call in one millisecond; ten calls are answered before the rest time out, and those retry at
+/// different times.
 #[test]
 fn all_stewards_start_in_one_millisecond_and_discovery_works_off_ten() {
     let shape = Shape { zones: 20, hosts: 80, proxies: 100, ..shape() };
@@ -100,7 +101,7 @@
     let down = fault(11_000.0, 19_000.0, Trouble::DiscoveryDown);
     let day = play(&shape, fleet(&shape), vec![release, down], 3);
     let seen = holds(&day, SETTLES);
-    // Each asks again 0.6 s after a failure, then ever more rarely: no second holds all of them twice.
+    // Each retries 0.6 s after a failure, then with growing pauses: no second has two calls of all of them.
     assert!(seen.calls.1 >= 12 && seen.calls.0 <= 8, "{:?}", seen.calls);
 }
 
@@ -113,11 +114,12 @@
     let release = fault(12_000.0, 16_000.0, Trouble::Replace { hosts });
     let day = play(&shape, fleet, vec![release], 4);
     holds(&day, SETTLES);
-    // Those whose steward hears late still try what has left.
+    // Proxies whose controller learns of it late still try hosts that have left.
     assert!(day.to_gone > 0);
 }
 
-/// The first death sends twelve proxies to three others; one of those ends before all of its new ones are bound.
+/// When the first controller stops, twelve proxies move to three others; one of those stops before it has bound all of
+/// them.
 #[test]
 fn a_steward_dies_in_the_middle_of_binding_anothers_proxies() {
     let shape = Shape { proxies: 96, ..shape() };
@@ -138,7 +140,7 @@
     assert!(day.service() > 0.95, "{}", day.service());
 }
 
-/// It is back 300 ms after it ended, and its proxies within the next 200 ms.
+/// The controller is back 300 ms after it stopped, and its proxies return within the next 200 ms.
 #[test]
 fn proxies_come_back_to_the_first_steward_while_the_second_still_binds_them() {
     let shape = Shape { proxies: 96, ..shape() };
@@ -150,7 +152,7 @@
     assert!(share > 0.2, "{share}");
 }
 
-/// One of four stewards is lost, and six in ten hosts go within eight seconds, with `times` the usual channel.
+/// One of four controllers is lost, and six in ten hosts are replaced within eight seconds, with `times` the usual channel.
 fn six_in_ten(times: f64) -> Day {
     let shape = shape();
     let mut fleet = Fleet::usual(&shape, 4);
@@ -171,23 +173,24 @@
     holds(&six_in_ten(4.0), SETTLES);
 }
 
-/// What comes back stood before drains that were told later, up to 11 s of this channel: 142 pairs of proxy and host
-/// with a try after the grace.
+/// Restored hosts were queued in the channel before later drains, up to 11 s of this channel: 142 pairs of proxy and host
+/// had a try after the grace.
 #[test]
 fn drains_do_not_stand_behind_returns_that_fill_the_channel() {
     let broke = six_in_ten(1.0).seen.broke(Rule::Drains);
     assert!(broke <= 60, "{broke}");
 }
 
-/// The rest: a return that goes in a drain's message lengthens it by two lines. See docs/fleet.md.
+/// The remaining cases: a restore sent in the message of a drain makes it two lines longer. See docs/fleet.md.
 #[test]
 #[ignore = "waits for the module: returns lengthen the messages that drains go in"]
 fn drains_are_kept_while_the_channel_is_full_of_returns() {
     assert_eq!(six_in_ten(1.0).seen.broke(Rule::Drains), 0);
 }
 
-/// A table's last hosts were shut out a look before neighbours' came in, and these lines stood 3.5 s in the channel. What
-/// a gate and the parts of neighbours make of a lost zone has to go in one reply.
+/// Guards against this failure: a table's last hosts were withdrawn one check before the neighbours' hosts were added, and
+/// those entries waited 3.5 s in the channel. The gate's withdrawals and the neighbours' weights for a lost zone have to
+/// go in one reply.
 #[test]
 fn no_proxy_is_bare_where_a_zone_of_24_hosts_is_lost() {
     let shape = Shape { zones: 5, hosts: 120, proxies: 1_600, cores: 4, lasts: 24_000.0, ..shape() };
@@ -205,7 +208,7 @@
     assert!(day.service() > 0.85, "{}", day.service());
 }
 
-/// Its own steward shuts it out; the rest of the fleet goes on with it.
+/// The host's own controller withdraws it; the rest of the fleet keeps using it.
 #[test]
 fn a_bad_host_is_seen_by_one_stewards_zone_alone() {
     let shape = shape();
@@ -231,7 +234,7 @@
     assert_eq!(seen.bound_after.len(), 24);
 }
 
-/// The second steward's proxies are stalled when it dies: the marks that it waits for are never answered.
+/// The second controller's proxies are stalled when it stops: the marks that it waits for are never answered.
 #[test]
 fn marks_are_lost_in_a_takeover() {
     let shape = shape();
@@ -254,12 +257,12 @@
     let day = play(&shape, fleet.clone(), vec![], 13);
     let seen = holds(&day, 10_000.0);
     assert!(seen.stewards[1..].iter().all(|of| of.lines == 0.0 && of.offered == 0.0), "{:?}", seen.stewards);
-    // Those that had nothing take over all.
+    // The controllers without proxies take over all of them.
     let day = play(&shape, fleet, vec![lost(12_000.0, NEVER, &[0])], 13);
     assert_eq!(holds(&day, 10_000.0).bound_after.len(), 48);
 }
 
-/// A quarter of the usual lines and messages: nothing but what the rules ask for fits.
+/// A quarter of the usual lines and messages: only what the rules require fits.
 #[test]
 fn limits_are_so_tight_that_nothing_but_the_rules_fits() {
     let shape = shape();
@@ -272,7 +275,7 @@
     assert!(day.seen.stewards.iter().all(|of| of.most_waiting < 1.0), "{:?}", day.seen.stewards);
 }
 
-/// Two hosts come back at a twentieth of the speed that is stated: what stewards give them by their age pushes them over.
+/// Two hosts return at a twentieth of their stated speed: the load that controllers assign by their age overloads them.
 fn weak_ones(falls_for: Option<f64>) -> Day {
     let shape = Shape { use_of_cores: 0.6, ..shape() };
     let hosts = zone(&shape, 2)[..2].to_vec();
@@ -289,7 +292,7 @@
     let seen = &falls.seen;
     assert!(seen.fallen >= 2 && seen.cold_most > 3.0, "{} {}", seen.fallen, seen.cold_most);
     assert_eq!(stands.seen.fallen, 0);
-    // It is told for each that fell, by what it was offered; nothing else breaks for it.
+    // A breach is reported for each failed host, with the offered load; no other rule is broken by it.
     assert!(seen.broke(Rule::PushedOver) > 0, "{:?}", seen.breaches);
     assert_eq!(seen.broke(Rule::PushedOver), seen.breaches.len(), "{:?}", seen.breaches);
     let settled = seen.settled_after.unwrap_or_else(|| panic!("never settled: {}", seen.unsettled));
@@ -297,7 +300,7 @@
     assert!(falls.service() > 0.95, "{}", falls.service());
 }
 
-/// Three in ten calls of every relay get no answer while hosts are replaced; half of those are carried out, and twice.
+/// Three in ten calls of every relay get no answer while hosts are replaced; half of those are carried out, and so twice.
 #[test]
 fn calls_are_unsure_while_hosts_are_replaced() {
     let shape = shape();
@@ -317,7 +320,7 @@
     assert!(day.service() > sure.service() - 0.05, "{} {}", day.service(), sure.service());
 }
 
-/// The binds of a takeover are in a call without an answer; they come again, and none is lost.
+/// The binds of a takeover are in a call without an answer; they are repeated, and none is lost.
 #[test]
 fn no_call_is_answered_while_a_takeover_is_bound() {
     let shape = shape();
@@ -329,7 +332,7 @@
     assert!(seen.unsure >= 6, "{}", seen.unsure);
 }
 
-/// Six seconds late they still praise hosts that ended, and void those that are back.
+/// Six seconds late, reports still show stopped hosts as good and restarted hosts as failing.
 #[test]
 fn sums_come_out_of_date_while_hosts_end_and_return() {
     let shape = shape();
@@ -347,7 +350,7 @@
     assert!(late.service() > usual.service() - 0.05, "{} {}", late.service(), usual.service());
 }
 
-/// It hears all that came meanwhile in its next turn; its proxies go by what they hold.
+/// A paused controller receives all pending events when it runs next; its proxies keep using the tables they hold.
 #[test]
 fn a_steward_stands_still_while_its_hosts_are_replaced() {
     let shape = shape();
@@ -363,7 +366,7 @@
     for day in [&stopped, &slow] {
         holds(day, SETTLES);
     }
-    // What it does not know its proxies still try.
+    // Its proxies still try hosts that it does not know to have left.
     assert!(stopped.to_gone > slow.to_gone, "{} {}", stopped.to_gone, slow.to_gone);
     assert!(stopped.service() > 0.85, "{}", stopped.service());
 }
@@ -380,8 +383,8 @@
     assert!(some.seen.probes.0 > 2.0, "{:?}", some.seen.probes);
 }
 
-/// All stewards end and begin in the same milliseconds, a zone is back cold just then and its proxies with it: all ask
-/// discovery, bind and let the zone in at the same moment.
+/// All controllers stop and start within the same milliseconds, just as a zone returns cold together with its proxies: all
+/// call discovery, bind, and admit the zone at the same time.
 fn all_at_once(zone_lost: u32, seed: u64) -> Day {
     let shape = Shape { zones: 5, hosts: 40, proxies: 60, ..shape() };
     let faults = vec![
@@ -404,7 +407,7 @@
         cases: 6, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Parts add up to one whole: no cold host is offered more than it is let in for, whoever else does the same.
+    /// The fractions that controllers assign add up to one: no cold host is offered more than it is admitted for.
     #[test]
     fn all_five_ask_bind_and_let_the_same_cold_zone_in_at_the_same_moment(zone in 0u32..5, seed in 0u64..10_000) {
         let day = all_at_once(zone, seed);
@@ -412,7 +415,7 @@
         prop_assert!(seen.breaches.is_empty(), "{:?}", seen.breaches);
         prop_assert!(seen.cold_most < 3.0, "{}", seen.cold_most);
         prop_assert!(seen.settled_after.is_some_and(|after| after <= SETTLES), "{:?} {}", seen.settled_after, seen.unsettled);
-        // All were without a steward, and are bound again.
+        // All proxies were without a controller, and are bound again.
         prop_assert_eq!((seen.bound_after.len(), seen.never_bound), (60, 0));
         prop_assert!(seen.calls.0 >= 5, "{:?}", seen.calls);
     }
@@ -447,7 +450,7 @@
         cases: 12, rng_seed: RngSeed::Fixed(24), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Random deaths, returns and lists.
+    /// Random stops and restarts of controllers, and random host lists.
     #[test]
     fn whatever_dies_and_returns_the_rules_hold_and_tables_settle(
         faults in prop::collection::vec(trouble(), 1..4),
