--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,46 +1,46 @@
-//! A discovery that all stewards share: it works through calls in turn, callers lose patience while they wait, watches
-//! end when it goes down, and what it tells is older at one steward than at another.
+//! A discovery service shared by all controllers. It handles calls one at a time, callers time out while they wait,
+//! watches end when it goes down, and the host list it reports is older for some controllers than for others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use amberarch_core::{Availability, HostEntry};
 
-/// What it can do, and for whom how late.
+/// Capacity of the discovery service, and the age of the list that each controller receives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Asked {
-    /// Calls a second that it works through, one after the other.
+    /// Calls per second, handled one after the other.
     pub calls_per_s: f64,
-    /// So long a caller waits, ms. Its call is worked through all the same, for nobody.
+    /// Caller time-out, ms. A timed-out call still takes up its handling time.
     pub patience: f64,
-    /// How old the list is that each steward hears, ms; none named: not at all.
+    /// Age of the list that each controller receives, ms; a controller that is not named gets the current list.
     pub ages: Vec<f64>,
 }
 
-/// Counts how often it went down: what was on its way then never comes.
+/// Number of outages so far. Answers that were pending at an outage are never delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Up(u32);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Call {
-    /// It is this one's turn at that time, if it stays up.
+    /// The call is answered at that time, unless an outage happens before.
     Turn(f64, Up),
-    /// Nothing will come; the caller knows at that time.
+    /// The call fails, and the caller notices at that time.
     Fails(f64),
 }
 
 pub struct Discovery {
     asked: Asked,
-    /// All that was ever listed, by when it was, and how far each watch has heard it.
+    /// All list entries ever published, with their time, and how many of them each watch has received.
     log: Vec<(f64, HostEntry)>,
     heard: BTreeMap<usize, usize>,
-    /// Watches that are told at their turn.
+    /// Watches with a scheduled delivery.
     due: BTreeSet<usize>,
-    /// Who waits for an answer, and who watches.
+    /// Controllers waiting for an answer, and controllers with a watch.
     waiting: BTreeSet<usize>,
     watches: BTreeSet<usize>,
     free_at: f64,
     down: bool,
-    /// Times the usual length of a call.
+    /// Factor on the normal duration of a call.
     slow: f64,
     up: Up,
     calls: BTreeMap<u64, u32>,
@@ -55,14 +55,14 @@
         Discovery { asked, log, heard, due, waiting, watches, free_at, down, slow, up, calls }
     }
 
-    fn age(&self, steward: usize) -> f64 {
-        self.asked.ages.get(steward).copied().unwrap_or(0.0)
+    fn age(&self, controller: usize) -> f64 {
+        self.asked.ages.get(controller).copied().unwrap_or(0.0)
     }
 
-    pub fn ask(&mut self, now: f64, steward: usize) -> Call {
+    pub fn ask(&mut self, now: f64, controller: usize) -> Call {
         *self.calls.entry((now / 1e3) as u64).or_default() += 1;
-        self.watches.remove(&steward);
-        self.due.remove(&steward);
+        self.watches.remove(&controller);
+        self.due.remove(&controller);
         if self.down {
             return Call::Fails(now);
         }
@@ -70,70 +70,71 @@
         if self.free_at > now + self.asked.patience {
             return Call::Fails(now + self.asked.patience);
         }
-        self.waiting.insert(steward);
+        self.waiting.insert(controller);
         Call::Turn(self.free_at, self.up)
     }
 
-    /// It is the caller's turn: the whole list, as old as this steward gets it, and when it hears more. None: it went
-    /// down since, or the caller is gone.
-    pub fn answer(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
-        if self.up != up || !self.waiting.remove(&steward) {
+    /// Answers a call: the full list at the age configured for this controller, and the time of the next delivery.
+    /// `None` if discovery went down since the call or the caller is gone.
+    pub fn answer(&mut self, now: f64, controller: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
+        if self.up != up || !self.waiting.remove(&controller) {
             return None;
         }
-        self.watches.insert(steward);
-        self.due.remove(&steward);
-        self.heard.insert(steward, 0);
+        self.watches.insert(controller);
+        self.due.remove(&controller);
+        self.heard.insert(controller, 0);
         let mut whole = BTreeMap::new();
-        for row in self.news(now, steward) {
+        for row in self.news(now, controller) {
             whole.insert(row.host, row);
         }
         let whole = whole.into_values().filter(|row| row.availability != Availability::Removed).collect();
-        Some((whole, self.next(now, steward)))
+        Some((whole, self.next(now, controller)))
     }
 
-    /// What the watch has not heard yet, as far as its age lets it.
-    fn news(&mut self, now: f64, steward: usize) -> Vec<HostEntry> {
-        let from = self.heard.get(&steward).copied().unwrap_or(0);
-        let until = now - self.age(steward);
+    /// Entries that the watch has not received yet and that are old enough for this controller.
+    fn news(&mut self, now: f64, controller: usize) -> Vec<HostEntry> {
+        let from = self.heard.get(&controller).copied().unwrap_or(0);
+        let until = now - self.age(controller);
         let fresh: Vec<HostEntry> =
             self.log[from..].iter().take_while(|row| row.0 <= until).map(|row| row.1.clone()).collect();
-        self.heard.insert(steward, from + fresh.len());
+        self.heard.insert(controller, from + fresh.len());
         fresh
     }
 
-    /// Its next turn, where there is something that it has not heard.
-    fn next(&mut self, now: f64, steward: usize) -> Option<f64> {
-        let heard = self.heard.get(&steward).copied().unwrap_or(0);
-        let first = self.log.get(heard)?.0 + self.age(steward);
-        if !self.watches.contains(&steward) || !self.due.insert(steward) {
+    /// Schedules the next delivery of the watch if there are entries that it has not received.
+    fn next(&mut self, now: f64, controller: usize) -> Option<f64> {
+        let heard = self.heard.get(&controller).copied().unwrap_or(0);
+        let first = self.log.get(heard)?.0 + self.age(controller);
+        if !self.watches.contains(&controller) || !self.due.insert(controller) {
             return None;
         }
         self.free_at = self.free_at.max(now) + self.slow * 1e3 / self.asked.calls_per_s;
         Some(self.free_at.max(first))
     }
 
-    /// It is the watch's turn: what has changed since, all together, and its next turn. None: it ended.
-    pub fn tell(&mut self, now: f64, steward: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
-        if self.up != up || !self.watches.contains(&steward) || !self.due.remove(&steward) {
+    /// Delivers to a watch all changes since the last delivery, with the time of the next one. `None` if the watch has
+    /// ended.
+    pub fn tell(&mut self, now: f64, controller: usize, up: Up) -> Option<(Vec<HostEntry>, Option<f64>)> {
+        if self.up != up || !self.watches.contains(&controller) || !self.due.remove(&controller) {
             return None;
         }
-        let news = self.news(now, steward);
-        Some((news, self.next(now, steward)))
+        let news = self.news(now, controller);
+        Some((news, self.next(now, controller)))
     }
 
-    /// The list changes: which watches hear of it, and when. That is work like a call is, so a discovery that is slow
-    /// tells them late.
+    /// Publishes list changes and returns the watches that receive them, with their delivery times. A delivery takes as
+    /// long as a call, so a slow discovery delivers late.
     pub fn change(&mut self, now: f64, rows: &[HostEntry]) -> Vec<(usize, f64)> {
         self.log.extend(rows.iter().map(|row| (now, row.clone())));
         let watches: Vec<usize> = self.watches.iter().copied().collect();
-        watches.into_iter().filter_map(|steward| Some((steward, self.next(now, steward)?))).collect()
+        watches.into_iter().filter_map(|controller| Some((controller, self.next(now, controller)?))).collect()
     }
 
     pub fn up(&self) -> Up {
         self.up
     }
 
-    /// Who hears that its call or watch broke.
+    /// Starts an outage and returns the controllers whose call or watch broke.
     pub fn fall(&mut self) -> BTreeSet<usize> {
         (self.down, self.up, self.free_at) = (true, Up(self.up.0 + 1), 0.0);
         let mut all = std::mem::take(&mut self.waiting);
@@ -146,19 +147,19 @@
         self.down = false;
     }
 
-    /// Calls take so many times as long from now on.
+    /// Multiplies the duration of calls by `times` from now on.
     pub fn slow(&mut self, times: f64) {
         self.slow = times;
     }
 
-    /// The steward is gone, with its calls.
-    pub fn lose(&mut self, steward: usize) {
-        self.waiting.remove(&steward);
-        self.watches.remove(&steward);
-        self.due.remove(&steward);
+    /// Drops the calls and the watch of a controller that stopped.
+    pub fn lose(&mut self, controller: usize) {
+        self.waiting.remove(&controller);
+        self.watches.remove(&controller);
+        self.due.remove(&controller);
     }
 
-    /// The most calls in one second, and all.
+    /// The maximum number of calls in one second, and the total.
     pub fn calls(&self) -> (u32, u32) {
         (self.calls.values().copied().max().unwrap_or(0), self.calls.values().sum())
     }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,4 +1,4 @@
-//! The day itself: what happens when, in order of time.
+//! The emulated day: runs all actions in order of virtual time.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -24,22 +24,22 @@
 pub use fleet::{Fleet, Homes, Seen, SeenOf};
 use fleet::{Stations, Step};
 
-/// One way between two machines.
+/// One-way network latency between two machines, ms.
 const PATH: f64 = 1.0;
 const PROBE_LIMIT: f64 = 300.0;
-/// From the end of a sum's time to the steward.
-const SUM_LATE: f64 = 200.0;
+/// Delay from the end of a report window until the controller receives the report, ms.
+const REPORT_DELAY: f64 = 200.0;
 const TICK: f64 = 200.0;
 
 enum What {
     Arrive {
         proxy: u16,
-        product: u16,
+        class: u16,
     },
-    /// A client that got nothing asks again.
+    /// A client that got no answer retries.
     Again {
         proxy: ProxyId,
-        product: ClassId,
+        class: ClassId,
         first: f64,
         work: f64,
         asked: u8,
@@ -80,37 +80,37 @@
     },
     Tick,
     Sample,
-    /// The first steward ends, and another begins in its place.
-    Anew,
-    /// Discovery answers it.
+    /// The first controller stops, and another starts in its place.
+    RestartController,
+    /// Discovery, or the check of the stored list, answers the restarted controller.
     Discovered,
     Fault {
         place: usize,
         begins: bool,
     },
-    /// Where many stewards are in force.
+    /// An action of a fleet with several controllers.
     Fleet(Step),
 }
 
 struct Txn {
     proxy: ProxyId,
-    product: ClassId,
+    class: ClassId,
     came: f64,
-    /// When its client first asked, and how often it has.
+    /// When its client first sent it, and how often it has retried.
     first: f64,
     asked: u8,
     work: f64,
-    /// Where in the weights its first and its second try fall.
+    /// Random positions (0 to 1) in the table weights for its first and second try.
     chances: [f64; 2],
     tried: Option<HostId>,
-    /// Where it is under way.
+    /// The host that currently has it.
     under_way: Option<HostId>,
     again: bool,
     ran: bool,
     open: bool,
 }
 
-/// What a host's reporter holds; its clock is its own.
+/// State of a host's reporter, which has a clock of its own.
 struct Reporter {
     skew: f64,
     seq: u32,
@@ -118,35 +118,37 @@
     echo: Option<Echo>,
 }
 
+/// Txn counts of one report window.
 #[derive(Clone, Copy, Default)]
-struct Sum {
+struct ReportCounts {
     tries: u32,
-    voided: u32,
-    took: f64,
+    failed: u32,
+    latency_sum: f64,
 }
 
-impl Sum {
-    fn met(self, zone: ZoneId, host: HostId, covered: f64) -> Event {
-        let good = f64::from(self.tries.saturating_sub(self.voided));
+impl ReportCounts {
+    fn host_report(self, zone: ZoneId, host: HostId, covered: f64) -> Event {
+        let good = f64::from(self.tries.saturating_sub(self.failed));
         let (tries, failed, mean_latency) =
-            (self.tries.max(self.voided), self.voided, self.took / good.max(1.0));
+            (self.tries.max(self.failed), self.failed, self.latency_sum / good.max(1.0));
         Event::HostReport { host, zone, covered, tries, failed, mean_latency, load: LoadReport::default() }
     }
 
-    fn came(self, proxy: ProxyId, class: ClassId, covered: f64) -> Event {
-        Event::ProxyReport { proxy, class, txns: self.tries, failed: self.voided, covered }
+    fn proxy_report(self, proxy: ProxyId, class: ClassId, covered: f64) -> Event {
+        Event::ProxyReport { proxy, class, txns: self.tries, failed: self.failed, covered }
     }
 }
 
-/// One steward and what it steers: the first one's tables carry the day, others see the same and are followed.
+/// One controller with its proxies. The first one's tables route the day's traffic; the others receive the same events
+/// and their tables are only recorded.
 struct Front {
-    steward: Box<dyn Decide>,
+    controller: Box<dyn Decide>,
     intake: Option<Intake>,
     reporters: Vec<Reporter>,
     proxies: Vec<Proxy>,
     events: Vec<Event>,
     shares: Vec<Vec<f64>>,
-    /// What it learnt of hosts: the part that each carries, and who is shut out.
+    /// Stored warm-start hints: the latency factor of each host, and whether it is withdrawn.
     learnt: BTreeMap<HostId, (f64, bool)>,
     reports: u64,
     taken: u64,
@@ -164,17 +166,18 @@
     hosts: Vec<Host>,
     txns: BTreeMap<TxnId, Txn>,
     next: u32,
-    /// By the steward that the proxy belonged to, its zone and the host.
-    met: BTreeMap<(usize, ZoneId, HostId), Sum>,
-    came: BTreeMap<(u16, u16), Sum>,
-    /// What waits until a cut of its zone ends.
+    /// By the proxy's controller, the proxy's zone and the host.
+    host_counts: BTreeMap<(usize, ZoneId, HostId), ReportCounts>,
+    proxy_counts: BTreeMap<(u16, u16), ReportCounts>,
+    /// Actions held back until the network cut of their zone ends.
     held: Vec<(ZoneId, What)>,
-    /// Arrivals and work come from one source for each proxy, picks from another, as many for each txn whatever
-    /// becomes of it: two days with other decisions get the same txns and differ by those decisions alone.
+    /// Each proxy has one random source for arrivals and work and another for picks, with a fixed number of draws per
+    /// txn whatever its outcome. So two days with different decisions get the same txns and differ only by the
+    /// decisions.
     chances: Vec<ChaCha8Rng>,
     picks: Vec<ChaCha8Rng>,
     restart: Option<Kept>,
-    begun_anew: Option<f64>,
+    restarted_at: Option<f64>,
     governed: Option<Governed>,
     stations: Option<Stations>,
     decisions: u64,
@@ -200,7 +203,7 @@
         let reporter =
             |number: u32| Reporter { skew: 1e5 * f64::from(number), seq: 0, every: 100.0, echo: None };
         Front {
-            steward: Box::new(shape.steward(seed)),
+            controller: Box::new(shape.controller(seed)),
             intake,
             reporters: (0..shape.hosts).map(reporter).collect(),
             proxies: (0..shape.proxies).map(proxy).collect(),
@@ -212,15 +215,15 @@
         }
     }
 
-    /// The part of all txns that the tables deal to each host now.
+    /// The fraction of all txns that the tables currently assign to each host.
     fn shares(&self, hosts: usize, all: f64) -> Vec<f64> {
         let mut shares = vec![0.0; hosts];
         for proxy in &self.proxies {
-            for (product, rate) in (0..).map(ClassId).zip(&proxy.rates) {
-                let sum: f64 = proxy.open(product).map(|(_, weight)| weight).sum();
+            for (class, rate) in (0..).map(ClassId).zip(&proxy.rates) {
+                let sum: f64 = proxy.open(class).map(|(_, weight)| weight).sum();
                 let each =
                     |(host, weight): (HostId, f64)| shares[host.0 as usize] += rate / all * weight / sum;
-                proxy.open(product).for_each(each);
+                proxy.open(class).for_each(each);
             }
         }
         shares
@@ -249,14 +252,14 @@
             hosts: (0..shape.hosts).map(|at| Host::new(listed(at), shape.cores, shape.room)).collect(),
             txns: BTreeMap::new(),
             next: 0,
-            met: BTreeMap::new(),
-            came: BTreeMap::new(),
+            host_counts: BTreeMap::new(),
+            proxy_counts: BTreeMap::new(),
             held: Vec::new(),
             chances: (0..u64::from(shape.proxies)).map(source).collect(),
             picks: (0..u64::from(shape.proxies)).map(|at| source(at + (1 << 32))).collect(),
             day: Day { fates: vec![Fate::default(); shape.products.len()], ..Day::default() },
             restart: None,
-            begun_anew: None,
+            restarted_at: None,
             governed: None,
             stations: None,
             decisions: 0,
@@ -266,34 +269,34 @@
         }
     }
 
-    /// With named levels before the first steward's decisions; `acts` false only looks.
+    /// Adds named service levels to the first controller's decisions; with `acts` false they are only observed.
     pub fn levelled(mut self, ladder: Ladder, acts: bool) -> World {
-        let products = self.shape.products.iter().map(|(product, ..)| product.clone()).collect();
+        let products = self.shape.products.iter().map(|(class, ..)| class.clone()).collect();
         let levels = ServiceLevels::new(ladder, self.shape.zones, products, &self.shape.sums, acts);
-        let inner = self.shape.steward(self.seed);
-        self.fronts[0].steward = Box::new(Levelled::new(inner, Rc::new(RefCell::new(levels))));
+        let inner = self.shape.controller(self.seed);
+        self.fronts[0].controller = Box::new(Levelled::new(inner, Rc::new(RefCell::new(levels))));
         self
     }
 
-    /// With something between the first steward's decisions and its proxies.
+    /// Wraps the first controller's decisions, for example with an adapter between them and the proxies.
     pub fn behind(mut self, wrap: impl FnOnce(Box<dyn Decide>) -> Box<dyn Decide>) -> World {
-        self.fronts[0].steward = wrap(Box::new(self.shape.steward(self.seed)));
+        self.fronts[0].controller = wrap(Box::new(self.shape.controller(self.seed)));
         self
     }
 
-    /// The first steward is held to what is permitted from each of these times on.
+    /// Restricts the first controller to the rules in `plan`, each from its time on.
     pub fn governed(mut self, plan: Vec<(f64, Reach)>, care: Care) -> World {
         self.governed = Some(Governed::new(self.shape.products.len() as u16, plan, care));
         self
     }
 
-    /// The decisions hear that then, as of somebody beside the fleet.
+    /// Sends an external event to the decisions at that time.
     pub fn told(mut self, at: f64, event: Event) -> World {
         self.at(at, What::TellAll(event));
         self
     }
 
-    /// The judge hears what the decisions are about to hear, and they hear what changed of what is permitted.
+    /// Passes the pending events to the judge, and adds events for changes of the rules.
     fn govern(&mut self) {
         let mut hosts = BTreeMap::new();
         let on = self.hosts.iter().map(|host| &host.listed);
@@ -308,21 +311,21 @@
         }
     }
 
-    /// The first steward ends at that time and one that starts from what is kept takes its place.
+    /// Stops the first controller at that time and starts another from the kept state.
     pub fn restarted(mut self, at: f64, kept: Kept) -> World {
-        self.at(at, What::Anew);
+        self.at(at, What::RestartController);
         self.restart = Some(kept);
         self
     }
 
-    /// One more steward that sees this day as the first does, but for its own reports, and steers nothing: how
-    /// its tables differ is told apart from what other tables would have made of the day.
+    /// Adds a controller that receives the same events as the first, except for its own load reports, and routes no
+    /// traffic. So the difference between the tables can be measured without their effect on the day.
     pub fn beside(mut self, reports: Reports) -> World {
         self.fronts.push(Front::new(&self.shape, reports, self.seed));
         self
     }
 
-    /// The same txns, picked by other chances: what two days differ by where nothing decides otherwise.
+    /// The same txns with other random picks: shows how far two days differ when the decisions are the same.
     pub fn repicked(mut self, seed: u64) -> World {
         let source = |at| ChaCha8Rng::seed_from_u64(seed.wrapping_add(at));
         self.picks = (0..u64::from(self.shape.proxies)).map(source).collect();
@@ -341,15 +344,15 @@
                 let opened = intake.opened(0.0, ReporterId(host), &[HostId(host)]);
                 assert_eq!(opened, Ok(None), "there is room for a reporter of each host");
             }
-            // Not all at the same moment.
+            // The first reports are spread over 100 ms.
             let first = 100.0 * f64::from(host) / f64::from(hosts);
             self.at(first, What::Reported { front, host: HostId(host) });
         }
-        // What proxies hold before the first txns come.
+        // Time for the proxies to receive tables before the first txns arrive.
         let settle = 2_000.0;
         for proxy in 0..self.shape.proxies {
-            for product in 0..self.shape.products.len() as u16 {
-                self.at(settle, What::Arrive { proxy, product });
+            for class in 0..self.shape.products.len() as u16 {
+                self.at(settle, What::Arrive { proxy, class });
             }
         }
         self.at(settle + self.shape.sums.interval, What::Sums);
@@ -381,7 +384,7 @@
         }
     }
 
-    /// Plays the day to its end.
+    /// Runs the day to its end.
     pub fn play(mut self) -> Day {
         self.begin();
         self.decide();
@@ -411,7 +414,7 @@
         self.todo.insert(self.number, what);
     }
 
-    /// The tables that carry the day.
+    /// The proxies whose tables route the day's traffic.
     fn proxies(&self) -> &[Proxy] {
         &self.fronts[0].proxies
     }
@@ -420,7 +423,7 @@
         self.fronts.iter_mut().for_each(|front| front.events.push(event.clone()));
     }
 
-    /// Discovery lists what changed: a fleet's stewards hear of it as they can.
+    /// Publishes list changes; in a fleet, controllers receive them through their discovery watches.
     fn list(&mut self, entries: Vec<HostEntry>) {
         match self.stations.is_some() {
             true => self.changed(entries),
@@ -442,10 +445,8 @@
 
     fn happen(&mut self, what: What) {
         match what {
-            What::Arrive { proxy, product } => self.arrive(proxy, product),
-            What::Again { proxy, product, first, work, asked } => {
-                self.come(proxy, product, first, work, asked)
-            }
+            What::Arrive { proxy, class } => self.arrive(proxy, class),
+            What::Again { proxy, class, first, work, asked } => self.come(proxy, class, first, work, asked),
             What::Reach { txn, host } => self.reach(txn, host),
             What::Done { txn, host, starts } => self.done(txn, host, starts),
             What::Expire { txn } => self.end(txn, None),
@@ -459,14 +460,14 @@
             }
             What::Tick => self.tick(),
             What::Sample => self.sample(),
-            What::Anew => self.anew(),
+            What::RestartController => self.restart_controller(),
             What::Discovered => self.discovered(),
             What::Fault { place, begins } => self.fault(place, begins),
             What::Fleet(step) => self.step(step),
         }
     }
 
-    fn arrive(&mut self, proxy: u16, product: u16) {
+    fn arrive(&mut self, proxy: u16, class: u16) {
         let times: f64 = self
             .faults_now()
             .map(|trouble| match trouble {
@@ -474,58 +475,57 @@
                 _ => 1.0,
             })
             .product();
-        let work = Exp::new(1.0 / self.shape.products[usize::from(product)].2).expect("work of some length");
-        let rate = times * self.proxies()[usize::from(proxy)].rates[usize::from(product)] / 1e3;
+        let work = Exp::new(1.0 / self.shape.products[usize::from(class)].2).expect("work of some length");
+        let rate = times * self.proxies()[usize::from(proxy)].rates[usize::from(class)] / 1e3;
         let source = &mut self.chances[usize::from(proxy)];
         let wait = Exp::new(rate).expect("txns at some rate").sample(source);
         let work = work.sample(source);
-        self.at(self.now + wait, What::Arrive { proxy, product });
-        let (proxy, product) = (ProxyId(proxy), ClassId(product));
-        let revenue = self.shape.products[usize::from(product.0)].0.value;
+        self.at(self.now + wait, What::Arrive { proxy, class });
+        let (proxy, class) = (ProxyId(proxy), ClassId(class));
+        let revenue = self.shape.products[usize::from(class.0)].0.value;
         self.day.offered += revenue;
-        self.window(product, self.now).offered += revenue;
+        self.window(class, self.now).offered += revenue;
         self.fleet_earned(proxy, revenue, 0.0);
-        self.come(proxy, product, self.now, work, 0);
+        self.come(proxy, class, self.now, work, 0);
     }
 
-    fn window(&mut self, product: ClassId, first: f64) -> &mut Window {
+    fn window(&mut self, class: ClassId, first: f64) -> &mut Window {
         let (place, products) = ((first / WINDOW) as usize, self.shape.products.len());
         if self.day.windows.len() <= place {
             self.day.windows.resize(place + 1, vec![Window::default(); products]);
         }
-        &mut self.day.windows[place][usize::from(product.0)]
+        &mut self.day.windows[place][usize::from(class.0)]
     }
 
-    fn come(&mut self, proxy: ProxyId, product: ClassId, first: f64, work: f64, asked: u8) {
+    fn come(&mut self, proxy: ProxyId, class: ClassId, first: f64, work: f64, asked: u8) {
         let picks = &mut self.picks[usize::from(proxy.0)];
         let (admitted, chances): (f64, [f64; 2]) = (picks.random(), [picks.random(), picks.random()]);
         let id = TxnId(self.next);
         self.next += 1;
-        self.day.fates[usize::from(product.0)].came += 1;
-        self.came.entry((proxy.0, product.0)).or_default().tries += 1;
-        let (level, _) = self.proxies()[usize::from(proxy.0)].level(product);
-        // Answered at once: it is told to come back, and nothing of it is sent.
+        self.day.fates[usize::from(class.0)].came += 1;
+        self.proxy_counts.entry((proxy.0, class.0)).or_default().tries += 1;
+        let (level, _) = self.proxies()[usize::from(proxy.0)].level(class);
+        // Rejected at the proxy: the client may retry, and no host is tried.
         if self.shape.levels == LevelKind::Fraction && admitted >= level {
-            self.day.fates[usize::from(product.0)].declined += 1;
-            return self.ask_again(proxy, product, first, work, asked);
+            self.day.fates[usize::from(class.0)].declined += 1;
+            return self.ask_again(proxy, class, first, work, asked);
         }
         let (came, tried, under_way) = (self.now, None, None);
         let (again, ran, open) = (false, false, true);
-        let txn =
-            Txn { proxy, product, came, first, asked, work, chances, tried, under_way, again, ran, open };
+        let txn = Txn { proxy, class, came, first, asked, work, chances, tried, under_way, again, ran, open };
         self.txns.insert(id, txn);
-        self.window(product, first).let_in += 1;
-        let expiry = self.shape.products[usize::from(product.0)].0.deadline;
+        self.window(class, first).let_in += 1;
+        let expiry = self.shape.products[usize::from(class.0)].0.deadline;
         self.at(self.now + expiry, What::Expire { txn: id });
         self.send(id);
     }
 
-    /// Some of those who got nothing come again. A once-only txn that may have run is not asked for again.
-    fn ask_again(&mut self, proxy: ProxyId, product: ClassId, first: f64, work: f64, asked: u8) {
+    /// Some of the clients without an answer retry. A non-idempotent txn that may have run is not retried.
+    fn ask_again(&mut self, proxy: ProxyId, class: ClassId, first: f64, work: f64, asked: u8) {
         let (part, after, most) = self.shape.again;
         if asked < most && self.picks[usize::from(proxy.0)].random::<f64>() < part {
             let asked = asked + 1;
-            self.at(self.now + after, What::Again { proxy, product, first, work, asked });
+            self.at(self.now + after, What::Again { proxy, class, first, work, asked });
         }
     }
 
@@ -533,17 +533,17 @@
         let Some(txn) = self.txns.get_mut(&id) else { return };
         let proxy = &self.fronts[0].proxies[usize::from(txn.proxy.0)];
         let chance = txn.chances[usize::from(txn.again)];
-        let host = proxy.pick(txn.product, chance, txn.tried);
+        let host = proxy.pick(txn.class, chance, txn.tried);
         (txn.tried, txn.under_way) = (host, host);
         match host {
             Some(host) => {
                 let left = self.hosts[host.0 as usize].left;
                 self.day.to_gone += u32::from(left.is_some_and(|left| self.now > left + GRACE));
-                let (now, pair) = (self.now, (txn.product, proxy.zone));
+                let (now, pair) = (self.now, (txn.class, proxy.zone));
                 self.governed.iter_mut().for_each(|governed| governed.tried(now, pair, host));
                 let (zone, proxy) = (proxy.zone, txn.proxy);
-                let steward = self.steward_of(proxy);
-                self.met.entry((steward, zone, host)).or_default().tries += 1;
+                let controller = self.controller_of(proxy);
+                self.host_counts.entry((controller, zone, host)).or_default().tries += 1;
                 self.fleet_tried(proxy, host);
                 self.at(self.now + PATH, What::Reach { txn: id, host });
             }
@@ -577,9 +577,9 @@
 
     fn ran(&mut self, id: TxnId) {
         if let Some(txn) = self.txns.get_mut(&id) {
-            self.day.fates[usize::from(txn.product.0)].twice += u32::from(txn.ran);
+            self.day.fates[usize::from(txn.class.0)].twice += u32::from(txn.ran);
             let once =
-                self.shape.products[usize::from(txn.product.0)].0.idempotency == Idempotency::NonIdempotent;
+                self.shape.products[usize::from(txn.class.0)].0.idempotency == Idempotency::NonIdempotent;
             if std::mem::replace(&mut txn.ran, true) && once {
                 let proxy = txn.proxy;
                 self.fleet_twice(proxy);
@@ -587,13 +587,13 @@
         }
     }
 
-    /// The host has proven that it did nothing: where the table allows it, another may be tried.
+    /// The host has proven that it did no work: if the table's retry policy allows it, another host is tried.
     fn unworked(&mut self, id: TxnId, host: HostId) {
         let Some(txn) = self.txns.get_mut(&id) else { return };
         let proxy = &self.fronts[0].proxies[usize::from(txn.proxy.0)];
-        let steward = self.stations.as_ref().map_or(0, |stations| stations.steward_of(txn.proxy));
-        self.met.entry((steward, proxy.zone, host)).or_default().voided += 1;
-        let allowed = proxy.level(txn.product).1 != RetryPolicy::One && !txn.again;
+        let controller = self.stations.as_ref().map_or(0, |stations| stations.controller_of(txn.proxy));
+        self.host_counts.entry((controller, proxy.zone, host)).or_default().failed += 1;
+        let allowed = proxy.level(txn.class).1 != RetryPolicy::One && !txn.again;
         (txn.again, txn.under_way) = (true, None);
         match allowed {
             true => self.send(id),
@@ -608,7 +608,7 @@
         }
         let next = host.done(self.now, &self.shape.warmup);
         if let Some((next, longer)) = next {
-            // One that nobody waits for any more is worked all the same, as real hosts do.
+            // A txn whose client no longer waits is still processed, as real hosts do.
             let work = self.txns.get(&next).map_or(0.0, |txn| txn.work) + host.owed();
             self.at(self.now + work * longer, What::Done { txn: next, host: at, starts });
             self.ran(next);
@@ -616,42 +616,42 @@
         if let Some(txn) = self.txns.get(&id).filter(|txn| txn.open) {
             let (zone, took) =
                 (self.fronts[0].proxies[usize::from(txn.proxy.0)].zone, self.now - txn.came + PATH);
-            let steward = self.steward_of(txn.proxy);
-            self.met.entry((steward, zone, at)).or_default().took += took;
+            let controller = self.controller_of(txn.proxy);
+            self.host_counts.entry((controller, zone, at)).or_default().latency_sum += took;
             self.end(id, Some(took));
         }
         self.txns.remove(&id);
     }
 
-    /// The client has its final answer, or none.
+    /// Ends a txn for its client, with or without an answer.
     fn end(&mut self, id: TxnId, took: Option<f64>) {
         let Some(txn) = self.txns.get_mut(&id).filter(|txn| txn.open) else { return };
         txn.open = false;
-        let (proxy, product, first, asked, work) = (txn.proxy, txn.product, txn.first, txn.asked, txn.work);
+        let (proxy, class, first, asked, work) = (txn.proxy, txn.class, txn.first, txn.asked, txn.work);
         let (ran, under_way) = (txn.ran, txn.under_way);
-        let of = self.shape.products[usize::from(product.0)].0.clone();
+        let of = self.shape.products[usize::from(class.0)].0.clone();
         let (earned, in_time) = match took {
             Some(took) if took <= of.latency_target => (of.value, 1),
             Some(_) => (of.value * of.late_value_fraction, 0),
             None => (0.0, 0),
         };
-        let fate = &mut self.day.fates[usize::from(product.0)];
+        let fate = &mut self.day.fates[usize::from(class.0)];
         fate.in_time += in_time;
         fate.late += u32::from(took.is_some()) - in_time;
         fate.voided += u32::from(took.is_none());
         self.day.earned += earned;
         self.fleet_earned(proxy, 0.0, earned);
-        let window = self.window(product, first);
+        let window = self.window(class, first);
         (window.earned, window.in_time) = (window.earned + earned, window.in_time + in_time);
         if took.is_none() {
             let zone = self.proxies()[usize::from(proxy.0)].zone;
-            self.came.entry((proxy.0, product.0)).or_default().voided += 1;
+            self.proxy_counts.entry((proxy.0, class.0)).or_default().failed += 1;
             if let Some(host) = under_way {
-                let steward = self.steward_of(proxy);
-                self.met.entry((steward, zone, host)).or_default().voided += 1;
+                let controller = self.controller_of(proxy);
+                self.host_counts.entry((controller, zone, host)).or_default().failed += 1;
             }
             if !(ran && of.idempotency == Idempotency::NonIdempotent) {
-                self.ask_again(proxy, product, first, work, asked);
+                self.ask_again(proxy, class, first, work, asked);
             }
         }
     }
@@ -664,8 +664,8 @@
         for order in orders {
             proxy.hear(to, order);
         }
-        // A fleet's proxies are all in the first place, whomever they belong to.
-        let answers_to = if self.stations.is_some() { self.steward_of(to) } else { front };
+        // In a fleet all proxies are stored in the first front, whichever controller they belong to.
+        let answers_to = if self.stations.is_some() { self.controller_of(to) } else { front };
         for order in orders {
             if let Order::Mark { mark, .. } = order {
                 let duration = self.shape.transit;
@@ -675,7 +675,7 @@
         let proxies = &self.fronts[front].proxies;
         let serves =
             |proxy: &Proxy| (0..proxy.rates.len() as u16).all(|id| proxy.open(ClassId(id)).next().is_some());
-        if let Some(begun) = self.begun_anew.filter(|_| front == 0 && self.day.bare_for.is_none()) {
+        if let Some(begun) = self.restarted_at.filter(|_| front == 0 && self.day.bare_for.is_none()) {
             self.day.bare_for = proxies.iter().all(serves).then_some(self.now - begun);
         }
     }
@@ -691,7 +691,7 @@
             let events = std::mem::take(&mut self.fronts[front].events);
             if !events.is_empty() {
                 self.decisions += 1;
-                let orders = self.fronts[front].steward.decide(self.now, &events);
+                let orders = self.fronts[front].controller.decide(self.now, &events);
                 self.carry_out(front, orders);
             }
         }
@@ -727,7 +727,7 @@
         }
         if front == 0 {
             let holders =
-                |tbl: &TableId| self.proxies().iter().filter(|proxy| proxy.uses(*tbl)).count() as u64;
+                |table: &TableId| self.proxies().iter().filter(|proxy| proxy.uses(*table)).count() as u64;
             let admits = sent.iter().filter_map(|order| match order {
                 Order::Admit { table, .. } => Some(holders(table)),
                 _ => None,
@@ -767,16 +767,16 @@
             self.fleet_sums();
             return self.at(self.now + over, What::Sums);
         }
-        let late = self.now + SUM_LATE;
-        for ((_, zone, host), sum) in std::mem::take(&mut self.met) {
-            self.held_or_at(zone, late, What::TellAll(sum.met(zone, host, over)));
+        let late = self.now + REPORT_DELAY;
+        for ((_, zone, host), sum) in std::mem::take(&mut self.host_counts) {
+            self.held_or_at(zone, late, What::TellAll(sum.host_report(zone, host, over)));
         }
-        for ((proxy, product), sum) in std::mem::take(&mut self.came) {
+        for ((proxy, class), sum) in std::mem::take(&mut self.proxy_counts) {
             let there = &self.proxies()[usize::from(proxy)];
             if there.stalled {
                 continue;
             }
-            let event = sum.came(ProxyId(proxy), ClassId(product), over);
+            let event = sum.proxy_report(ProxyId(proxy), ClassId(class), over);
             self.held_or_at(there.zone, late, What::TellAll(event));
         }
         self.at(self.now + over, What::Sums);
@@ -821,7 +821,7 @@
             let reporter = &mut reporters[host.0 as usize];
             reporter.echo = Some(paces.echo);
             reporter.every = paces.every.first().map_or(reporter.every, |(_, every)| *every);
-            // It answers at once: that shows how its clock stands.
+            // The reporter answers at once, which shows the offset of its clock.
             let (sent, echo) = (self.now + PATH + reporter.skew, reporter.echo);
             let answer = What::Reports { front, host, sent, echo, report: None };
             self.at(self.now + 2.0 * PATH, answer);
@@ -855,12 +855,12 @@
         self.at(self.now + 1_000.0, What::Sample);
     }
 
-    /// What the disk holds is heard as a daemon hears it: a fresh list at once, an old one once each host has passed
-    /// twice, none only when discovery answers.
-    fn anew(&mut self) {
+    /// Restarts the first controller as a daemon starts from its disk: a fresh stored list is used at once, an old one
+    /// after each host has passed two probes, and without a stored list it waits for discovery.
+    fn restart_controller(&mut self) {
         let Some(kept) = self.restart else { return };
-        self.fronts[0].steward = Box::new(self.shape.steward(self.seed + 1));
-        // Its timers and what was on the way to the one before are gone with it.
+        self.fronts[0].controller = Box::new(self.shape.controller(self.seed + 1));
+        // Timers and orders in transit of the stopped controller are dropped.
         self.todo
             .retain(|_, what| !matches!(what, What::Tell { front: 0, .. } | What::Heard { front: 0, .. }));
         self.fronts[0].proxies.iter_mut().for_each(Proxy::follow_next);
@@ -869,8 +869,13 @@
                 *proxy = Proxy::new(proxy.zone, proxy.rates.clone());
             }
         }
+<<<<<<< HEAD
         self.begun_anew = Some(self.now);
         let none = Event::List { update: ListUpdate::Restored, entries: vec![] };
+=======
+        self.restarted_at = Some(self.now);
+        let none = Event::List { update: ListUpdate::FromSnapshot, entries: vec![] };
+>>>>>>> wording/r3-3
         self.fronts[0].events = vec![none];
         for (at, zone) in (0..).zip(self.proxies().iter().map(|proxy| proxy.zone).collect::<Vec<_>>()) {
             let txns_per_s = self.shape.rate() / f64::from(self.shape.proxies);
@@ -881,7 +886,7 @@
                 without_table: kept.fresh_proxies,
             });
         }
-        /// Two probes of the roster, the second 0.2 s after the first.
+        /// Time for two probes of each listed host, the second 0.2 s after the first, ms.
         const TWO_PASSES: f64 = 250.0;
         match kept.list_age {
             Some(age) if age < kept.confirmed_for => self.restore(kept),
@@ -891,7 +896,7 @@
         self.at(self.now + kept.silent_for, What::Discovered);
     }
 
-    /// The disk's list is from before the latest changes: it names hosts that have left since as on.
+    /// The stored list is older than the latest changes: it still lists removed hosts as in service.
     fn restore(&mut self, kept: Kept) {
         let on = |host: &Host| HostEntry { availability: Availability::InService, ..host.listed.clone() };
         let entries = self.hosts.iter().map(on).collect();
@@ -901,8 +906,8 @@
 
     fn discovered(&mut self) {
         let Some(kept) = self.restart else { return };
-        // Ahead of discovery, those that have passed twice; with it, all that it lists.
-        let answers = self.begun_anew.is_some_and(|begun| self.now >= begun + kept.silent_for);
+        // Before discovery answers: the hosts that have passed two probes. Afterwards: all hosts that it lists.
+        let answers = self.restarted_at.is_some_and(|begun| self.now >= begun + kept.silent_for);
         let listed = |host: &&Host| if answers { host.left.is_none() } else { host.up };
         let entries = self.hosts.iter().filter(listed).map(|host| host.listed.clone()).collect();
         let update = if answers { ListUpdate::Whole } else { ListUpdate::Changes };
@@ -931,7 +936,7 @@
             self.fleet_fault(&what, begins, lasts);
         }
         match what {
-            // Of many stewards only.
+            // These concern fleets with several controllers only.
             Trouble::StewardsLost { .. } | Trouble::DiscoveryDown | Trouble::DiscoverySlow { .. } => {}
             Trouble::CutFor { .. } | Trouble::Bad { .. } | Trouble::Replace { .. } => {}
             Trouble::Unsure { .. } | Trouble::StewardsSlow { .. } | Trouble::SumsLate { .. } => {}
@@ -970,8 +975,8 @@
                     there.fall(now);
                     (there.left, there.listed.availability) = (Some(now), Availability::Removed);
                     let entries = vec![there.listed.clone()];
-                    // Discovery that is silent tells nobody.
-                    let silent = self.restart.zip(self.begun_anew);
+                    // A discovery that does not answer publishes no change.
+                    let silent = self.restart.zip(self.restarted_at);
                     if silent.is_none_or(|(kept, begun)| now >= begun + kept.silent_for) {
                         self.list(entries);
                     }
@@ -993,7 +998,7 @@
                 self.list_reporters();
             }
             Trouble::Stall { proxies } => {
-                // A fleet's proxies are all in the first place.
+                // In a fleet all proxies are stored in the first front.
                 let tables = if self.stations.is_some() { 1 } else { self.fronts.len() };
                 for (front, at) in (0..tables).flat_map(|f| proxies.iter().map(move |at| (f, *at))) {
                     let proxy = &mut self.fronts[front].proxies[usize::from(at)];
