--- a/crates/rig/src/address.rs
+++ b/crates/rig/src/address.rs
@@ -1,26 +1,26 @@
-//! Where everything of one run listens. Each run has a block of loopback addresses of its own, so neither another run
-//! nor an outgoing connection takes a port that a process needs again when it starts anew.
+//! Listening addresses of a run. Each run has its own block of loopback addresses, so that neither another run nor an
+//! outgoing connection takes a port that a process needs again when it restarts.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
 use crate::Fault;
 
-/// One run's block: 127.a.b.*.
+/// The address block of one run: 127.a.b.*.
 pub struct Block {
     a: u8,
     b: u8,
-    /// While it is held, no other run takes the block.
+    /// Bound for the whole run, so that no other run takes the block.
     _held: TcpListener,
 }
 
-/// Holds a block; nothing else listens there.
+/// Port that marks a block as taken; nothing else listens on it.
 const HELD: u16 = 3_999;
 
 impl Block {
-    /// The first free block from a place that differs from process to process.
+    /// Takes the first free block; the search starts at a point that differs between processes.
     ///
     /// # Errors
-    /// No block is free.
+    /// Fails if no block is free.
     pub fn take() -> Result<Block, Fault> {
         let from = std::process::id();
         for step in 0..10_000u32 {
@@ -40,26 +40,26 @@
     pub fn discovery(&self) -> SocketAddr {
         self.at(1, 8_500)
     }
-    /// Where proxies and collectors connect.
-    pub fn listens(&self, steward: usize) -> SocketAddr {
-        self.at(10 + steward as u8, 3_000)
+    /// The controller's address for proxies and collectors.
+    pub fn listens(&self, controller: usize) -> SocketAddr {
+        self.at(10 + controller as u8, 3_000)
     }
-    pub fn relay(&self, steward: usize) -> SocketAddr {
-        self.at(10 + steward as u8, 6_400)
+    pub fn relay(&self, controller: usize) -> SocketAddr {
+        self.at(10 + controller as u8, 6_400)
     }
-    /// Where a new configuration moves discovery and the relay of the first.
+    /// Second address of discovery, used after a reload. The relay has one too.
     pub fn second_discovery(&self) -> SocketAddr {
         self.at(2, 8_500)
     }
     pub fn second_relay(&self) -> SocketAddr {
         self.at(10, 6_401)
     }
-    /// Where a steward listens for its peers.
-    pub fn fleet(&self, steward: usize) -> SocketAddr {
-        self.at(10 + steward as u8, 7_000)
+    /// The controller's address for its peers.
+    pub fn fleet(&self, controller: usize) -> SocketAddr {
+        self.at(10 + controller as u8, 7_000)
     }
-    /// Where the network listens for what `from` sends to `to`.
-    pub fn way(&self, from: usize, to: usize) -> SocketAddr {
+    /// The address of the emulated link that carries traffic from `from` to `to`.
+    pub fn link(&self, from: usize, to: usize) -> SocketAddr {
         self.at(10 + to as u8, 7_100 + from as u16)
     }
     pub fn host(&self, number: usize) -> SocketAddr {
--- a/crates/rig/src/drill/mod.rs
+++ b/crates/rig/src/drill/mod.rs
@@ -232,16 +232,16 @@
     /// Describes what happened to the orders that would have completed a late drain in time. Empty if the violation names
     /// no proxy.
     pub fn account(&self, late: &Violation) -> Vec<String> {
-        let [told, joined] = &late.witness[..] else { return vec![] };
-        let What::ListTold { host, .. } = &told.what else { return vec![] };
+        let [listed, joined] = &late.witness[..] else { return vec![] };
+        let What::ListTold { host, .. } = &listed.what else { return vec![] };
         let proxy = joined.who.strip_prefix("proxy:").and_then(|number| number.parse().ok());
         let host = host.strip_prefix('h').and_then(|number| number.parse().ok());
         let (Some(proxy), Some(host)) = (proxy, host) else { return vec![] };
         let since_start = |at: u64| at.saturating_sub(self.start_ns) as f64 / 1e6;
-        let (told_at, joined_at, ended_at) =
-            (since_start(told.at), since_start(joined.at), since_start(late.at));
+        let (listed_at, joined_at, ended_at) =
+            (since_start(listed.at), since_start(joined.at), since_start(late.at));
         let mut account = vec![format!(
-            "told at {told_at:.0} ms, joined at {joined_at:.0} ms, could send until {ended_at:.0} ms"
+            "listed at {listed_at:.0} ms, joined at {joined_at:.0} ms, could send until {ended_at:.0} ms"
         )];
         let steps = self.trace.about(ProxyId(proxy), HostId(host));
         account.extend(steps);
@@ -286,8 +286,8 @@
     let (environment, reachable) = start_stand_ins(block, settings, &recorder).await?;
     let environment = Rc::new(environment);
     let Environment { relay, discovery, block, .. } = &*environment;
-    let (news, _) = watch::channel(0);
-    let member = Rc::new(start(binary, &environment, folder, &news).await?);
+    let (activity, _) = watch::channel(0);
+    let member = Rc::new(start(binary, &environment, folder, &activity).await?);
     collector::until_ready(block.listens(0)).await?;
     recorder.write(CONTROLLER, What::Ready);
     let operator = Operator::new(member.clone(), environment.clone());
@@ -319,7 +319,7 @@
     }
     let crashed = member.ended();
     if !crashed {
-        last_counters(&member, &news).await?;
+        last_counters(&member, &activity).await?;
     }
     let log = member.log_end(usize::MAX);
     member.close();
@@ -345,11 +345,11 @@
 }
 
 /// Makes the controller write its counters as the last line of its log.
-async fn last_counters(member: &Member, news: &watch::Sender<u64>) -> Result<(), Fault> {
-    let last = || member.said("counters: ").map(|line| line.0);
+async fn last_counters(member: &Member, activity: &watch::Sender<u64>) -> Result<(), Fault> {
+    let last = || member.last_log_line("counters: ").map(|line| line.0);
     let before = last();
     member.signal(Signal::USR1);
-    seen(news, COUNTERS_WITHIN, "the controller's counters", || last() > before).await
+    seen(activity, COUNTERS_WITHIN, "the controller's counters", || last() > before).await
 }
 
 /// Starts all stand-ins around the controller process.
@@ -380,7 +380,7 @@
     for number in 0..settings.hosts {
         let zone = &settings.zones[number % settings.zones.len()];
         let up = watch::Sender::new(true);
-        all.push(Host::stand(block, number, zone, up.subscribe()).await?);
+        all.push(Host::start(block, number, zone, up.subscribe()).await?);
         reachable.push(up);
     }
     Ok(Hosts { all, reachable })
@@ -410,9 +410,9 @@
     binary: &Path,
     environment: &Environment,
     folder: &Path,
-    news: &watch::Sender<u64>,
+    activity: &watch::Sender<u64>,
 ) -> Result<Member, Fault> {
-    let member = Member::new(folder.join("n0"), "n0", binary, news.clone())?;
+    let member = Member::new(folder.join("n0"), "n0", binary, activity.clone())?;
     let configuration =
         environment.settings.configuration(&environment.block, Addresses::First, &environment.hosts);
     member.write("config.json", &configuration.to_string())?;
@@ -420,6 +420,6 @@
     environment.recorder.write(CONTROLLER, What::Started);
     environment.discovery.record_initial_list();
     member.start()?;
-    seen(news, START_WITHIN, "the controller's start", || member.started()).await?;
+    seen(activity, START_WITHIN, "the controller's start", || member.started()).await?;
     Ok(member)
 }
--- a/crates/rig/src/faults.rs
+++ b/crates/rig/src/faults.rs
@@ -1,4 +1,4 @@
-//! What is thrown in a run, by seed.
+//! The plan of a run: the kind of fault and its parameters, by seed.
 
 use std::time::Duration;
 
@@ -9,73 +9,72 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// Without `[fleet]`, and nothing goes wrong: shows that the stand-ins bring a steward its trade.
+    /// Without `[fleet]` and without faults: shows that the stand-ins give a controller working traffic.
     Ungoverned,
-    /// Nothing goes wrong.
+    /// No fault.
     Calm,
     /// One voter is down while a change is made.
     OneDown,
-    /// SIGKILL at a time that chance draws.
+    /// SIGKILL at a random time.
     Killed,
-    /// SIGKILL before or after a message of a change, sent or heard.
+    /// SIGKILL before or after a message of a change is sent, or after it is received.
     KilledAtMessage,
-    /// SIGKILL when the disk was written for the nth time.
+    /// SIGKILL after the nth write to the disk.
     KilledAtWrite,
-    /// SIGKILL of whoever first says that the joint stage holds, or of the chair then.
+    /// SIGKILL of the first controller that reports the joint stage, or of the leader at that time.
     KilledAtJoint,
-    /// SIGSTOP until the lease is long over, then SIGCONT.
+    /// SIGSTOP until well after the lease has expired, then SIGCONT.
     Paused,
-    /// Starts again on a copy of its disk from before a change.
+    /// Restarts on a copy of its disk from before a change.
     OldDisk,
     EmptyDisk,
-    /// A byte of each file is turned over. The program may refuse to start; then it gets an empty disk.
+    /// A byte of each file is corrupted. The program may refuse to start; then it gets an empty disk.
     SpoiltDisk,
-    /// No file can be written (see `Member::full_disk` for what stands for it).
+    /// No file can be written (`Member::full_disk` emulates this by a limit on file sizes).
     FullDisk,
     ChairInMinority,
-    /// The voters are cut into two halves.
+    /// The voters are partitioned into two halves.
     EvenSplit,
-    /// What one says is not heard, or it hears nothing, or both for a set.
+    /// One controller's messages are not delivered, or none reach it.
     OneWayCut,
     /// Each connection has a delay of its own.
     Delays,
     Resets,
-    /// A kill and a cut at once.
+    /// A kill and a partition, or two kills, at once.
     TwoAtOnce,
-    /// Two change proposals at two stewards at once, and a kill.
+    /// Two changes proposed at two controllers shortly after each other, and a kill.
     ChangeInMidst,
     /// One is down for the whole of two changes.
     DownForTwo,
-    /// A steward's relay is away while its lease ends.
+    /// A controller's relay is unavailable while its lease expires.
     RelayAway,
     MarksLost,
-    /// Proxies go to another steward while the joint stage holds.
+    /// Proxies move to another controller during the joint stage.
     ProxiesMove,
-    /// Two changes, the second as soon as the first holds anywhere; one steward is down.
+    /// Two changes, the second as soon as the first is in force anywhere; one controller may be down.
     QuickSuccession,
     SwapsZones,
     PermitsNothing,
-    /// The operators' files name one member more, one less, or one in another's place on an empty disk, while a change is
-    /// under way.
+    /// The operators' files add a member, remove one, or replace one by another with an empty disk, while a change is in
+    /// progress.
     Added,
     Removed,
     Replaced,
-    /// A peer that sends messages of earlier runs and of other fleets, spoilt ones, huge ones and none at all.
+    /// A peer that sends replayed messages, messages of other fleets, corrupted and oversized ones, and random bytes.
     BadPeer,
-    /// A tenant that asked for nothing comes back for its guarantee, which is lent out; often as the chair dies.
+    /// A tenant that sent no requests claims its guarantee again while it is lent out, often as the leader is killed.
     Lent,
-    /// Within a second nine of ten hosts of each zone turn all away, while tenants ask and a change is under way.
+    /// Within a second nine of ten hosts of each zone begin to reject all requests, during traffic and a change.
     Falls,
-    /// A planned restart of all stewards: SIGTERM to one after the other, the next once the one before is back, while a
-    /// change is proposed.
+    /// A rolling restart of all controllers with SIGTERM, each after the previous one is back, while a change is proposed.
     Rolled,
-    /// SIGTERM to the chair, before a change or in its midst.
+    /// SIGTERM to the leader, before a change or during it.
     Ended,
-    /// Two of [`Single`] at two stewards at once.
+    /// Two faults of [`Single`] at two controllers at once.
     Drawn,
 }
 
-/// What can go wrong at one steward, to be drawn beside another.
+/// A fault at one controller, drawn in pairs for [`Kind::Drawn`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Single {
     Kill,
@@ -149,8 +148,8 @@
         Kind::Drawn,
     ];
 
-    /// Whether guarantees have to be kept in the midst of it too: nobody is cut off, stands still or lacks a disk, so
-    /// those that live are told their grants.
+    /// Whether guarantees must hold during the fault too: no controller is partitioned, stopped or without a disk, so all
+    /// that run receive their grants.
     pub fn keeps_guarantees(self) -> bool {
         use Kind::*;
         let killed =
@@ -160,28 +159,28 @@
     }
 }
 
-/// One run.
+/// The parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub kind: Kind,
     pub stewards: usize,
-    /// The first so many vote, the others follow.
+    /// The first `voters` controllers vote; the others are followers.
     pub voters: usize,
-    /// So many are there from the start; one more comes later, and votes or follows.
+    /// Number of controllers that run from the start; one more may join later as voter or follower.
     pub first: usize,
     pub newcomer_votes: bool,
-    /// Each zone's txns stay there under every policy, so each zone's grants have to fit its own hosts.
+    /// Under every policy each zone's txns stay in that zone, so each zone's grants must fit its own hosts.
     pub own_zones: bool,
     pub proxies: u16,
     pub txns_per_s: f64,
-    /// What is asked, promised and done, in sizes of a common run.
+    /// Factor on traffic, guarantees and capacity, relative to a usual run.
     pub size: f64,
     pub hosts_a_zone: usize,
 }
 
 impl Plan {
-    /// Kinds with a fleet take turns by seed; all else is drawn.
+    /// Kinds with a fleet take turns by seed; all other parameters are random.
     pub fn of(seed: u64) -> Plan {
         let kind = Kind::ALL[(seed % Kind::ALL.len() as u64) as usize];
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
@@ -194,7 +193,7 @@
         let stewards = first + usize::from(matches!(kind, Kind::Added | Kind::Replaced));
         let newcomer_votes = chance.random();
         let own_zones = kind != Kind::SwapsZones && chance.random_bool(0.3);
-        // Where it is counted how much of a guarantee is let in, chance must not decide: thrice the txns.
+        // This kind counts how much of a guarantee is admitted. Three times the txns keep random variation from deciding it.
         let size = if kind == Kind::Lent { 3.0 } else { 1.0 };
         let hosts_a_zone = if kind == Kind::Falls { 10 } else { 2 };
         let common = Plan::ungoverned(seed);
@@ -214,7 +213,7 @@
         }
     }
 
-    /// Three stewards that know of no fleet.
+    /// Three controllers without a fleet.
     pub fn ungoverned(seed: u64) -> Plan {
         let (kind, stewards, voters, first) = (Kind::Ungoverned, 3, 3, 3);
         let (newcomer_votes, own_zones) = (false, false);
@@ -235,17 +234,17 @@
         }
     }
 
-    /// Txns a second that the hosts of a zone do.
+    /// Capacity of a zone's hosts, txns a second.
     pub fn zone_per_s(&self) -> f64 {
         self.size * ZONE_PER_S
     }
 
-    /// Whether the member at that place votes.
+    /// Whether the member at that index votes.
     pub fn votes(&self, place: usize) -> bool {
         place < self.voters || (place >= self.first && self.newcomer_votes)
     }
 
-    /// Members by their places, each once, with whether they vote.
+    /// Members by their indexes without duplicates, each with whether it votes.
     pub fn members(&self, places: impl IntoIterator<Item = usize>) -> Vec<(usize, bool)> {
         let places: std::collections::BTreeSet<usize> = places.into_iter().collect();
         places.into_iter().map(|place| (place, self.votes(place))).collect()
@@ -256,7 +255,7 @@
     }
 }
 
-/// A time within a change, for what has no point of its own.
+/// A random time within a change, for faults that are not tied to an event.
 pub fn moment(chance: &mut ChaCha8Rng, most_ms: u64) -> Duration {
     Duration::from_millis(chance.random_range(0..most_ms))
 }
--- a/crates/rig/src/hosts.rs
+++ b/crates/rig/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts: each answers probes at an address of its own, and serves the txns that proxies bring.
+//! Stand-in hosts: each answers probes at its own address and serve txns from proxies. Also their discovery.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,22 +10,22 @@
 use tokio::sync::watch;
 
 use crate::address::Block;
-use crate::pen::Pen;
+use crate::pen::HistoryWriter;
 use crate::serve::{full, serve};
 use crate::Fault;
 
 pub struct Host {
     pub name: String,
     pub zone: String,
-    /// It turns everything away, which proves that nothing ran.
+    /// The host rejects every request, which proves that the request did not run.
     pub down: Cell<bool>,
     dial: std::net::SocketAddr,
 }
 
 impl Host {
     /// # Errors
-    /// Its address can't be listened at.
-    pub async fn stand(
+    /// Fails if it can't listen on its address.
+    pub async fn start(
         block: &Block,
         number: usize,
         zone: &str,
@@ -46,10 +46,10 @@
         Ok(host)
     }
 
-    /// Begins to serve a txn.
-    pub fn serves(&self, txn: u64, pen: &Pen) -> bool {
+    /// Records that a txn is served. Returns false if the host is down.
+    pub fn serve(&self, txn: u64, history: &HistoryWriter) -> bool {
         if !self.down.get() {
-            pen.write(format!("host:{}", self.name), What::Served { txn, zone: self.zone.clone() });
+            history.write(format!("host:{}", self.name), What::Served { txn, zone: self.zone.clone() });
         }
         !self.down.get()
     }
@@ -60,32 +60,32 @@
     }
 }
 
-/// Discovery: the hosts that are not down, as they were when that was last told; a watch waits for another list, or its time
-/// out. `told` counts the lists.
+/// Discovery start-in: lists the hosts that are not down. A long poll waits for a list later than the one it names or for
+/// its timeout. `version` counts the lists.
 ///
 /// # Errors
-/// Its address can't be listened at.
+/// Fails if it can't listen on its address.
 pub async fn discovery(
     block: &Block,
     hosts: &[Rc<Host>],
     up: watch::Receiver<bool>,
-    told: watch::Receiver<u64>,
+    version: watch::Receiver<u64>,
 ) -> Result<(), Fault> {
     let hosts: Rc<Vec<Rc<Host>>> = Rc::new(hosts.to_vec());
     serve(block.discovery(), up, move |request| {
-        let (hosts, mut told) = (hosts.clone(), told.clone());
+        let (hosts, mut version) = (hosts.clone(), version.clone());
         async move {
             let query = request.uri().query().unwrap_or("").to_string();
             let word = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse().ok());
             let (after, wait): (Option<u64>, Option<u64>) = (word("after="), word("wait_ms="));
             if let Some(after) = after {
                 let wait = Duration::from_millis(wait.unwrap_or(0));
-                let news = tokio::time::timeout(wait, told.wait_for(|seq| *seq > after)).await;
-                if !matches!(news, Ok(Ok(_))) {
+                let newer = tokio::time::timeout(wait, version.wait_for(|seq| *seq > after)).await;
+                if !matches!(newer, Ok(Ok(_))) {
                     return full(&json!({"seq": after, "whole": false, "hosts": []}));
                 }
             }
-            let seq = *told.borrow();
+            let seq = *version.borrow();
             let rows: Vec<Value> =
                 hosts.iter().filter(|host| !host.down.get()).map(|host| host.row()).collect();
             full(&json!({"seq": seq, "whole": true, "hosts": rows}))
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stewards as processes, with all that stands round them on loopback, and what goes wrong there. A binary and a seed
-//! go in; a folder of histories (`amberarch-histories`), logs and figures comes out, to be judged afterwards.
+//! Fault-injection harness: runs controllers as real processes on loopback, beside stand-ins for everything that they
+//! talk to, and injects faults. From a binary and a seed it produces a folder of histories (`amberarch-histories`), logs
+//! and figures, which are checked afterwards.
 //!
-//! What it never does: look into the program under test other than by what it writes, or decide whether a run was
-//! good: the checker does.
+//! The harness observes the program under test only by its output, and leaves the verdict on a run to the checker.
 
 mod address;
 pub mod drill;
@@ -22,14 +22,14 @@
 pub use faults::{Kind, Plan};
 pub use run::{run, until_said, Ran};
 
-/// Why a run could not be made; a fault of the rig or of the machine, not of what is tested.
+/// Why a run could not be made: a failure of the harness or of the machine, not of the program under test.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("{0}: {1}")]
     Io(&'static str, std::io::Error),
-    #[error("the machine has no place for a run on loopback")]
+    #[error("no free block of loopback addresses for a run")]
     NoPlace,
-    #[error("steward {who} did not come up in {within_s} s; the end of its log:\n{log}")]
+    #[error("controller {who} did not start within {within_s} s; end of its log:\n{log}")]
     NotUp { who: String, within_s: u64, log: String },
     #[error("within {within_s} s not seen: {what}")]
     NotSeen { what: &'static str, within_s: u64 },
--- a/crates/rig/src/member.rs
+++ b/crates/rig/src/member.rs
@@ -1,4 +1,4 @@
-//! One steward as a process of the real binary: its folder, its disk, its signals, and what it wrote.
+//! A controller as a process of the real binary: its folder, its disk, its signals and its output.
 
 use std::cell::{Cell, RefCell};
 use std::fs::{self, File, OpenOptions};
@@ -15,12 +15,12 @@
 
 use crate::Fault;
 
-/// The last line of a history that the rig itself writes, so that its reader ends.
+/// The last line of a history, disk_writes by the harness to end the reader.
 const END: &str = "\"end\"";
 
-/// What was heard of one steward so far.
+/// Output of a controller so far: history and log lines.
 #[derive(Default)]
-struct Heard {
+struct Output {
     lines: Vec<Line>,
     log: Vec<String>,
 }
@@ -30,31 +30,37 @@
     pub dir: PathBuf,
     binary: PathBuf,
     child: RefCell<Option<Child>>,
-    heard: Arc<Mutex<Heard>>,
-    news: watch::Sender<u64>,
-    /// How many lines of its log there were when it was started last.
-    before: Cell<usize>,
-    /// And of its history.
+    output: Arc<Mutex<Output>>,
+    /// Raised with each line of output.
+    activity: watch::Sender<u64>,
+    /// Number of log lines at the last start.
+    log_lines_before: Cell<usize>,
+    /// Number of history lines at the last start.
     lines_before: Cell<usize>,
     reader: RefCell<Option<std::thread::JoinHandle<()>>>,
 }
 
 impl Member {
-    /// Its folder, with the files that the process is given. The history goes through a pipe: so a limit on the
-    /// sizes of files, which stands for a full disk, does not make holes in it.
+    /// Creates the folder of the process. The history goes through a pipe, so that the limit on file sizes that emulates a
+    /// full disk does not cause gaps in it.
     ///
     /// # Errors
-    /// A file can't be made.
-    pub fn new(dir: PathBuf, name: &str, binary: &Path, news: watch::Sender<u64>) -> Result<Member, Fault> {
-        let io = |why| Fault::Io("a steward's folder", why);
+    /// Fails if a file can't be created.
+    pub fn new(
+        dir: PathBuf,
+        name: &str,
+        binary: &Path,
+        activity: watch::Sender<u64>,
+    ) -> Result<Member, Fault> {
+        let io = |why| Fault::Io("a controller's folder", why);
         fs::create_dir_all(&dir).map_err(io)?;
         let pipe = dir.join("history.pipe");
         mkfifoat(CWD, &pipe, Mode::RUSR | Mode::WUSR).map_err(|why| io(why.into()))?;
-        // Opened for both, it neither waits for the process nor ends with it.
+        // Opened for reading and writing, the pipe neither blocks until the process opens it nor ends with the process.
         let source = OpenOptions::new().read(true).write(true).open(&pipe).map_err(io)?;
         let mut kept = File::create(dir.join("history.jsonl")).map_err(io)?;
-        let heard = Arc::new(Mutex::new(Heard::default()));
-        let (into, tell) = (heard.clone(), news.clone());
+        let output = Arc::new(Mutex::new(Output::default()));
+        let (into, notify) = (output.clone(), activity.clone());
         let reader = std::thread::spawn(move || {
             for line in BufReader::new(source).lines().map_while(Result::ok) {
                 if line == END {
@@ -67,7 +73,7 @@
                 if let Ok(line) = serde_json::from_str(&line) {
                     into.lock().expect("its lines").lines.push(line);
                 }
-                tell.send_modify(|count| *count += 1);
+                notify.send_modify(|count| *count += 1);
             }
         });
         let (child, reader) = (RefCell::new(None), RefCell::new(Some(reader)));
@@ -76,50 +82,49 @@
             dir,
             binary: binary.into(),
             child,
-            heard,
-            news,
-            before: Cell::new(0),
+            output,
+            activity,
+            log_lines_before: Cell::new(0),
             lines_before: Cell::new(0),
             reader,
         })
     }
 
     pub fn write(&self, file: &str, text: &str) -> Result<(), Fault> {
-        fs::write(self.dir.join(file), text).map_err(|why| Fault::Io("a steward's file", why))
+        fs::write(self.dir.join(file), text).map_err(|why| Fault::Io("a controller's file", why))
     }
 
-    /// The folder in which it keeps what must last.
+    /// The folder of the controller's durable state.
     pub fn disk(&self) -> PathBuf {
         self.dir.join("disk")
     }
 
-    /// Starts the process. The signal that tells of a file over its limit is ignored, so that the write fails
-    /// instead, as on a full disk.
+    /// Starts the process. SIGXFSZ is ignored, so that a write beyond the limit on file sizes fails as on a full disk.
     ///
     /// # Errors
-    /// It can't be started.
+    /// Fails if the process can't be started.
     pub fn start(&self) -> Result<(), Fault> {
         self.kill();
         {
-            let heard = self.heard.lock().expect("its log");
-            self.before.set(heard.log.len());
-            self.lines_before.set(heard.lines.len());
+            let output = self.output.lock().expect("its log");
+            self.log_lines_before.set(output.log.len());
+            self.lines_before.set(output.lines.len());
         }
         let mut command = Command::new("/bin/sh");
         command.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]).arg(&self.binary);
         command.args(["run", "--operator", "operator.toml"]).current_dir(&self.dir);
         command.env("GW_CONFIG", "config.json").env_remove("GW_LISTEN").env_remove("GW_DISCOVERY");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let mut child = command.spawn().map_err(|why| Fault::Io("a steward", why))?;
+        let mut child = command.spawn().map_err(|why| Fault::Io("a controller", why))?;
         let log = OpenOptions::new().create(true).append(true).open(self.dir.join("log"));
         let mut log = log.map_err(|why| Fault::Io("a log", why))?;
-        let (into, tell) = (self.heard.clone(), self.news.clone());
-        if let Some(said) = child.stderr.take() {
+        let (into, notify) = (self.output.clone(), self.activity.clone());
+        if let Some(stderr) = child.stderr.take() {
             std::thread::spawn(move || {
-                for line in BufReader::new(said).lines().map_while(Result::ok) {
+                for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                     let _ = writeln!(log, "{line}");
                     into.lock().expect("its log").log.push(line);
-                    tell.send_modify(|count| *count += 1);
+                    notify.send_modify(|count| *count += 1);
                 }
             });
         }
@@ -137,12 +142,12 @@
         }
     }
 
-    /// Whether it has come so far that it hears signals: one that comes before ends it.
+    /// Whether the process handles signals by now; an earlier signal would end it.
     pub fn started(&self) -> bool {
-        self.said(" started, ").is_some_and(|(at, _)| at >= self.before.get())
+        self.last_log_line(" started, ").is_some_and(|(at, _)| at >= self.log_lines_before.get())
     }
 
-    /// How long its threads were ready and had no core, by thread, in ms since each began (proc(5), schedstat).
+    /// Time that each thread has been runnable without a core since it began, ms (proc(5), schedstat).
     pub fn waited(&self) -> Vec<(String, f64)> {
         let Some(pid) = self.pid() else { return vec![] };
         let tasks =
@@ -155,7 +160,7 @@
         tasks.filter_map(of).collect()
     }
 
-    /// Kills it outright, also when it is stopped.
+    /// Kills the process with SIGKILL, also when it is stopped.
     pub fn kill(&self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
             let _ = child.kill();
@@ -163,18 +168,18 @@
         }
     }
 
-    /// Ends it in good order, and waits for it; false where it does not end within that time.
+    /// Sends SIGTERM and waits for the exit. Returns false if the process does not exit in time.
     pub async fn term(&self, within: Duration) -> bool {
         self.signal(Signal::TERM);
-        seen(&self.news, within, "an end in good order", || self.ended()).await.is_ok()
+        seen(&self.activity, within, "the exit after SIGTERM", || self.ended()).await.is_ok()
     }
 
-    /// Whether its process has ended by itself.
+    /// Whether the process has exited or does not exist.
     pub fn ended(&self) -> bool {
         self.child.borrow_mut().as_mut().is_none_or(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    /// From now on no file can be written any more, or all can again.
+    /// Emulates a full disk by a limit on file sizes, or lifts the limit.
     pub fn full_disk(&self, full: bool) {
         let limit = Rlimit { current: full.then_some(0), maximum: None };
         if let Some(pid) = self.pid() {
@@ -195,8 +200,8 @@
         copy(&self.dir.join(from), &self.disk())
     }
 
-    /// Turns a byte over in each file, at that part of its length.
-    pub fn spoil_disk(&self, part: f64) {
+    /// Corrupts one byte of each file, at the given fraction of its length.
+    pub fn corrupt_disk(&self, part: f64) {
         for file in files(&self.disk()) {
             if let Ok(mut bytes) = fs::read(&file) {
                 let at = (bytes.len() as f64 * part) as usize;
@@ -208,68 +213,68 @@
         }
     }
 
-    /// How many bytes its disk holds, and when it was written last.
-    pub fn written(&self) -> (u64, Option<std::time::SystemTime>) {
+    /// Total size of the files on its disk, and the time of the last write.
+    pub fn disk_writes(&self) -> (u64, Option<std::time::SystemTime>) {
         let all = files(&self.disk()).into_iter().filter_map(|file| fs::metadata(file).ok());
         all.fold((0, None), |(sum, last), file| (sum + file.len(), last.max(file.modified().ok())))
     }
 
-    /// What it last said it acts on, and which run of it said so.
+    /// The revision state that the controller last reported, with the incarnation that reported it.
     pub fn holds(&self) -> Option<(u64, Held)> {
-        let heard = self.heard.lock().expect("its lines");
-        heard.lines.iter().rev().find_map(|line| match &line.what {
+        let output = self.output.lock().expect("its lines");
+        output.lines.iter().rev().find_map(|line| match &line.what {
             What::Holds { boot, holds, .. } => Some((*boot, *holds)),
             What::LetGo { boot } => Some((*boot, Held::Nothing)),
             _ => None,
         })
     }
 
-    /// Whether the run that goes on acts on some revision.
+    /// Whether the running incarnation has a revision in force.
     pub fn holds_something(&self) -> bool {
-        let heard = self.heard.lock().expect("its lines");
-        let last = heard.lines[self.lines_before.get()..].iter().rev();
+        let output = self.output.lock().expect("its lines");
+        let last = output.lines[self.lines_before.get()..].iter().rev();
         last.filter(|line| matches!(line.what, What::Holds { .. } | What::LetGo { .. })).take(1).any(|line| {
             matches!(line.what, What::Holds { holds: Held::Alone { .. } | Held::Joint { .. }, .. })
         })
     }
 
-    /// How many lines of its history there are.
+    /// Number of history lines.
     pub fn count(&self) -> usize {
-        self.heard.lock().expect("its lines").lines.len()
+        self.output.lock().expect("its lines").lines.len()
     }
 
-    /// Whether a line after so many is like that.
+    /// Whether a history line after the first `after` lines matches.
     pub fn wrote(&self, after: usize, like: impl Fn(&What) -> bool) -> bool {
-        let heard = self.heard.lock().expect("its lines");
-        heard.lines.iter().skip(after).any(|line| like(&line.what))
+        let output = self.output.lock().expect("its lines");
+        output.lines.iter().skip(after).any(|line| like(&line.what))
     }
 
-    /// When a line like that was first written, after that time.
+    /// Time of the first matching history line at or after `from`.
     pub fn when(&self, from: u64, like: impl Fn(&What) -> bool) -> Option<u64> {
-        let heard = self.heard.lock().expect("its lines");
-        heard.lines.iter().find(|line| line.at >= from && like(&line.what)).map(|line| line.at)
+        let output = self.output.lock().expect("its lines");
+        output.lines.iter().find(|line| line.at >= from && like(&line.what)).map(|line| line.at)
     }
 
-    /// The last line of its log that holds that.
-    pub fn said(&self, word: &str) -> Option<(usize, String)> {
-        let heard = self.heard.lock().expect("its log");
-        let found = heard.log.iter().enumerate().rev().find(|(_, line)| line.contains(word));
+    /// Number and text of the last log line that contains `word`.
+    pub fn last_log_line(&self, word: &str) -> Option<(usize, String)> {
+        let output = self.output.lock().expect("its log");
+        let found = output.log.iter().enumerate().rev().find(|(_, line)| line.contains(word));
         found.map(|(at, line)| (at, line.clone()))
     }
 
     pub fn log_end(&self, lines: usize) -> String {
-        let heard = self.heard.lock().expect("its log");
-        heard.log[heard.log.len().saturating_sub(lines)..].join("\n")
+        let output = self.output.lock().expect("its log");
+        output.log[output.log.len().saturating_sub(lines)..].join("\n")
     }
 
     /// Ends the process and reads the rest of what it wrote.
     pub fn close(&self) {
         self.kill();
         if let Some(reader) = self.reader.borrow_mut().take() {
-            // A line that the kill cut in half ends here.
+            // The newline ends a line that the kill may have cut off.
             let pipe = OpenOptions::new().write(true).open(self.dir.join("history.pipe"));
-            let told = pipe.and_then(|mut pipe| writeln!(pipe, "\n{END}"));
-            if told.is_ok() {
+            let ended = pipe.and_then(|mut pipe| writeln!(pipe, "\n{END}"));
+            if ended.is_ok() {
                 let _ = reader.join();
             }
         }
@@ -298,16 +303,16 @@
     Ok(())
 }
 
-/// Waits until that holds; looks whenever a process said something, and now and then.
+/// Waits until `holds` is true. Checks it at each line of output of a process, and at least every 20 ms.
 pub async fn seen(
-    news: &watch::Sender<u64>,
+    activity: &watch::Sender<u64>,
     within: Duration,
     what: &'static str,
     holds: impl Fn() -> bool,
 ) -> Result<(), Fault> {
-    /// What the stand-ins do is not told; it is looked at as often.
-    const LOOK: Duration = Duration::from_millis(20);
-    let mut told = news.subscribe();
+    /// Changes at the stand-ins are not signalled; they are found by polling at this interval.
+    const POLL_EVERY: Duration = Duration::from_millis(20);
+    let mut changes = activity.subscribe();
     let until = tokio::time::Instant::now() + within;
     loop {
         if holds() {
@@ -316,6 +321,6 @@
         if tokio::time::Instant::now() > until {
             return Err(Fault::NotSeen { what, within_s: within.as_secs() });
         }
-        let _ = tokio::time::timeout(LOOK, told.changed()).await;
+        let _ = tokio::time::timeout(POLL_EVERY, changes.changed()).await;
     }
 }
--- a/crates/rig/src/network.rs
+++ b/crates/rig/src/network.rs
@@ -1,5 +1,6 @@
-//! The network between stewards: a way for each ordered pair. A way carries bytes, holds them, delays them, or breaks
-//! what stands on it. What `from` sends goes by the way from-to on every connection, whoever dialled.
+//! The emulated network between controllers, with one link for each ordered pair. A link carries bytes, holds them back,
+//! delays them, or resets its connections. What `from` sends to `to` check_trap the link (from, to) on every connection,
+//! whichever side opened it.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,21 +20,22 @@
 use crate::address::Block;
 use crate::Fault;
 
-/// What each way does now.
+/// Current state of the links.
 #[derive(Clone, Default)]
-struct Ways {
-    /// Bytes wait, new connections do not come up; nothing says so to either end.
+struct LinkStates {
+    /// Links that hold back bytes and new connections, without any error at either end.
     held: BTreeSet<(usize, usize)>,
-    /// Each connection draws a delay of its own up to this, so later ones overtake earlier ones.
+    /// Upper bound of the delay of a link. Each connection draws its own, so messages on different connections can be
+    /// reordered.
     delay: BTreeMap<(usize, usize), Duration>,
-    /// Raised: what stands on the pair's connections is reset.
+    /// Raising a pair's count resets its connections.
     resets: BTreeMap<(usize, usize), u64>,
 }
 
-/// Where in what a steward sends and hears something is done to it.
+/// The point in the transfer of a message at which a trap acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
-    /// Its message is lost with what is done.
+    /// Before the message is sent; the message is lost.
     BeforeSent,
     AfterSent,
     AfterHeard,
@@ -42,47 +44,50 @@
 struct Trap {
     of: usize,
     point: Point,
-    word: Word,
-    /// Messages that still pass.
+    message: MessageKind,
+    /// Number of matching messages that pass before the trap acts.
     left: u32,
-    spring: Box<dyn FnOnce()>,
+    action: Box<dyn FnOnce()>,
 }
 
-/// What a peer that is none says.
+/// Invalid input from a connection that send_bad_input to be a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
-    /// What the real one said first, once more.
+pub enum BadInput {
+    /// A replay of the first bytes that the real peer sent.
     Old,
     OtherFleet,
-    /// Messages of the right length in which no field can be read.
+    /// Messages of the right length with corrupted fields.
     Spoilt,
-    /// One that says it is longer than any may be, and goes on.
+    /// Messages whose length prefix exceeds any allowed size.
     Huge,
-    /// Bytes that are no message of any protocol.
+    /// Random bytes.
     Noise,
 }
 
-impl Bad {
-    pub const ALL: [Bad; 5] = [Bad::Old, Bad::OtherFleet, Bad::Spoilt, Bad::Huge, Bad::Noise];
+impl BadInput {
+    pub const ALL: [BadInput; 5] =
+        [BadInput::Old, BadInput::OtherFleet, BadInput::Spoilt, BadInput::Huge, BadInput::Noise];
 }
 
-/// How a connection between members begins, and how many bytes of its start are kept for one who is no peer.
-const HELLO: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-const KEPT: usize = 48 * 1_024;
+/// The HTTP/2 preface with which a connection between members begins, and how many bytes of its start are recorded for
+/// later replay.
+const HTTP2_PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
+const MAX_RECORDED: usize = 48 * 1_024;
 
 pub struct Network {
-    /// What was said first by each way, by the one that dialled.
-    kept: RefCell<BTreeMap<(usize, usize), Vec<u8>>>,
+    /// The first bytes sent over each link by the side that opened the connection.
+    recorded: RefCell<BTreeMap<(usize, usize), Vec<u8>>>,
     fleets: Vec<SocketAddr>,
-    ways: watch::Sender<Ways>,
+    links: watch::Sender<LinkStates>,
     trap: RefCell<Option<Trap>>,
     chance: RefCell<ChaCha8Rng>,
     count: usize,
 }
 
-/// What members say to each other, by the numbers of the envelope's fields in `fleet.proto`.
+/// Kinds of messages between members, with their field numbers in the envelope of `fleet.proto`. The names of the values
+/// are written into histories.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum MessageKind {
     AskVote = 5,
     Vote = 6,
     Append = 7,
@@ -93,22 +98,28 @@
     Answer = 16,
 }
 
-impl Word {
-    /// Those of a change while the chair stays.
-    pub const OF_A_CHANGE: [Word; 6] =
-        [Word::Append, Word::Appended, Word::AskLease, Word::Lease, Word::Wish, Word::Answer];
+impl MessageKind {
+    /// Messages of a change that does not involve an election.
+    pub const DURING_CHANGE: [MessageKind; 6] = [
+        MessageKind::Append,
+        MessageKind::Appended,
+        MessageKind::AskLease,
+        MessageKind::Lease,
+        MessageKind::Wish,
+        MessageKind::Answer,
+    ];
 }
 
-/// The numbers of the fields that hold the messages in these bytes: what each HTTP/2 frame of type DATA that begins
-/// here carries. A message of which only a later part is here is not seen.
-fn said(bytes: &[u8]) -> Vec<u64> {
-    let mut rest = bytes.strip_prefix(HELLO).unwrap_or(bytes);
+/// Field numbers of the messages in these bytes, from each HTTP/2 DATA frame that begins in them. A message whose beginning
+/// is not in the bytes is not found.
+fn message_fields(bytes: &[u8]) -> Vec<u64> {
+    let mut rest = bytes.strip_prefix(HTTP2_PREFACE).unwrap_or(bytes);
     let mut found = Vec::new();
     while let [a, b, c, kind, _, _, _, _, _, after @ ..] = rest {
         let length = usize::from(*a) << 16 | usize::from(*b) << 8 | usize::from(*c);
         let whole = after.get(..length).unwrap_or(after);
         if *kind == 0 {
-            // One byte says that nothing is compressed, four how long the message is.
+            // gRPC prefix: one byte 0 (uncompressed) and four bytes of message length.
             let mut messages = whole;
             while let [0, l1, l2, l3, l4, more @ ..] = messages {
                 let length = u32::from_be_bytes([*l1, *l2, *l3, *l4]) as usize;
@@ -121,7 +132,7 @@
     found
 }
 
-/// The highest number of a field: the envelope's own come before what it holds.
+/// The highest field number: the envelope's own fields have lower numbers than its content.
 fn last_field(mut message: &[u8]) -> Option<u64> {
     let mut most = None;
     while let Some((tag, rest)) = varint(message) {
@@ -148,31 +159,31 @@
 
 impl Network {
     /// # Errors
-    /// An address can't be listened at.
-    pub async fn stand(block: &Block, count: usize, seed: u64) -> Result<Rc<Network>, Fault> {
+    /// Fails if it can't listen on an address.
+    pub async fn start(block: &Block, count: usize, seed: u64) -> Result<Rc<Network>, Fault> {
         let network = Rc::new(Network {
-            kept: RefCell::default(),
+            recorded: RefCell::default(),
             fleets: (0..count).map(|one| block.fleet(one)).collect(),
-            ways: watch::Sender::new(Ways::default()),
+            links: watch::Sender::new(LinkStates::default()),
             trap: RefCell::new(None),
             chance: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             count,
         });
         for from in 0..count {
             for to in (0..count).filter(|to| *to != from) {
-                let listener = TcpListener::bind(block.way(from, to)).await;
-                let listener = listener.map_err(|why| Fault::Io("a way", why))?;
-                spawn_local(network.clone().way(listener, (from, to), block.fleet(to)));
+                let listener = TcpListener::bind(block.link(from, to)).await;
+                let listener = listener.map_err(|why| Fault::Io("an emulated link", why))?;
+                spawn_local(network.clone().link(listener, (from, to), block.fleet(to)));
             }
         }
         Ok(network)
     }
 
-    pub fn hold(&self, ways: impl IntoIterator<Item = (usize, usize)>) {
-        self.ways.send_modify(|now| now.held.extend(ways));
+    pub fn hold(&self, links: impl IntoIterator<Item = (usize, usize)>) {
+        self.links.send_modify(|now| now.held.extend(links));
     }
 
-    /// Nothing passes between the set and the others.
+    /// Partitions the set from the other controllers.
     pub fn isolate(&self, set: &[usize]) {
         let inside = |one: usize| set.contains(&one);
         let all = (0..self.count).flat_map(|a| (0..self.count).map(move |b| (a, b)));
@@ -181,18 +192,18 @@
 
     pub fn delay(&self, most: Duration) {
         let all = (0..self.count).flat_map(|a| (0..self.count).map(move |b| (a, b)));
-        self.ways.send_modify(|now| now.delay.extend(all.map(|way| (way, most))));
+        self.links.send_modify(|now| now.delay.extend(all.map(|link| (link, most))));
     }
 
-    /// Resets what stands between a steward and all others.
+    /// Resets all connections between a controller and the others.
     pub fn reset(&self, one: usize) {
         let pairs = (0..self.count).flat_map(|other| [(one, other), (other, one)]);
-        self.ways.send_modify(|now| pairs.for_each(|pair| *now.resets.entry(pair).or_default() += 1));
+        self.links.send_modify(|now| pairs.for_each(|pair| *now.resets.entry(pair).or_default() += 1));
     }
 
-    /// All passes again. What stood meanwhile goes on, or is reset as when a machine is back.
+    /// Ends all partitions and delays. Connections on held links continue, or are reset as after a machine failure.
     pub fn heal(&self, resets: bool) {
-        self.ways.send_modify(|now| {
+        self.links.send_modify(|now| {
             let held = std::mem::take(&mut now.held);
             now.delay.clear();
             if resets {
@@ -201,89 +212,97 @@
         });
     }
 
-    /// Does something at the message of that kind that comes after so many.
-    pub fn trap(&self, of: usize, point: Point, word: Word, after: u32, spring: impl FnOnce() + 'static) {
-        *self.trap.borrow_mut() = Some(Trap { of, point, word, left: after, spring: Box::new(spring) });
+    /// Runs `action` once at a message of the given kind, after `after` such messages have passed.
+    pub fn trap(
+        &self,
+        of: usize,
+        point: Point,
+        message: MessageKind,
+        after: u32,
+        action: impl FnOnce() + 'static,
+    ) {
+        *self.trap.borrow_mut() = Some(Trap { of, point, message, left: after, action: Box::new(action) });
     }
 
     pub fn untrap(&self) {
         self.trap.take();
     }
 
-    /// Says something bad to a member on a connection of its own, as if it were another.
-    pub async fn pretends(&self, from: usize, to: usize, bad: Bad) {
-        /// Until it is turned away; one that is not has said all it has.
+    /// Sends invalid input to member `to` on a separate connection, as if it came from member `from`.
+    pub async fn send_bad_input(&self, from: usize, to: usize, bad: BadInput) {
+        /// Time limit for the member to close the connection; all input has been sent by then.
         const WITHIN: Duration = Duration::from_millis(300);
-        let kept = self.kept.borrow().get(&(from, to)).cloned().unwrap_or_default();
-        let said = worsened(kept, bad, &mut self.chance.borrow_mut());
-        let talk = async {
+        let recorded = self.recorded.borrow().get(&(from, to)).cloned().unwrap_or_default();
+        let message_fields = corrupted(recorded, bad, &mut self.chance.borrow_mut());
+        let exchange = async {
             let mut stream = TcpStream::connect(self.fleets[to]).await?;
-            stream.write_all(&said).await?;
+            stream.write_all(&message_fields).await?;
             let mut answer = [0; 4_096];
             while stream.read(&mut answer).await? > 0 {}
             Ok::<(), std::io::Error>(())
         };
-        let _ = tokio::time::timeout(WITHIN, talk).await;
+        let _ = tokio::time::timeout(WITHIN, exchange).await;
     }
 
-    /// False: the message is lost.
-    fn passes(&self, way: (usize, usize), bytes: &[u8], point: Point) -> bool {
+    /// Checks the trap for these bytes and runs its action. Returns false if the message is lost.
+    fn check_trap(&self, link: (usize, usize), bytes: &[u8], point: Point) -> bool {
         let mut trap = self.trap.borrow_mut();
         let here = trap.as_mut().filter(|trap| {
-            let of = if point == Point::AfterHeard { way.1 } else { way.0 };
-            trap.point == point && trap.of == of && said(bytes).contains(&(trap.word as u64))
+            let of = if point == Point::AfterHeard { link.1 } else { link.0 };
+            trap.point == point && trap.of == of && message_fields(bytes).contains(&(trap.message as u64))
         });
         let Some(here) = here else { return true };
         if here.left > 0 {
             here.left -= 1;
             return true;
         }
-        let spring = trap.take().map(|trap| trap.spring);
-        spring.into_iter().for_each(|spring| spring());
+        let action = trap.take().map(|trap| trap.action);
+        action.into_iter().for_each(|action| action());
         point != Point::BeforeSent
     }
 
-    async fn way(self: Rc<Network>, listener: TcpListener, pair: (usize, usize), to: SocketAddr) {
+    async fn link(self: Rc<Network>, listener: TcpListener, pair: (usize, usize), to: SocketAddr) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let network = self.clone();
             spawn_local(async move {
-                let mut ways = network.ways.subscribe();
-                let resets = |ways: &Ways| ways.resets.get(&pair).copied();
-                let before = resets(&ways.borrow());
+                let mut links = network.links.subscribe();
+                let resets = |links: &LinkStates| links.resets.get(&pair).copied();
+                let before = resets(&links.borrow());
                 let _ = stream.set_nodelay(true);
                 let back = (pair.1, pair.0);
-                let carried = async {
-                    let open = |ways: &Ways| !ways.held.contains(&pair) && !ways.held.contains(&back);
-                    let _ = network.ways.subscribe().wait_for(open).await;
+                let forwarding = async {
+                    let open =
+                        |links: &LinkStates| !links.held.contains(&pair) && !links.held.contains(&back);
+                    let _ = network.links.subscribe().wait_for(open).await;
                     let there = TcpStream::connect(to).await?;
                     there.set_nodelay(true)?;
                     let ((here_reads, here_writes), (there_reads, there_writes)) =
                         (stream.into_split(), there.into_split());
-                    let fresh = network.kept.borrow().get(&pair).is_none_or(Vec::is_empty);
+                    let fresh = network.recorded.borrow().get(&pair).is_none_or(Vec::is_empty);
                     if fresh {
-                        network.kept.borrow_mut().insert(pair, Vec::new());
+                        network.recorded.borrow_mut().insert(pair, Vec::new());
                     }
                     tokio::select! {
-                        ended = network.carry(here_reads, there_writes, pair, fresh) => ended,
-                        ended = network.carry(there_reads, here_writes, back, false) => ended,
+                        ended = network.forward(here_reads, there_writes, pair, fresh) => ended,
+                        ended = network.forward(there_reads, here_writes, back, false) => ended,
                     }
                 };
                 tokio::select! {
-                    _ = carried => {}
-                    _ = ways.wait_for(|ways| resets(ways) != before) => {}
+                    _ = forwarding => {}
+                    _ = links.wait_for(|links| resets(links) != before) => {}
                 }
-                // Both ends are dropped with what was unread, which the kernel tells by a reset.
+                // Dropping both ends with unread data makes the kernel reset the connections.
             });
         }
     }
 
-    async fn carry(
+    async fn forward(
         &self,
         mut reads: OwnedReadHalf,
         mut writes: OwnedWriteHalf,
-        way: (usize, usize),
-        keeps: bool,
+        link: (usize, usize),
+        records: bool,
     ) -> std::io::Result<()> {
         let (to, mut queue) = mpsc::channel::<(Instant, Vec<u8>)>(64);
         let mut own = None;
@@ -295,12 +314,15 @@
                     return Ok(());
                 }
                 let bytes = part[..count].to_vec();
-                if let Some(kept) =
-                    self.kept.borrow_mut().get_mut(&way).filter(|kept| keeps && kept.len() < KEPT)
+                if let Some(recorded) = self
+                    .recorded
+                    .borrow_mut()
+                    .get_mut(&link)
+                    .filter(|recorded| records && recorded.len() < MAX_RECORDED)
                 {
-                    kept.extend(&bytes);
+                    recorded.extend(&bytes);
                 }
-                let most = self.ways.borrow().delay.get(&way).copied();
+                let most = self.links.borrow().delay.get(&link).copied();
                 let late = most.map_or(Duration::ZERO, |most| {
                     *own.get_or_insert_with(|| most.mul_f64(self.chance.borrow_mut().random_range(0.1..1.0)))
                 });
@@ -310,32 +332,32 @@
             }
         };
         let write = async {
-            let mut ways = self.ways.subscribe();
+            let mut links = self.links.subscribe();
             while let Some((due, bytes)) = queue.recv().await {
                 sleep_until(due).await;
-                let _ = ways.wait_for(|ways| !ways.held.contains(&way)).await;
-                if !self.passes(way, &bytes, Point::BeforeSent) {
+                let _ = links.wait_for(|links| !links.held.contains(&link)).await;
+                if !self.check_trap(link, &bytes, Point::BeforeSent) {
                     continue;
                 }
                 writes.write_all(&bytes).await?;
-                self.passes(way, &bytes, Point::AfterSent);
-                self.passes(way, &bytes, Point::AfterHeard);
+                self.check_trap(link, &bytes, Point::AfterSent);
+                self.check_trap(link, &bytes, Point::AfterHeard);
             }
             Ok(())
         };
-        // One that ends its side has what it wrote before carried to the other.
+        // When one side closes, the bytes that it sent before are still delivered.
         let (read, written) = tokio::join!(read, write);
         read.and(written)
     }
 }
 
-/// The bytes as one sends them who means no good, or knows no better.
-fn worsened(mut bytes: Vec<u8>, bad: Bad, chance: &mut ChaCha8Rng) -> Vec<u8> {
+/// Returns the recorded bytes with the given corruption.
+fn corrupted(mut bytes: Vec<u8>, bad: BadInput, chance: &mut ChaCha8Rng) -> Vec<u8> {
     const PREFIX: usize = 5;
-    let mut at = HELLO.len();
+    let mut at = HTTP2_PREFACE.len();
     match bad {
-        Bad::Old => return bytes,
-        Bad::Noise => return (0..2_048).map(|_| chance.random()).collect(),
+        BadInput::Old => return bytes,
+        BadInput::Noise => return (0..2_048).map(|_| chance.random()).collect(),
         _ => {}
     }
     while let Some([a, b, c, kind, ..]) = bytes.get(at..at + 9) {
@@ -346,14 +368,14 @@
             continue;
         };
         match bad {
-            Bad::Spoilt => data[PREFIX..].fill(0xff),
+            BadInput::Spoilt => data[PREFIX..].fill(0xff),
             // The first field: a tag, a length, and the fleet's name.
-            Bad::OtherFleet => {
+            BadInput::OtherFleet => {
                 let length = usize::from(data[PREFIX + 1]);
                 data[PREFIX + 2..].iter_mut().take(length).for_each(|byte| *byte = b'x');
             }
-            Bad::Huge => data[1..PREFIX].fill(0x7f),
-            Bad::Old | Bad::Noise => {}
+            BadInput::Huge => data[1..PREFIX].fill(0x7f),
+            BadInput::Old | BadInput::Noise => {}
         }
     }
     bytes
@@ -361,37 +383,40 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{said, worsened, Bad, ChaCha8Rng, SeedableRng, Word, HELLO};
+    use super::{corrupted, message_fields, BadInput, ChaCha8Rng, MessageKind, SeedableRng, HTTP2_PREFACE};
 
     #[test]
-    fn what_a_bad_peer_says_keeps_its_frames_and_changes_what_they_hold() {
+    fn corrupted_input_keeps_its_frames_and_changes_their_content() {
         let lease = [10, 3, b'r', b'i', b'g', 25, 1, 2, 3, 4, 5, 6, 7, 8, 90, 2, 9, 9];
         let data = [&[0, 0, 5 + 18, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 18][..], &lease[..]].concat();
-        let all = [HELLO, &[0, 0, 0, 4, 0, 0, 0, 0, 0][..], &data[..]].concat();
+        let all = [HTTP2_PREFACE, &[0, 0, 0, 4, 0, 0, 0, 0, 0][..], &data[..]].concat();
         let mut chance = ChaCha8Rng::seed_from_u64(1);
-        let mut bad = |bad| worsened(all.clone(), bad, &mut chance);
-        assert_eq!(bad(Bad::Old), all);
-        assert_eq!(said(&bad(Bad::OtherFleet)), [Word::Lease as u64]);
-        assert!(!bad(Bad::OtherFleet).windows(3).any(|part| part == b"rig"));
-        assert!(bad(Bad::Spoilt).ends_with(
+        let mut bad = |bad| corrupted(all.clone(), bad, &mut chance);
+        assert_eq!(bad(BadInput::Old), all);
+        assert_eq!(message_fields(&bad(BadInput::OtherFleet)), [MessageKind::Lease as u64]);
+        assert!(!bad(BadInput::OtherFleet).windows(3).any(|part| part == b"rig"));
+        assert!(bad(BadInput::Spoilt).ends_with(
             &[0, 0, 0, 18, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255]
                 .iter()
                 .copied()
                 .chain([255; 8])
                 .collect::<Vec<u8>>()
         ));
-        assert!(bad(Bad::Huge).ends_with(&[&[0, 0x7f, 0x7f, 0x7f, 0x7f][..], &lease[..]].concat()));
-        assert!(!bad(Bad::Noise).starts_with(HELLO));
+        assert!(bad(BadInput::Huge).ends_with(&[&[0, 0x7f, 0x7f, 0x7f, 0x7f][..], &lease[..]].concat()));
+        assert!(!bad(BadInput::Noise).starts_with(HTTP2_PREFACE));
     }
 
     #[test]
-    fn a_message_is_known_by_its_kind_and_signs_of_life_pass_for_none() {
+    fn a_message_is_known_by_its_kind_and_pings_are_not_messages() {
         let ping = [0, 0, 8, 6, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8];
         // A fleet's name, a run, and a lease that holds two bytes.
         let lease = [10, 1, b'f', 25, 1, 2, 3, 4, 5, 6, 7, 8, 90, 2, 9, 9];
         let data = [&[0, 0, 5 + 16, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 16][..], &lease[..]].concat();
-        assert_eq!(said(&ping), Vec::<u64>::new());
-        assert_eq!(said(&[&ping[..], &data[..], &data[..]].concat()), [Word::Lease as u64; 2]);
-        assert_eq!(said(&data[..data.len() - 1]), [Word::Lease as u64]);
+        assert_eq!(message_fields(&ping), Vec::<u64>::new());
+        assert_eq!(
+            message_fields(&[&ping[..], &data[..], &data[..]].concat()),
+            [MessageKind::Lease as u64; 2]
+        );
+        assert_eq!(message_fields(&data[..data.len() - 1]), [MessageKind::Lease as u64]);
     }
 }
--- a/crates/rig/src/pen.rs
+++ b/crates/rig/src/pen.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' own history.
+//! Writes the history of the stand-ins to a file.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -18,22 +18,22 @@
 }
 
 #[derive(Clone)]
-pub struct Pen {
+pub struct HistoryWriter {
     file: Rc<RefCell<BufWriter<File>>>,
 }
 
-impl Pen {
+impl HistoryWriter {
     /// # Errors
-    /// The file can't be made.
-    pub fn new(path: &Path) -> Result<Pen, Fault> {
+    /// Fails if the file can't be created.
+    pub fn new(path: &Path) -> Result<HistoryWriter, Fault> {
         let file = File::create(path).map_err(|why| Fault::Io("a history", why))?;
-        Ok(Pen { file: Rc::new(RefCell::new(BufWriter::new(file))) })
+        Ok(HistoryWriter { file: Rc::new(RefCell::new(BufWriter::new(file))) })
     }
 
     pub fn write(&self, who: impl Into<String>, what: What) {
         let line = Line { at: now_ns(), who: who.into(), what };
         let mut file = self.file.borrow_mut();
-        // A history with a hole would be judged wrongly; the rig's own disk is not what fails here.
+        // A history with gaps would be checked wrongly, and the harness's own disk is not part of the faults: panic.
         serde_json::to_writer(&mut *file, &line).expect("a line of a history");
         file.write_all(b"\n").expect("room for a history");
     }
--- a/crates/rig/src/policy.rs
+++ b/crates/rig/src/policy.rs
@@ -1,4 +1,4 @@
-//! What a run proposes, and the files that a steward is given.
+//! Policies that a run proposes, and the configuration files of a controller.
 
 use std::fmt::Write;
 
@@ -10,54 +10,54 @@
 
 use crate::address::Block;
 use crate::hosts::Host;
-use crate::proxies::Asked;
+use crate::proxies::RequestClass;
 
 pub const ZONES: [&str; 3] = ["east", "north", "west"];
-/// The last is never governed.
-pub const PRODUCTS: [Asked; 3] = [
-    Asked { name: "look", once_only: false, tenant: Some("readers") },
-    Asked { name: "pay", once_only: true, tenant: Some(PROMISED) },
-    Asked { name: "news", once_only: false, tenant: None },
+/// The last class is not governed by any policy.
+pub const CLASSES: [RequestClass; 3] = [
+    RequestClass { name: "look", once_only: false, tenant: Some("readers") },
+    RequestClass { name: "pay", once_only: true, tenant: Some(PROMISED) },
+    RequestClass { name: "news", once_only: false, tenant: None },
 ];
 pub const GOVERNED: [&str; 2] = ["look", "pay"];
-/// The tenant with a guarantee; the readers live on what it lends and on what is left.
+/// The tenant with a guarantee. The other tenant, `readers`, uses the capacity that it lends and what is left.
 pub const PROMISED: &str = "payers";
-/// What it is promised in each zone, txns a second, in a run of size 1. It asks for more, and all zones' promises have
-/// room in one zone.
+/// Its guarantee in each zone, txns a second, in a run of size 1. The tenant requests more than this, and the guarantees
+/// of all zones together fit into one zone.
 pub const GUARANTEE_PER_S: f64 = 8.0;
-/// Txns a second that the hosts of a zone do by the operators' files, in a run of size 1: less than the two tenants ask
-/// for there.
+/// Capacity of a zone's hosts in the operators' files, txns a second, in a run of size 1: less than the two tenants
+/// request there.
 pub const ZONE_PER_S: f64 = 28.0;
-/// What the policy says; longer than a silent steward's grant lasts.
+/// Time within which a lent guarantee must be back, as in the policy; longer than the grant of a silent controller.
 pub const BACK_WITHIN_MS: u64 = 4_000;
-/// Floors are dealt over so many stewards, the most that a run has.
+/// Number of controllers over which floors are divided: the largest number in a run.
 const MOST_STEWARDS: usize = 8;
 
-/// Short, so that many changes and leases fit into a run; in the order that a file for use would have them too.
-/// Longer than the proxies need to be bound anew (`steward_side`) and the transit together.
+/// Shorter than in production, so that many changes and leases fit into a run, but in the same order of size. The linger
+/// is longer than the rebinding of proxies (`steward_side`) and the transit together.
 pub const LINGER_MS: u64 = 1_500;
 pub const ACTS_MS: u64 = 1_200;
 pub const KNOWS_MS: u64 = 2_500;
 
-/// One policy in the rig's own words.
+/// A policy as the harness represents it.
 #[derive(Clone, Debug)]
 pub struct Draft {
     pub no: u64,
     pub permits: Vec<Permits>,
-    /// Without shares nothing is bounded.
+    /// Whether the policy has quotas; without them no rate is limited.
     shares: bool,
-    /// What is promised, in sizes of a run.
+    /// Factor on the guarantee: the size of the run.
     size: f64,
 }
 
-/// Chance decides where each product may be served; with `own` it is the home zone alone.
+/// Draws at random where each class may be served; with `own`, only in the home zone.
 pub fn draw(no: u64, own: bool, size: f64, chance: &mut ChaCha8Rng) -> Draft {
     let draft = each_pair(no, |product, home| {
         if own {
             return vec![home.to_string()];
         }
-        // The home zone, or another, and often one more. What is promised something stays at home besides, so that
-        // two revisions together leave it a zone and its promise can stand through a change.
+        // The home zone or another, and often one more. The class with a guarantee always keeps its home zone, so that it
+        // has a zone under two revisions together and its guarantee holds through a change.
         let stays = product == GOVERNED[1] || chance.random_bool(0.7);
         let first = if stays { home } else { ZONES.choose(chance).unwrap_or(&home) };
         let mut zones = vec![first.to_string()];
@@ -69,7 +69,7 @@
     Draft { size, ..draft }
 }
 
-/// Each zone's txns of the first product go to that zone alone, or of two zones to the other.
+/// Each zone's txns of the first class stay in that zone; with `swap`, two zones serve each other's.
 pub fn swapped(no: u64, swap: bool) -> Draft {
     each_pair(no, |product, home| {
         let zone = match home {
@@ -82,7 +82,7 @@
 }
 
 pub fn nothing(no: u64) -> Draft {
-    // A tenant that may be served nowhere can't be promised anything.
+    // A tenant that may not be served anywhere can't have a guarantee.
     Draft { shares: false, ..each_pair(no, |_, _| Vec::new()) }
 }
 
@@ -97,8 +97,8 @@
 }
 
 impl Draft {
-    /// As the policy file says it. Pairs that the old and the new revision leave without a zone are declined while
-    /// the change is under way, so none is refused for that.
+    /// The text of the policy file. Pairs that have no zone under the old and the new revision together are rejected while
+    /// the change is in progress (`declined = true`), so that no revision is refused for them.
     pub fn text(&self) -> String {
         let mut text = format!("revision = {}\n", self.no);
         for Permits { product, home, zones } in &self.permits {
@@ -111,7 +111,7 @@
         if self.shares {
             let _ = writeln!(text, "\n[shares]\nfloor = {{ part = 0.1, stewards = {MOST_STEWARDS} }}");
         }
-        for Asked { name, tenant, .. } in PRODUCTS.iter().filter(|_| self.shares) {
+        for RequestClass { name, tenant, .. } in CLASSES.iter().filter(|_| self.shares) {
             let Some(tenant) = tenant else { continue };
             let _ = writeln!(text, "\n[[shares.tenant]]\nname = {tenant:?}\nproducts = [{name:?}]");
             if *tenant == PROMISED {
@@ -123,8 +123,8 @@
     }
 }
 
-/// `[fleet]` of one steward: its peers are reached through the network's ways. `members` are places among the names, with
-/// whether they vote.
+/// The `[fleet]` section of one controller, which reaches its peers over the emulated links. `members` are indexes into the
+/// names, each with whether it votes.
 pub fn operator(
     block: &Block,
     own: usize,
@@ -141,13 +141,13 @@
     );
     for (place, votes) in members {
         let (name, at) =
-            (&names[*place], if *place == own { block.fleet(own) } else { block.way(own, *place) });
+            (&names[*place], if *place == own { block.fleet(own) } else { block.link(own, *place) });
         let _ = writeln!(text, "\n[[fleet.member]]\nname = {name:?}\naddress = \"{at}\"\nvotes = {votes}");
     }
     text
 }
 
-/// The configuration of one steward.
+/// The configuration of one controller.
 pub fn config(
     block: &Block,
     own: usize,
@@ -157,13 +157,13 @@
     seed: u64,
 ) -> String {
     let ms = |ms: u64| ms * 1_000_000;
-    let class = |asked: &Asked| {
+    let class = |asked: &RequestClass| {
         json!({"name": asked.name, "effect": if asked.once_only { "single_shot" } else { "free" },
             "keyScope": "all", "goalTime": ms(300), "deadline": ms(1_000), "window": ms(5_000), "points": 1.0,
             "lateWorth": 0.2})
     };
     let rows: Vec<Value> = hosts.iter().map(|host| host.row()).collect();
-    let none = vec![false; PRODUCTS.len()];
+    let none = vec![false; CLASSES.len()];
     json!({
         "name": names[own], "listen": block.listens(own).to_string(), "discovery": block.discovery().to_string(),
         "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
@@ -171,7 +171,7 @@
         "known": {"seq": 1, "whole": true, "hosts": rows},
         "settings": {
             "az": own % ZONES.len(), "balancers": names.len(), "dcs": ZONES, "kinds": ["plain"],
-            "discovery": "on_request", "classes": PRODUCTS.iter().map(class).collect::<Vec<_>>(),
+            "discovery": "on_request", "classes": CLASSES.iter().map(class).collect::<Vec<_>>(),
             "familyInfo": {
                 "agents": proxies, "bootstrap": 0, "shards": 0, "zonal": false, "classOwnZone": none,
                 "classWrites": none, "defaultRetry": 1, "tryFactor": 0.8, "levelKind": "fraction",
--- a/crates/rig/src/proxies.rs
+++ b/crates/rig/src/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies that hold tables by what their steward's relay carries to them, the clients behind them, and the sums of
+//! Emulated proxies, whose tables come from their controller's relay, the clients behind them, and the traffic reports of
 //! both.
 
 use std::cell::{Cell, RefCell};
@@ -17,291 +17,297 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::hosts::Host;
-use crate::pen::Pen;
+use crate::pen::HistoryWriter;
 
-/// A product that clients ask for.
+/// A request class that clients send.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestClass {
     pub name: &'static str,
     pub once_only: bool,
-    /// Whose txns they are, where a policy has shares.
+    /// The tenant of its txns, used by policies with quotas.
     pub tenant: Option<&'static str>,
 }
 
-/// What a proxy is told by its steward's relay.
+/// A message from a relay sender a proxy.
 pub struct Message {
     pub due: Instant,
     pub orders: Rc<Vec<Order>>,
-    /// Whose: a proxy that has gone elsewhere meanwhile hears no more of it.
+    /// The proxy's turn when it was sent. A proxy that has moved since ignores the message.
     turn: u32,
 }
 
-struct Seat {
+struct ProxyState {
     proxy: RefCell<Proxy>,
     zone: String,
     at: Cell<Option<usize>>,
+    /// Raised whenever the proxy leave or join a controller.
     turn: Cell<u32>,
     last: Cell<Instant>,
-    to: mpsc::UnboundedSender<Message>,
-    /// Zones by product, as the history has them.
-    told: RefCell<BTreeMap<u16, BTreeSet<String>>>,
+    sender: mpsc::UnboundedSender<Message>,
+    /// Zones by class, as last recorded in the history.
+    recorded: RefCell<BTreeMap<u16, BTreeSet<String>>>,
 }
 
 #[derive(Clone, Copy, Default)]
-pub struct Sum {
+pub struct Totals {
     pub tries: u32,
-    pub voided: u32,
+    pub failed: u32,
     pub took: f64,
 }
 
-/// Sums since they were last taken.
+/// Traffic totals since they were last taken.
 #[derive(Clone)]
-pub struct Sums {
+pub struct TrafficReports {
     pub since: Instant,
-    pub met: BTreeMap<(String, String), Sum>,
-    pub came: BTreeMap<(u16, &'static str), Sum>,
+    pub host_reports: BTreeMap<(String, String), Totals>,
+    pub proxy_reports: BTreeMap<(u16, &'static str), Totals>,
 }
 
-impl Sums {
-    fn begin() -> Sums {
-        Sums { since: Instant::now(), met: BTreeMap::new(), came: BTreeMap::new() }
+impl TrafficReports {
+    fn begin() -> TrafficReports {
+        TrafficReports {
+            since: Instant::now(),
+            host_reports: BTreeMap::new(),
+            proxy_reports: BTreeMap::new(),
+        }
     }
 }
 
-pub struct World {
+pub struct Deployment {
     pub zones: Vec<String>,
-    pub products: Vec<Asked>,
+    pub classes: Vec<RequestClass>,
     pub hosts: Vec<Rc<Host>>,
-    pub pen: Pen,
-    /// Shortest and longest time in which a message reaches a proxy.
+    pub history: HistoryWriter,
+    /// Shortest and longest transit time of a message sender a proxy.
     pub transit: (Duration, Duration),
-    seats: Vec<Rc<Seat>>,
-    /// One for each steward, since each is told of all.
-    sums: RefCell<Vec<Sums>>,
+    states: Vec<Rc<ProxyState>>,
+    /// One per controller, since every controller receives reports of all traffic.
+    reports: RefCell<Vec<TrafficReports>>,
     chance: RefCell<ChaCha8Rng>,
     txns: Cell<u64>,
     pub ends: Cell<bool>,
-    /// The one product that clients want for now, by its place; none: each as likely.
+    /// Index of the only class that clients currently request. `None`: all classes are equally likely.
     pub wanted: Cell<Option<usize>>,
-    pub settled: Cell<u64>,
+    pub succeeded: Cell<u64>,
     pub asked: Cell<u64>,
-    /// What the relays say of proxies: who confirms a mark, and to which steward.
+    /// Callback for marks that proxies acknowledge.
     pub applied: RefCell<Option<Applied>>,
 }
 
-/// Takes note that a proxy has applied all up to a mark of a steward.
+/// Called with controller, proxy, mark and duration in ms when a proxy has applied all orders up sender the mark.
 pub type Applied = Box<dyn Fn(usize, u16, u16, f64)>;
 
-impl World {
+impl Deployment {
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         zones: &[&str],
-        products: Vec<Asked>,
+        classes: Vec<RequestClass>,
         hosts: Vec<Rc<Host>>,
         proxies: u16,
-        stewards: usize,
+        controllers: usize,
         transit: (Duration, Duration),
-        pen: Pen,
+        history: HistoryWriter,
         seed: u64,
-    ) -> Rc<World> {
-        let (mut seats, mut queues) = (Vec::new(), Vec::new());
+    ) -> Rc<Deployment> {
+        let (mut states, mut queues) = (Vec::new(), Vec::new());
         for number in 0..proxies {
-            let (to, queue) = mpsc::unbounded_channel();
+            let (sender, queue) = mpsc::unbounded_channel();
             let place = usize::from(number) % zones.len();
-            let proxy = Proxy::new(ZoneId(place as u16), vec![1.0; products.len()]);
-            seats.push(Rc::new(Seat {
+            let proxy = Proxy::new(ZoneId(place as u16), vec![1.0; classes.len()]);
+            states.push(Rc::new(ProxyState {
                 proxy: RefCell::new(proxy),
                 zone: zones[place].into(),
                 at: Cell::new(None),
                 turn: Cell::new(0),
                 last: Cell::new(Instant::now()),
-                to,
-                told: RefCell::default(),
+                sender,
+                recorded: RefCell::default(),
             }));
             queues.push(queue);
         }
-        let world = Rc::new(World {
+        let deployment = Rc::new(Deployment {
             zones: zones.iter().map(|zone| zone.to_string()).collect(),
-            products,
+            classes,
             hosts,
-            pen,
+            history,
             transit,
-            seats,
-            sums: RefCell::new(vec![Sums::begin(); stewards]),
+            states,
+            reports: RefCell::new(vec![TrafficReports::begin(); controllers]),
             chance: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             txns: Cell::new(0),
             ends: Cell::new(false),
             wanted: Cell::new(None),
-            settled: Cell::new(0),
+            succeeded: Cell::new(0),
             asked: Cell::new(0),
             applied: RefCell::new(None),
         });
         for (number, queue) in queues.into_iter().enumerate() {
-            spawn_local(world.clone().hears(number as u16, queue));
+            spawn_local(deployment.clone().receive(number as u16, queue));
         }
-        world
+        deployment
     }
 
     pub fn proxies(&self) -> std::ops::Range<u16> {
-        0..self.seats.len() as u16
+        0..self.states.len() as u16
     }
 
     pub fn zone(&self, proxy: u16) -> &str {
-        &self.seats[usize::from(proxy)].zone
+        &self.states[usize::from(proxy)].zone
     }
 
     pub fn at(&self, proxy: u16) -> Option<usize> {
-        self.seats.get(usize::from(proxy)).and_then(|seat| seat.at.get())
+        self.states.get(usize::from(proxy)).and_then(|state| state.at.get())
     }
 
-    /// True where it holds nothing that was ordered.
+    /// Whether the proxy holds no ordered table.
     pub fn fresh(&self, proxy: u16) -> bool {
-        let seat = self.seats[usize::from(proxy)].proxy.borrow();
-        (0..self.products.len() as u16).all(|id| seat.open(ClassId(id)).next().is_none())
+        let state = self.states[usize::from(proxy)].proxy.borrow();
+        (0..self.classes.len() as u16).all(|id| state.open(ClassId(id)).next().is_none())
     }
 
-    pub fn leaves(&self, proxy: u16) {
-        let seat = &self.seats[usize::from(proxy)];
-        seat.at.set(None);
-        seat.turn.set(seat.turn.get() + 1);
+    pub fn leave(&self, proxy: u16) {
+        let state = &self.states[usize::from(proxy)];
+        state.at.set(None);
+        state.turn.set(state.turn.get() + 1);
     }
 
-    /// It follows that steward, and knows what the relay there holds, without being bound to any of it.
-    pub fn joins(&self, proxy: u16, steward: usize, stands: &[Order]) {
-        let seat = &self.seats[usize::from(proxy)];
-        seat.at.set(Some(steward));
-        seat.turn.set(seat.turn.get() + 1);
-        let mut held = seat.proxy.borrow_mut();
+    /// The proxy follows the controller and receives the relay's current state, without being bound sender a table.
+    pub fn join(&self, proxy: u16, controller: usize, current_orders: &[Order]) {
+        let state = &self.states[usize::from(proxy)];
+        state.at.set(Some(controller));
+        state.turn.set(state.turn.get() + 1);
+        let mut held = state.proxy.borrow_mut();
         held.follow_next();
-        stands.iter().for_each(|order| held.hear(ProxyId(proxy), order));
+        current_orders.iter().for_each(|order| held.hear(ProxyId(proxy), order));
     }
 
-    /// A message of a relay is on its way.
-    pub fn sends(&self, proxy: u16, orders: &Rc<Vec<Order>>) {
-        let seat = &self.seats[usize::from(proxy)];
+    /// Sends a relay's message sender a proxy, with a random transit time.
+    pub fn send(&self, proxy: u16, orders: &Rc<Vec<Order>>) {
+        let state = &self.states[usize::from(proxy)];
         let (least, most) = self.transit;
         let late = self.chance.borrow_mut().random_range(least..most);
-        // In the order in which they were sent.
-        let due = (Instant::now() + late).max(seat.last.get());
-        seat.last.set(due);
-        let _ = seat.to.send(Message { due, orders: orders.clone(), turn: seat.turn.get() });
+        // Messages are delivered in the order in which they were sent.
+        let due = (Instant::now() + late).max(state.last.get());
+        state.last.set(due);
+        let _ = state.sender.send(Message { due, orders: orders.clone(), turn: state.turn.get() });
     }
 
-    async fn hears(self: Rc<World>, me: u16, mut queue: mpsc::UnboundedReceiver<Message>) {
-        let seat = self.seats[usize::from(me)].clone();
+    async fn receive(self: Rc<Deployment>, me: u16, mut queue: mpsc::UnboundedReceiver<Message>) {
+        let state = self.states[usize::from(me)].clone();
         while let Some(Message { due, orders, turn }) = queue.recv().await {
             let sent = Instant::now();
             sleep_until(due).await;
-            if turn != seat.turn.get() {
+            if turn != state.turn.get() {
                 continue;
             }
-            orders.iter().for_each(|order| seat.proxy.borrow_mut().hear(ProxyId(me), order));
-            self.tells(me, &seat);
+            orders.iter().for_each(|order| state.proxy.borrow_mut().hear(ProxyId(me), order));
+            self.record_zones(me, &state);
             let marks = orders.iter().filter_map(|order| match order {
                 Order::Mark { mark, .. } => Some(mark.0),
                 _ => None,
             });
-            for (mark, steward) in marks.filter_map(|mark| Some((mark, seat.at.get()?))) {
+            for (mark, controller) in marks.filter_map(|mark| Some((mark, state.at.get()?))) {
                 if let Some(applied) = self.applied.borrow().as_ref() {
-                    applied(steward, me, mark, sent.elapsed().as_secs_f64() * 1e3);
+                    applied(controller, me, mark, sent.elapsed().as_secs_f64() * 1e3);
                 }
             }
         }
     }
 
-    /// Writes down where its tables now let txns go.
-    fn tells(&self, me: u16, seat: &Seat) {
-        let proxy = seat.proxy.borrow();
-        for (place, product) in self.products.iter().enumerate() {
+    /// Records the zones sender which the proxy's tables now send txns, where they changed.
+    fn record_zones(&self, me: u16, state: &ProxyState) {
+        let proxy = state.proxy.borrow();
+        for (place, product) in self.classes.iter().enumerate() {
             let id = ClassId(place as u16);
             let open = proxy.open(id).filter(|_| proxy.level(id).0 > 0.0);
             let zones: BTreeSet<String> =
                 open.map(|(host, _)| self.hosts[host.0 as usize].zone.clone()).collect();
-            let before = seat.told.borrow_mut().insert(id.0, zones.clone());
+            let before = state.recorded.borrow_mut().insert(id.0, zones.clone());
             if before.unwrap_or_default() != zones {
-                let (product, home) = (product.name.to_string(), seat.zone.clone());
+                let (product, home) = (product.name.to_string(), state.zone.clone());
                 let zones = zones.into_iter().collect();
-                self.pen.write(format!("proxy:{me}"), What::Tables { product, home, zones });
+                self.history.write(format!("proxy:{me}"), What::Tables { product, home, zones });
             }
         }
     }
 
-    /// Clients come to each proxy, so many txns a second, until the world ends.
-    pub fn clients(self: &Rc<World>, per_s: f64) {
+    /// Starts clients that send `per_s` txns a second sender each proxy until the run ends.
+    pub fn clients(self: &Rc<Deployment>, per_s: f64) {
         for me in self.proxies() {
-            let world = self.clone();
+            let deployment = self.clone();
             let mut chance = ChaCha8Rng::seed_from_u64(self.chance.borrow_mut().random());
             let gap = Exp::new(per_s).expect("a rate over zero");
             spawn_local(async move {
-                while !world.ends.get() {
+                while !deployment.ends.get() {
                     sleep(Duration::from_secs_f64(gap.sample(&mut chance).min(1.0))).await;
                     let seed = chance.random();
-                    spawn_local(world.clone().txn(me, ChaCha8Rng::seed_from_u64(seed)));
+                    spawn_local(deployment.clone().txn(me, ChaCha8Rng::seed_from_u64(seed)));
                 }
             });
         }
     }
 
-    async fn txn(self: Rc<World>, me: u16, mut chance: ChaCha8Rng) {
-        let seat = self.seats[usize::from(me)].clone();
+    async fn txn(self: Rc<Deployment>, me: u16, mut chance: ChaCha8Rng) {
+        let state = self.states[usize::from(me)].clone();
         let txn = self.txns.get();
         self.txns.set(txn + 1);
         self.asked.set(self.asked.get() + 1);
-        let place = chance.random_range(0..self.products.len());
+        let place = chance.random_range(0..self.classes.len());
         let place = self.wanted.get().unwrap_or(place);
-        let (id, Asked { name, once_only, tenant }) = (ClassId(place as u16), self.products[place].clone());
-        let home = seat.zone.clone();
+        let (id, RequestClass { name, once_only, tenant }) =
+            (ClassId(place as u16), self.classes[place].clone());
+        let home = state.zone.clone();
         let product = name.to_string();
         let tenant = tenant.map(String::from);
-        self.pen.write("client", What::Asked { txn, product, home, tenant, once_only });
-        let (share, tries) = seat.proxy.borrow().level(id);
+        self.history.write("client", What::Asked { txn, product, home, tenant, once_only });
+        let (share, tries) = state.proxy.borrow().level(id);
         let (mut end, mut last) = (End::Declined, None);
-        let let_in = chance.random::<f64>() < share;
-        for again in 0..if let_in { 3 } else { 0 } {
-            let Some(host) = seat.proxy.borrow().pick(id, chance.random(), last) else { break };
+        let admitted = chance.random::<f64>() < share;
+        for retries in 0..if admitted { 3 } else { 0 } {
+            let Some(host) = state.proxy.borrow().pick(id, chance.random(), last) else { break };
             last = Some(host);
             let host = &self.hosts[host.0 as usize];
             let began = Instant::now();
-            let ran = host.serves(txn, &self.pen);
+            let ran = host.serve(txn, &self.history);
             if ran {
                 sleep(Duration::from_millis(chance.random_range(3..15))).await;
             }
-            // Now and then an answer is lost after the host has served.
+            // A few responses are lost after the host has served the txn.
             let answered = ran && chance.random::<f64>() > 0.02;
-            self.sum(me, &seat.zone, &host.name, answered, began);
+            self.record_try(me, &state.zone, &host.name, answered, began);
             end = if answered { End::Settled } else { End::Voided };
             let more = match (ran, tries) {
                 _ if answered => false,
                 (_, RetryPolicy::One) => false,
-                (false, RetryPolicy::AfterProof | RetryPolicy::AfterAny) => again < 1,
+                (false, RetryPolicy::AfterProof | RetryPolicy::AfterAny) => retries < 1,
                 (true, RetryPolicy::AfterProof) => false,
-                (true, RetryPolicy::AfterAny) => again < 1 && !once_only,
+                (true, RetryPolicy::AfterAny) => retries < 1 && !once_only,
                 (ran, RetryPolicy::TwiceAfterAny) => !(ran && once_only),
             };
             if !more {
                 break;
             }
         }
-        for sums in self.sums.borrow_mut().iter_mut() {
-            let came = sums.came.entry((me, name)).or_default();
-            came.tries += 1;
-            came.voided += u32::from(end == End::Voided);
+        for reports in self.reports.borrow_mut().iter_mut() {
+            let proxy_reports = reports.proxy_reports.entry((me, name)).or_default();
+            proxy_reports.tries += 1;
+            proxy_reports.failed += u32::from(end == End::Voided);
         }
-        self.settled.set(self.settled.get() + u64::from(end == End::Settled));
-        self.pen.write("client", What::Final { txn, end });
+        self.succeeded.set(self.succeeded.get() + u64::from(end == End::Settled));
+        self.history.write("client", What::Final { txn, end });
     }
 
-    fn sum(&self, _me: u16, zone: &str, host: &str, answered: bool, began: Instant) {
-        for sums in self.sums.borrow_mut().iter_mut() {
-            let met = sums.met.entry((zone.into(), host.into())).or_default();
-            met.tries += 1;
-            met.voided += u32::from(!answered);
-            met.took += if answered { began.elapsed().as_secs_f64() * 1e3 } else { 0.0 };
+    fn record_try(&self, _me: u16, zone: &str, host: &str, answered: bool, began: Instant) {
+        for reports in self.reports.borrow_mut().iter_mut() {
+            let host_reports = reports.host_reports.entry((zone.into(), host.into())).or_default();
+            host_reports.tries += 1;
+            host_reports.failed += u32::from(!answered);
+            host_reports.took += if answered { began.elapsed().as_secs_f64() * 1e3 } else { 0.0 };
         }
     }
 
-    /// What is to be told to one steward.
-    pub fn take_sums(&self, steward: usize) -> Sums {
-        std::mem::replace(&mut self.sums.borrow_mut()[steward], Sums::begin())
+    /// Takes the traffic totals sender report sender one controller.
+    pub fn take_reports(&self, controller: usize) -> TrafficReports {
+        std::mem::replace(&mut self.reports.borrow_mut()[controller], TrafficReports::begin())
     }
 }
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -1,4 +1,5 @@
-//! A steward's relay: takes its calls of orders, carries them to the proxies that are joined, and tells the news.
+//! Stand-in for a controller's relay: accepts calls with orders, delivers them to the joined proxies, and reports events
+//! on its watch.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,113 +20,116 @@
 
 use crate::address::Block;
 use crate::pen::now_ns;
-use crate::proxies::World;
+use crate::proxies::Deployment;
 use crate::serve::{full, lines, serve, Body};
 use crate::wire::{read_order, Names};
 use crate::Fault;
 
 pub struct Relay {
-    world: Rc<World>,
-    steward: usize,
+    deployment: Rc<Deployment>,
+    controller: usize,
     pub up: watch::Sender<bool>,
-    /// Answers to marks are lost.
-    pub loses_marks: Cell<bool>,
+    /// Acknowledgements of marks are dropped.
+    pub drops_acks: Cell<bool>,
     readers: RefCell<Vec<mpsc::UnboundedSender<String>>>,
     tables: RefCell<BTreeMap<TableId, BTreeMap<HostId, f64>>>,
-    out: RefCell<BTreeSet<HostId>>,
+    gated: RefCell<BTreeSet<HostId>>,
     levels: RefCell<Vec<Order>>,
     pub calls: Cell<u64>,
-    /// What came and what was told, beside the histories: for whoever looks into a run.
-    kept: RefCell<File>,
+    /// Log of calls and watch events, to analyse a run; not part of the histories.
+    log: RefCell<File>,
 }
 
 impl Relay {
     /// # Errors
-    /// Its address can't be listened at.
-    pub async fn stand(
+    /// Fails if it can't listen on its address.
+    pub async fn start(
         block: &Block,
-        steward: usize,
-        world: &Rc<World>,
-        kept: &Path,
+        controller: usize,
+        deployment: &Rc<Deployment>,
+        log: &Path,
     ) -> Result<Rc<Relay>, Fault> {
-        let kept = RefCell::new(File::create(kept).map_err(|why| Fault::Io("a relay's file", why))?);
+        let log = RefCell::new(File::create(log).map_err(|why| Fault::Io("a relay's file", why))?);
         let relay = Rc::new(Relay {
-            world: world.clone(),
-            steward,
+            deployment: deployment.clone(),
+            controller,
             up: watch::Sender::new(true),
-            loses_marks: Cell::new(false),
+            drops_acks: Cell::new(false),
             readers: RefCell::default(),
             tables: RefCell::default(),
-            out: RefCell::default(),
+            gated: RefCell::default(),
             levels: RefCell::default(),
             calls: Cell::new(0),
-            kept,
+            log,
         });
         let answers = relay.clone();
-        serve(block.relay(steward), relay.up.subscribe(), move |request| answers.clone().answer(request))
+        serve(block.relay(controller), relay.up.subscribe(), move |request| answers.clone().answer(request))
             .await?;
-        let signs = relay.clone();
+        let heartbeats = relay.clone();
         spawn_local(async move {
             loop {
                 sleep(Duration::from_secs(1)).await;
-                signs.say("{}".into());
+                heartbeats.broadcast("{}".into());
             }
         });
         Ok(relay)
     }
 
-    /// The steward starts anew: its tables are its own.
+    /// Drops all tables, for a controller that restarts.
     pub fn forget(&self) {
         self.tables.borrow_mut().clear();
-        self.out.borrow_mut().clear();
+        self.gated.borrow_mut().clear();
         self.levels.borrow_mut().clear();
     }
 
-    fn say(&self, line: String) {
+    fn broadcast(&self, line: String) {
         if line != "{}" {
-            let _ = writeln!(self.kept.borrow_mut(), "{{\"at\":{},\"told\":{line}}}", now_ns());
+            let _ = writeln!(self.log.borrow_mut(), "{{\"at\":{},\"told\":{line}}}", now_ns());
         }
         self.readers.borrow_mut().retain(|reader| reader.send(line.clone()).is_ok());
     }
 
     pub fn applied(&self, proxy: u16, mark: u16, took: f64) {
-        if !self.loses_marks.get() {
+        if !self.drops_acks.get() {
             let object = json!({"proxy": proxy, "mark": mark, "took_ms": took});
-            self.say(json!({"type": "ACK", "object": object}).to_string());
+            self.broadcast(json!({"type": "ACK", "object": object}).to_string());
         }
     }
 
     fn joined(&self, proxy: u16, fresh: bool) -> String {
-        let zone = self.world.zone(proxy);
+        let zone = self.deployment.zone(proxy);
         let object = json!({"proxy": proxy, "zone": zone, "weight": 20.0, "fresh": fresh});
         json!({"type": "SUBSCRIBE", "object": object}).to_string()
     }
 
-    pub fn takes_in(&self, proxy: u16) {
-        let fresh = self.world.fresh(proxy);
-        self.world.joins(proxy, self.steward, &self.stands());
-        self.say(self.joined(proxy, fresh));
+    pub fn add_proxy(&self, proxy: u16) {
+        let fresh = self.deployment.fresh(proxy);
+        self.deployment.join(proxy, self.controller, &self.current_orders());
+        self.broadcast(self.joined(proxy, fresh));
     }
 
-    pub fn lets_go(&self, proxy: u16) {
-        self.world.leaves(proxy);
-        self.say(json!({"type": "CLOSED", "object": {"proxy": proxy}}).to_string());
+    pub fn remove_proxy(&self, proxy: u16) {
+        self.deployment.leave(proxy);
+        self.broadcast(json!({"type": "CLOSED", "object": {"proxy": proxy}}).to_string());
     }
 
     pub fn members(&self) -> Vec<u16> {
-        self.world.proxies().filter(|proxy| self.world.at(*proxy) == Some(self.steward)).collect()
+        self.deployment
+            .proxies()
+            .filter(|proxy| self.deployment.at(*proxy) == Some(self.controller))
+            .collect()
     }
 
-    /// All orders that amount to what the relay holds.
-    fn stands(&self) -> Vec<Order> {
+    /// Orders that reproduce the relay's current state.
+    fn current_orders(&self) -> Vec<Order> {
         let tables = self.tables.borrow();
-        let shares = tables.iter().flat_map(|(tbl, lines)| {
-            lines.iter().map(|(host, weight)| Order::SetEntry { table: *tbl, host: *host, weight: *weight })
+        let shares = tables.iter().flat_map(|(table, lines)| {
+            lines.iter().map(|(host, weight)| Order::SetEntry { table: *table, host: *host, weight: *weight })
         });
-        let out = self.out.borrow();
-        // One that it let in again is let in at a proxy that comes from elsewhere too.
-        let hosts = (0..self.world.hosts.len() as u32).map(HostId);
-        let gates = hosts.map(|host| Order::Withdraw { host, withdrawn: out.contains(&host) });
+        let gated = self.gated.borrow();
+        // Restored hosts are included: a proxy that comes from another controller may still have them withdrawn.
+        let hosts = (0..self.deployment.hosts.len() as u32).map(HostId);
+        let gates = hosts.map(|host| Order::Withdraw { host, withdrawn: gated.contains(&host) });
         shares.chain(gates).chain(self.levels.borrow().iter().cloned()).collect()
     }
 
@@ -133,7 +137,7 @@
         if request.uri().path() == "/watch" {
             let (to, from) = mpsc::unbounded_channel();
             for proxy in self.members() {
-                let _ = to.send(self.joined(proxy, self.world.fresh(proxy)));
+                let _ = to.send(self.joined(proxy, self.deployment.fresh(proxy)));
             }
             self.readers.borrow_mut().push(to);
             return lines(from);
@@ -143,17 +147,17 @@
             return full(&json!({"error": "SYNTAX"}));
         };
         self.calls.set(self.calls.get() + 1);
-        let _ = writeln!(self.kept.borrow_mut(), "{{\"at\":{},\"call\":{call}}}", now_ns());
+        let _ = writeln!(self.log.borrow_mut(), "{{\"at\":{},\"call\":{call}}}", now_ns());
         let changes = call["changes"].as_array().cloned().unwrap_or_default();
         let orders: Vec<Order> = changes.iter().map_while(|order| read_order(order, self.as_ref())).collect();
         let taken = orders.len();
-        orders.iter().for_each(|order| self.keep(order));
+        orders.iter().for_each(|order| self.store(order));
         let orders = Rc::new(orders);
-        self.members().into_iter().for_each(|proxy| self.world.sends(proxy, &orders));
+        self.members().into_iter().for_each(|proxy| self.deployment.send(proxy, &orders));
         full(&json!({"taken": taken}))
     }
 
-    fn keep(&self, order: &Order) {
+    fn store(&self, order: &Order) {
         match order {
             Order::SetEntry { table, host, weight } => {
                 let mut tables = self.tables.borrow_mut();
@@ -164,8 +168,8 @@
                 }
             }
             Order::ClearTable { table } => drop(self.tables.borrow_mut().remove(table)),
-            Order::Withdraw { host, withdrawn: true } => drop(self.out.borrow_mut().insert(*host)),
-            Order::Withdraw { host, withdrawn: false } => drop(self.out.borrow_mut().remove(host)),
+            Order::Withdraw { host, withdrawn: true } => drop(self.gated.borrow_mut().insert(*host)),
+            Order::Withdraw { host, withdrawn: false } => drop(self.gated.borrow_mut().remove(host)),
             Order::Admit { table, classes, .. } => {
                 let mut levels = self.levels.borrow_mut();
                 let same = |other: &Order| matches!(other, Order::Admit { table: t, classes: p, .. } if t == table && p == classes);
@@ -179,14 +183,14 @@
 
 impl Names for Relay {
     fn host(&self, name: &str) -> Option<HostId> {
-        Some(HostId(self.world.hosts.iter().position(|host| host.name == name)? as u32))
+        Some(HostId(self.deployment.hosts.iter().position(|host| host.name == name)? as u32))
     }
 
     fn class(&self, name: &str) -> Option<ClassId> {
-        Some(ClassId(self.world.products.iter().position(|product| product.name == name)? as u16))
+        Some(ClassId(self.deployment.classes.iter().position(|class| class.name == name)? as u16))
     }
 
     fn joined(&self, proxy: ProxyId) -> bool {
-        self.world.at(proxy.0) == Some(self.steward)
+        self.deployment.at(proxy.0) == Some(self.controller)
     }
 }
--- a/crates/rig/src/serve.rs
+++ b/crates/rig/src/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 for the stand-ins.
+//! HTTP/1.1 server of the stand-ins.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,7 +25,7 @@
     Response::new(Full::new(Bytes::from(body.to_string())).boxed())
 }
 
-/// A body that goes on for as long as there are lines.
+/// A streamed body that ends when the channel of lines is closed.
 pub fn lines(from: mpsc::UnboundedReceiver<String>) -> Response<Body> {
     let frames = futures_util::stream::unfold(from, |mut from| async move {
         let line = from.recv().await?;
@@ -34,10 +34,10 @@
     Response::new(BodyExt::boxed(StreamBody::new(Box::pin(frames))))
 }
 
-/// Serves at an address while `up`; otherwise connections are reset, those that stand too.
+/// Serves at an address while `up`; otherwise resets new and open connections.
 ///
 /// # Errors
-/// The address can't be listened at.
+/// Fails if it can't listen on the address.
 pub async fn serve<F, Fut>(address: SocketAddr, up: watch::Receiver<bool>, answer: F) -> Result<(), Fault>
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + 'static,
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-/// Serves one connection until it ends or is closed from here.
+/// Serves one connection until it ends or `closed` completes.
 pub async fn serve_connection<F, Fut>(stream: TcpStream, answer: F, closed: impl Future<Output = ()>)
 where
     F: Fn(Request<Incoming>) -> Fut,
--- a/crates/rig/src/steward_side.rs
+++ b/crates/rig/src/steward_side.rs
@@ -1,5 +1,5 @@
-//! What goes to a steward's own address: signs of life that its proxies ask for, and the collectors' sums. A proxy
-//! whose steward does not answer, or whose relay is gone, moves to another.
+//! Connections to the controllers' own addresses: liveness checks (`PING`) on behalf of the proxies, and the collectors'
+//! traffic reports. A proxy whose controller does not answer, or whose relay is mark_down, move_proxy to another controller.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,142 +13,150 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::proxies::World;
+use crate::proxies::Deployment;
 use crate::relay::Relay;
 
-/// Between two questions, and how long an answer may take. What a proxy needs to leave a steward that is gone is
-/// the sum, at the most.
-const EVERY: Duration = Duration::from_millis(60);
-const WITHIN: Duration = Duration::from_millis(300);
-/// Until a proxy that left one steward joins another, at the least and at the most.
-const MOVES: (u64, u64) = (20, 150);
-const SUMS_EVERY: Duration = Duration::from_millis(400);
+/// Interval of liveness checks, and their timeout (`ANSWER_TIMEOUT`). A proxy leaves a failed controller after at most the totals of
+/// both.
+const CHECK_EVERY: Duration = Duration::from_millis(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Shortest and longest time until a proxy that left one controller joins another, ms.
+const MOVE_MS: (u64, u64) = (20, 150);
+const REPORT_EVERY: Duration = Duration::from_millis(400);
 
-pub struct Seats {
+pub struct Connections {
     pub relays: Vec<Rc<Relay>>,
     alive: Vec<Cell<bool>>,
-    /// So many stewards are there from the start; the proxies are theirs.
+    /// Number of controllers that run from the start; all proxies belong to one of them.
     first: usize,
-    world: Rc<World>,
+    deployment: Rc<Deployment>,
     chance: RefCell<ChaCha8Rng>,
     pub moved: Cell<u64>,
 }
 
-impl Seats {
-    pub fn new(relays: Vec<Rc<Relay>>, first: usize, world: Rc<World>, seed: u64) -> Rc<Seats> {
+impl Connections {
+    pub fn new(
+        relays: Vec<Rc<Relay>>,
+        first: usize,
+        deployment: Rc<Deployment>,
+        seed: u64,
+    ) -> Rc<Connections> {
         let alive = relays.iter().map(|_| Cell::new(false)).collect();
         let chance = RefCell::new(ChaCha8Rng::seed_from_u64(seed));
-        let seats = Rc::new(Seats { relays, alive, first, world, chance, moved: Cell::new(0) });
-        let to = seats.clone();
-        *seats.world.applied.borrow_mut() =
-            Some(Box::new(move |steward, proxy, mark, took| to.relays[steward].applied(proxy, mark, took)));
-        seats
+        let connections =
+            Rc::new(Connections { relays, alive, first, deployment, chance, moved: Cell::new(0) });
+        let to = connections.clone();
+        *connections.deployment.applied.borrow_mut() =
+            Some(Box::new(move |controller, proxy, mark, took| {
+                to.relays[controller].applied(proxy, mark, took)
+            }));
+        connections
     }
 
-    /// Watches over a steward and passes sums on, for good.
-    pub fn watch(self: &Rc<Seats>, steward: usize, at: SocketAddr) {
-        let (seats, mut up) = (self.clone(), self.relays[steward].up.subscribe());
+    /// Checks a controller's liveness and sends it traffic reports, without end.
+    pub fn watch(self: &Rc<Connections>, controller: usize, at: SocketAddr) {
+        let (connections, mut up) = (self.clone(), self.relays[controller].up.subscribe());
         spawn_local(async move {
             loop {
                 let relay_up = *up.borrow_and_update();
                 if relay_up {
                     tokio::select! {
-                        () = seats.talk(steward, at) => {}
+                        () = connections.check_liveness(controller, at) => {}
                         _ = up.wait_for(|up| !up) => {}
                     }
                 }
-                seats.gone(steward);
-                sleep(EVERY).await;
+                connections.mark_down(controller);
+                sleep(CHECK_EVERY).await;
             }
         });
     }
 
-    /// Returns once the steward does not answer any more.
-    async fn talk(self: &Rc<Seats>, steward: usize, at: SocketAddr) {
-        let Ok(Ok(stream)) = timeout(WITHIN, TcpStream::connect(at)).await else { return };
+    /// Returns when the controller no longer answers.
+    async fn check_liveness(self: &Rc<Connections>, controller: usize, at: SocketAddr) {
+        let Ok(Ok(stream)) = timeout(ANSWER_TIMEOUT, TcpStream::connect(at)).await else { return };
         let (reads, mut writes) = stream.into_split();
         let mut reads = BufReader::new(reads);
-        let (mut answer, mut summed) = (String::new(), Instant::now());
+        let (mut answer, mut reported) = (String::new(), Instant::now());
         loop {
             answer.clear();
             if writes.write_all(b"PING\r\n").await.is_err() {
                 return;
             }
-            match timeout(WITHIN, reads.read_line(&mut answer)).await {
-                Ok(Ok(6)) if answer == "PONG\r\n" => self.there(steward),
+            match timeout(ANSWER_TIMEOUT, reads.read_line(&mut answer)).await {
+                Ok(Ok(6)) if answer == "PONG\r\n" => self.mark_up(controller),
                 _ => return,
             }
-            if summed.elapsed() > SUMS_EVERY {
-                let lines = self.lines(steward);
-                summed = Instant::now();
-                if !matches!(timeout(WITHIN, writes.write_all(lines.as_bytes())).await, Ok(Ok(()))) {
+            if reported.elapsed() > REPORT_EVERY {
+                let lines = self.lines(controller);
+                reported = Instant::now();
+                if !matches!(timeout(ANSWER_TIMEOUT, writes.write_all(lines.as_bytes())).await, Ok(Ok(()))) {
                     return;
                 }
             }
-            sleep(EVERY).await;
+            sleep(CHECK_EVERY).await;
         }
     }
 
-    /// A collector that was not heard for a while says over what time its sums are.
-    fn lines(&self, steward: usize) -> String {
-        let sums = self.world.take_sums(steward);
-        let over = sums.since.elapsed().as_secs_f64() * 1e3;
-        let source = format!("SOURCE zone={}\r\n", self.world.zones[0]);
-        let met = sums.met.iter().map(|((zone, host), sum)| {
-            let (tries, failed) = (sum.tries, sum.voided);
-            let mean = sum.took / f64::from((tries - failed).max(1));
+    /// The reports since the last ones that were sent, with the period that they cover.
+    fn lines(&self, controller: usize) -> String {
+        let reports = self.deployment.take_reports(controller);
+        let over = reports.since.elapsed().as_secs_f64() * 1e3;
+        let source = format!("SOURCE zone={}\r\n", self.deployment.zones[0]);
+        let host_reports = reports.host_reports.iter().map(|((zone, host), totals)| {
+            let (tries, failed) = (totals.tries, totals.failed);
+            let mean = totals.took / f64::from((tries - failed).max(1));
             format!("LOAD zone={zone} server={host} tries={tries} failed={failed} mean_ms={mean:.1} span_ms={over:.1}\r\n")
         });
-        let came = sums.came.iter().map(|((proxy, product), sum)| {
-            let (tries, failed) = (sum.tries, sum.voided);
-            format!("RATE proxy={proxy} class={product} tries={tries} failed={failed} span_ms={over:.1}\r\n")
+        let proxy_reports = reports.proxy_reports.iter().map(|((proxy, class), totals)| {
+            let (tries, failed) = (totals.tries, totals.failed);
+            format!("RATE proxy={proxy} class={class} tries={tries} failed={failed} span_ms={over:.1}\r\n")
         });
-        [source].into_iter().chain(met).chain(came).collect()
+        [source].into_iter().chain(host_reports).chain(proxy_reports).collect()
     }
 
-    pub fn serves(&self, steward: usize) -> bool {
-        self.alive[steward].get()
+    pub fn is_up(&self, controller: usize) -> bool {
+        self.alive[controller].get()
     }
 
-    /// The steward answers: whoever has none joins it, if it is their own or none else serves.
-    fn there(&self, steward: usize) {
-        if !self.alive[steward].replace(true) {
-            for proxy in self.world.proxies().filter(|proxy| self.world.at(*proxy).is_none()) {
-                if usize::from(proxy) % self.first == steward {
-                    self.relays[steward].takes_in(proxy);
+    /// The controller has answered. If it was down before, the proxies assigned to it that have no controller join it.
+    fn mark_up(&self, controller: usize) {
+        if !self.alive[controller].replace(true) {
+            for proxy in self.deployment.proxies().filter(|proxy| self.deployment.at(*proxy).is_none()) {
+                if usize::from(proxy) % self.first == controller {
+                    self.relays[controller].add_proxy(proxy);
                 }
             }
         }
     }
 
-    fn gone(self: &Rc<Seats>, steward: usize) {
-        if self.alive[steward].replace(false) {
-            for proxy in self.relays[steward].members() {
-                self.moves(proxy);
+    fn mark_down(self: &Rc<Connections>, controller: usize) {
+        if self.alive[controller].replace(false) {
+            for proxy in self.relays[controller].members() {
+                self.move_proxy(proxy);
             }
         }
     }
 
-    /// A proxy leaves its steward and joins another that serves.
-    pub fn moves(self: &Rc<Seats>, proxy: u16) {
-        let before = self.world.at(proxy);
-        if let Some(steward) = before {
-            self.relays[steward].lets_go(proxy);
+    /// Makes a proxy leave its controller and join another one that is up.
+    pub fn move_proxy(self: &Rc<Connections>, proxy: u16) {
+        let before = self.deployment.at(proxy);
+        if let Some(controller) = before {
+            self.relays[controller].remove_proxy(proxy);
             self.moved.set(self.moved.get() + 1);
         }
-        let seats = self.clone();
-        let wait = self.chance.borrow_mut().random_range(MOVES.0..MOVES.1);
+        let connections = self.clone();
+        let wait = self.chance.borrow_mut().random_range(MOVE_MS.0..MOVE_MS.1);
         spawn_local(async move {
             loop {
                 sleep(Duration::from_millis(wait)).await;
-                if seats.world.at(proxy).is_some() {
+                if connections.deployment.at(proxy).is_some() {
                     return;
                 }
-                let count = seats.relays.len();
+                let count = connections.relays.len();
                 let from = before.unwrap_or(0);
-                let next = (1..=count).map(|step| (from + step) % count).find(|one| seats.serves(*one));
+                let next = (1..=count).map(|step| (from + step) % count).find(|one| connections.is_up(*one));
                 if let Some(next) = next {
-                    return seats.relays[next].takes_in(proxy);
+                    return connections.relays[next].add_proxy(proxy);
                 }
             }
         });
--- a/crates/rig/src/wire.rs
+++ b/crates/rig/src/wire.rs
@@ -1,17 +1,17 @@
-//! Orders as they stand in a call to the relay.
+//! Decodes the orders in a call to the relay.
 
 use amberarch_core::{ClassId, ClassSet, HostId, MarkId, Order, ProxyId, RetryPolicy, TableId};
 use serde_json::Value;
 
-/// What the names in orders stand for.
+/// Resolves the names in orders.
 pub trait Names {
     fn host(&self, name: &str) -> Option<HostId>;
     fn class(&self, name: &str) -> Option<ClassId>;
-    /// Whether a proxy can be bound.
+    /// Whether the proxy has joined, so that it can be bound.
     fn joined(&self, proxy: ProxyId) -> bool;
 }
 
-/// Reads an order; none: it can't be read or used.
+/// Decodes an order. `None`: it is malformed or not applicable.
 pub fn read_order(order: &Value, names: &impl Names) -> Option<Order> {
     let tbl = || match &order["table"] {
         Value::Null => Some(TableId::ALL),
