--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -869,13 +869,8 @@
                 *proxy = Proxy::new(proxy.zone, proxy.rates.clone());
             }
         }
-<<<<<<< HEAD
-        self.begun_anew = Some(self.now);
-        let none = Event::List { update: ListUpdate::Restored, entries: vec![] };
-=======
         self.restarted_at = Some(self.now);
-        let none = Event::List { update: ListUpdate::FromSnapshot, entries: vec![] };
->>>>>>> wording/r3-3
+        let none = Event::List { update: ListUpdate::Restored, entries: vec![] };
         self.fronts[0].events = vec![none];
         for (at, zone) in (0..).zip(self.proxies().iter().map(|proxy| proxy.zone).collect::<Vec<_>>()) {
             let txns_per_s = self.shape.rate() / f64::from(self.shape.proxies);
