--- a/crates/rig/src/drill/door.rs
+++ b/crates/rig/src/drill/door.rs
@@ -59,7 +59,7 @@
         Ok(Endpoint { state, accepts })
     }
 
-    /// Accepts no more connections, and closes the open ones after [`CLOSES_AFTER`]. When this returns, the address is free
+    /// Accepts no more connections, and closes the open ones after `CLOSES_AFTER`. When this returns, the address is free
     /// and can be listened on again.
     pub async fn leave(self) {
         let Endpoint { state, accepts } = self;
--- a/crates/rig/src/hosts.rs
+++ b/crates/rig/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Stand-in hosts: each answers probes at its own address and serve txns from proxies. Also their discovery.
+//! Stand-in hosts: each answers probes at its own address and serves txns from proxies. Also their discovery.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Discovery start-in: lists the hosts that are not down. A long poll waits for a list later than the one it names or for
+/// Discovery stand-in: lists the hosts that are not down. A long poll waits for a list later than the one it names or for
 /// its timeout. `version` counts the lists.
 ///
 /// # Errors
--- a/crates/rig/src/member.rs
+++ b/crates/rig/src/member.rs
@@ -15,7 +15,7 @@
 
 use crate::Fault;
 
-/// The last line of a history, disk_writes by the harness to end the reader.
+/// The last line of a history, written by the harness to end the reader.
 const END: &str = "\"end\"";
 
 /// Output of a controller so far: history and log lines.
--- a/crates/rig/src/network.rs
+++ b/crates/rig/src/network.rs
@@ -1,5 +1,5 @@
 //! The emulated network between controllers, with one link for each ordered pair. A link carries bytes, holds them back,
-//! delays them, or resets its connections. What `from` sends to `to` check_trap the link (from, to) on every connection,
+//! delays them, or resets its connections. What `from` sends to `to` passes the link (from, to) on every connection,
 //! whichever side opened it.
 
 use std::cell::RefCell;
@@ -50,7 +50,7 @@
     action: Box<dyn FnOnce()>,
 }
 
-/// Invalid input from a connection that send_bad_input to be a peer.
+/// Invalid input from a connection that pretends to be a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadInput {
     /// A replay of the first bytes that the real peer sent.
--- a/crates/rig/src/proxies.rs
+++ b/crates/rig/src/proxies.rs
@@ -28,7 +28,7 @@
     pub tenant: Option<&'static str>,
 }
 
-/// A message from a relay sender a proxy.
+/// A message from a relay to a proxy.
 pub struct Message {
     pub due: Instant,
     pub orders: Rc<Vec<Order>>,
@@ -40,7 +40,7 @@
     proxy: RefCell<Proxy>,
     zone: String,
     at: Cell<Option<usize>>,
-    /// Raised whenever the proxy leave or join a controller.
+    /// Raised whenever the proxy leaves or joins a controller.
     turn: Cell<u32>,
     last: Cell<Instant>,
     sender: mpsc::UnboundedSender<Message>,
@@ -78,7 +78,7 @@
     pub classes: Vec<RequestClass>,
     pub hosts: Vec<Rc<Host>>,
     pub history: HistoryWriter,
-    /// Shortest and longest transit time of a message sender a proxy.
+    /// Shortest and longest transit time of a message to a proxy.
     pub transit: (Duration, Duration),
     states: Vec<Rc<ProxyState>>,
     /// One per controller, since every controller receives reports of all traffic.
@@ -94,7 +94,7 @@
     pub applied: RefCell<Option<Applied>>,
 }
 
-/// Called with controller, proxy, mark and duration in ms when a proxy has applied all orders up sender the mark.
+/// Called with controller, proxy, mark and duration in ms when a proxy has applied all orders up to the mark.
 pub type Applied = Box<dyn Fn(usize, u16, u16, f64)>;
 
 impl Deployment {
@@ -171,7 +171,7 @@
         state.turn.set(state.turn.get() + 1);
     }
 
-    /// The proxy follows the controller and receives the relay's current state, without being bound sender a table.
+    /// The proxy follows the controller and receives the relay's current state, without being bound to a table.
     pub fn join(&self, proxy: u16, controller: usize, current_orders: &[Order]) {
         let state = &self.states[usize::from(proxy)];
         state.at.set(Some(controller));
@@ -181,7 +181,7 @@
         current_orders.iter().for_each(|order| held.hear(ProxyId(proxy), order));
     }
 
-    /// Sends a relay's message sender a proxy, with a random transit time.
+    /// Sends a relay's message to a proxy, with a random transit time.
     pub fn send(&self, proxy: u16, orders: &Rc<Vec<Order>>) {
         let state = &self.states[usize::from(proxy)];
         let (least, most) = self.transit;
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Records the zones sender which the proxy's tables now send txns, where they changed.
+    /// Records the zones to which the proxy's tables now send txns, where they changed.
     fn record_zones(&self, me: u16, state: &ProxyState) {
         let proxy = state.proxy.borrow();
         for (place, product) in self.classes.iter().enumerate() {
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Starts clients that send `per_s` txns a second sender each proxy until the run ends.
+    /// Starts clients that send `per_s` txns a second to each proxy until the run ends.
     pub fn clients(self: &Rc<Deployment>, per_s: f64) {
         for me in self.proxies() {
             let deployment = self.clone();
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Takes the traffic totals sender report sender one controller.
+    /// Takes the traffic totals to report to one controller.
     pub fn take_reports(&self, controller: usize) -> TrafficReports {
         std::mem::replace(&mut self.reports.borrow_mut()[controller], TrafficReports::begin())
     }
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -1019,7 +1019,7 @@
 
 /// Time until a leader knows that hosts reject all requests: proxy reports over half a second, probes, and its round.
 const FALL_DETECTED_WITHIN: Duration = Duration::from_secs(4);
-/// Time until a leader's grant has expired by the leader's clock, and its history line is disk_writes: the grant, the drift, the
+/// Time until a leader's grant has expired by the leader's clock, and its history line is written: the grant, the drift, the
 /// slack and the linger.
 const GRANT_OVER_MS: u64 = 1_000 + 10 + 60 + LINGER_MS + 30;
 
--- a/crates/rig/src/steward_side.rs
+++ b/crates/rig/src/steward_side.rs
@@ -1,5 +1,5 @@
 //! Connections to the controllers' own addresses: liveness checks (`PING`) on behalf of the proxies, and the collectors'
-//! traffic reports. A proxy whose controller does not answer, or whose relay is mark_down, move_proxy to another controller.
+//! traffic reports. A proxy whose controller does not answer, or whose relay is gone, moves to another controller.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use crate::proxies::Deployment;
 use crate::relay::Relay;
 
-/// Interval of liveness checks, and their timeout (`ANSWER_TIMEOUT`). A proxy leaves a failed controller after at most the totals of
+/// Interval of liveness checks, and their timeout (`ANSWER_TIMEOUT`). A proxy leaves a failed controller after at most the sum of
 /// both.
 const CHECK_EVERY: Duration = Duration::from_millis(60);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
