--- a/crates/lab/src/accord.rs
+++ b/crates/lab/src/accord.rs
@@ -1,5 +1,5 @@
-//! The agreement on one revision, in virtual time: how long a change takes, what the fleet says at rest, and storms
-//! by seed that are judged at each step. The replay of a long log alone is timed on this machine.
+//! Consensus on one revision, in virtual time: how long a change takes, the message rate at rest, and randomized faults
+//! by seed that are checked at each step. Only the replay of a long log is timed on this machine.
 
 use std::sync::{Mutex, PoisonError};
 use std::thread;
@@ -14,22 +14,22 @@
 use crate::chart::{keep, Series};
 use crate::{close, Bound, Fault, How};
 
-/// Voters and followers.
+/// Numbers of voters and followers.
 const FLEETS: [(usize, usize); 4] = [(3, 0), (5, 0), (3, 47), (3, 497)];
-/// What an operator waits for without looking away. ms.
+/// The longest wait for a change that an operator accepts without turning to something else, ms.
 const MOST_ALL_UP: f64 = 1_000.0;
-/// Over the lease and the linger of the one that is down. ms.
+/// Longest change beyond the lease and the linger of the controller that is down, ms.
 const MOST_OVER: f64 = 1_000.0;
 const REVISIONS: u64 = 100_000;
-/// So many of the small worlds in a quick run; in full all of them.
+/// Number of exhaustive explorations in a quick run; a full run does all of them.
 const SMALL_QUICK: usize = 3;
-/// A small world that is to be whole has fewer states than this: the largest 664,902.
+/// An exploration that has to be complete has fewer states than this; the largest has 664,902.
 const MOST_STATES: usize = 1_000_000;
-/// s, for all the small worlds, also where others use the machine: the whole run is to end within a quarter of an hour.
+/// Time limit for all explorations, s, also on a shared machine: the whole run has to end within a quarter of an hour.
 const MOST_EXPLORING: f64 = 600.0;
-/// Four at once, as the machines have that this is meant for.
+/// Number of explorations at once: the machines that this is meant for have four cores.
 const HANDS: usize = 4;
-/// A start that takes longer would be felt as a steward that is down. ms.
+/// A longer start would have the effect of a controller that is down, ms.
 const MOST_REPLAY: f64 = 5_000.0;
 
 #[derive(Serialize)]
@@ -37,7 +37,7 @@
     voters: usize,
     followers: usize,
     down: &'static str,
-    /// How long a lease says what may hold.
+    /// How long a lease states what may be in force.
     knows_ms: f64,
     changes: u64,
     p50_ms: f64,
@@ -49,7 +49,7 @@
 struct Says {
     voters: usize,
     followers: usize,
-    /// Messages and bytes a second.
+    /// Messages and bytes per second.
     chair: (f64, f64),
     voter: (f64, f64),
     follower: (f64, f64),
@@ -61,7 +61,7 @@
     entries: usize,
     read_ms: f64,
     stands_ms: f64,
-    /// What is sent to a voter that has nothing of it, and the log's own size.
+    /// Bytes sent to a voter that has none of the log, and the size of the log itself.
     base_bytes: usize,
     log_bytes: usize,
 }
@@ -75,9 +75,9 @@
     unsure: u64,
     faults: u64,
     breaches: u64,
-    /// Did not come to one stage within the bound once all faults had ended.
+    /// Runs that did not converge on one stage within the bound after all faults had ended.
     unended: u64,
-    /// A seed that shows it, where anything failed.
+    /// A seed that reproduces a failure, if there was one.
     failing: Option<u64>,
 }
 
@@ -94,7 +94,7 @@
 ) -> Result<Change, Fault> {
     let mut shape = Shape::of(voters, followers);
     shape.length.knows = knows_ms;
-    // In tenths of a ms, up to a minute: what does not fit would be cut to the largest that does.
+    // In tenths of a ms, up to a minute; a longer time would be cut to that.
     let mut all =
         Histogram::<u64>::new_with_bounds(1, 600_000, 3).map_err(|why| Fault::Other(why.to_string()))?;
     changes(seed, shape, down, count)
@@ -167,9 +167,9 @@
     }
 }
 
-/// Each hand takes each so-many-th seed, so that sizes are spread over all of them.
+/// Each thread takes every n-th seed, with n the number of threads, so that all threads get all sizes.
 fn storms(from: u64, count: u64) -> Result<Storms, Fault> {
-    // Sizes go by turns of four: an odd number of hands gives each hand every size.
+    // Sizes repeat every four seeds: an odd number of threads gives each thread every size.
     let hands = thread::available_parallelism().map_or(1, usize::from) | 1;
     thread::scope(|scope| {
         let work =
@@ -186,16 +186,16 @@
 struct Explored {
     what: &'static str,
     states: usize,
-    /// Choices to the last state.
+    /// Number of choices that lead to the deepest state.
     depth: usize,
     whole: bool,
-    /// So many states are looked at; none: it is to be whole.
+    /// Limit on the states that are explored; with none the exploration has to be complete.
     most: Option<usize>,
     breach: bool,
     s: f64,
 }
 
-/// And how long all of them took, in s.
+/// Runs the exhaustive explorations; returns them and the time that all of them took, s.
 fn small_worlds(quick: bool) -> Result<(Vec<Explored>, f64), Fault> {
     let (begun, _) = begin(None).map_err(late)?;
     let began = Instant::now();
--- a/crates/lab/src/chart.rs
+++ b/crates/lab/src/chart.rs
@@ -1,4 +1,4 @@
-//! A table and a chart of lines over time.
+//! Writes series over time as a table (CSV) and a line chart (SVG).
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
     pub points: Vec<(f64, f64)>,
 }
 
-/// Leaves `name.csv` and `name.svg` in the folder.
+/// Writes `name.csv` and `name.svg` into the folder.
 pub fn keep(
     dir: &Path,
     name: &str,
@@ -21,7 +21,8 @@
     up: &str,
     series: &[Series],
 ) -> Result<(), Fault> {
-    fs::create_dir_all(dir).map_err(|why| Fault::Io("the folder for tables and charts", why))?;
+    fs::create_dir_all(dir)
+        .map_err(|why| Fault::Io("cannot create the folder for tables and charts", why))?;
     let mut table = csv::Writer::from_path(dir.join(format!("{name}.csv")))?;
     table.write_record(["series", across, up])?;
     for Series { name, points } in series {
@@ -29,7 +30,7 @@
             table.write_record([name.as_str(), &format!("{x:.3}"), &format!("{y:.5}")])?;
         }
     }
-    table.flush().map_err(|why| Fault::Io("a table", why))?;
+    table.flush().map_err(|why| Fault::Io("cannot write the table", why))?;
     let path = dir.join(format!("{name}.svg"));
     draw(&path, title, across, up, series).map_err(|why| Fault::Chart(why.to_string()))
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Days of five stewards that each know a part, beside one that sees all: each fault of a fleet, and two at once. The
-//! rules are looked at from outside for the fleet as a whole. All simulated.
+//! Simulated days of five controllers that each have a partial view, compared with one controller that has the full
+//! view: each single fault of a fleet, and two at once. The rules are checked from outside, for the fleet as a whole.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -52,7 +52,7 @@
     Failing,
 ];
 
-/// What calls, sums and processes do to a fleet, and all stewards at the same moment.
+/// Faults of calls, traffic reports and processes, and all controllers acting at the same moment.
 const FURTHER: [Kind; 4] = [CallsUnsure, SumsLate, StewardsStand, AllAtOnce];
 
 impl Kind {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// What goes wrong, by the draw; `one`: nothing that befalls stewards, as the one that sees all stays.
+    /// The faults of this kind of day for a draw. With `one` there are no faults of controllers, since the one with the
+    /// full view has to stay up.
     fn faults(self, shape: &Shape, draw: u64, one: bool) -> Vec<Gone> {
         let fault =
             |from: f64, lasts: f64, what| Gone { from: FROM + from, until: FROM + from + lasts, what };
@@ -134,7 +135,7 @@
                 let still = Some(still).filter(|_| !one);
                 [release(20_000.0)].into_iter().chain(still).collect()
             }
-            // All ask, bind and let the zone in at the same moment.
+            // All controllers query, bind and admit the zone at the same moment.
             AllAtOnce => {
                 let zone = u32::from(place);
                 let cold =
@@ -144,7 +145,7 @@
             }
             TwoAtOnce => {
                 let (first, second) = (draw as usize % 10, (draw as usize * 3 + 1) % 10);
-                // Two that befall stewards could leave none.
+                // Two faults that hit controllers could leave none running.
                 let second = if first == second || first < 3 && second < 3 { first + 3 } else { second };
                 let mut both = SINGLE[first].faults(shape, draw, one);
                 both.extend(SINGLE[second].faults(shape, draw, one));
@@ -156,7 +157,7 @@
 
 fn shape(zones: u16, hosts: u32, proxies: u16) -> Shape {
     let mut shape = Shape { zones, hosts, proxies, lasts: LASTS, ..Shape::usual() };
-    // A round of sums of a steward takes four seconds and more.
+    // One round of a controller's traffic reports takes at least four seconds at this rate.
     shape.sums.max_lines_per_s = 0.125 * f64::from(proxies);
     shape
 }
@@ -174,17 +175,17 @@
     day: &'static str,
     service: f64,
     service_worst: f64,
-    /// Of the first draws, with five and with the one that sees all.
+    /// Service over the first draws only, with five controllers and with the one that has the full view.
     service_beside: f64,
     service_one_sees_all: f64,
-    /// Days on which a rule broke, and breaks, each counted once by steward, proxy and host.
+    /// Days on which a rule was broken, and violations, each counted once per controller, proxy and host.
     days_with_a_break: usize,
     bare: usize,
     twice: usize,
     drains: usize,
     pushed_over: usize,
     queue: usize,
-    /// The same with one that sees all.
+    /// Violations with the one controller that has the full view.
     breaks_one_sees_all: usize,
     settled_s_median: Option<f64>,
     settled_s_worst: Option<f64>,
@@ -193,7 +194,7 @@
     calls: f64,
     probes_host_second: f64,
     probes_worst: u32,
-    /// A steward and day; and the most that waited, as a part of the backlog.
+    /// Lines per controller and day, and the longest queue as a fraction of the backlog.
     lines: f64,
     lines_worst_steward: f64,
     waiting_worst: f64,
@@ -202,10 +203,10 @@
     bound_ms_p50: Option<f64>,
     bound_ms_p99: Option<f64>,
     never_bound: usize,
-    /// The most that a cold host was offered, times what it could do; those that were pushed over and ended.
+    /// The highest load offered to a cold host, as a multiple of its capacity, and the hosts that overload ended.
     cold_most: f64,
     fallen: u32,
-    /// Calls to relays without an answer.
+    /// Calls to relays that got no answer.
     unsure: f64,
     first_break: Option<String>,
 }
@@ -217,7 +218,7 @@
     hosts: u32,
     txns: u64,
     decisions: u64,
-    /// Of this machine, whatever else it did.
+    /// Wall time on this machine, including the effect of other work on it.
     wall_s_of_a_minute: f64,
     service: f64,
     service_one_sees_all: Option<f64>,
@@ -290,9 +291,9 @@
     }
 }
 
-/// One day with a death in it and a tenth of the hosts replaced, at that size.
+/// One day of the given size in which a controller is lost and a tenth of the hosts are replaced.
 fn size(stewards: u16, proxies: u16, hosts: u32, seed: u64, beside: bool) -> Size {
-    // So few txns a proxy that it is the stewards' work that grows.
+    // The txns per proxy are kept low, so that the controllers' work dominates as the size grows.
     let use_of_cores = (0.55 * 120.0 / f64::from(hosts)).min(0.55);
     let shape = Shape { use_of_cores, lasts: 40_000.0, ..shape(stewards.max(2), hosts, proxies) };
     let replaced = (0..hosts).filter(|host| host % 10 == 3).collect();
@@ -346,7 +347,7 @@
     let jobs: Vec<(Kind, bool, u64)> = kinds
         .iter()
         .flat_map(|kind| (0..draws).flat_map(move |draw| [(*kind, false, draw), (*kind, true, draw)]))
-        // The one that sees all plays the first of the draws: what it shows differs little from draw to draw.
+        // The controller with the full view plays only the first draws: its results differ little between draws.
         .filter(|(_, one, draw)| !one || *draw < ONES)
         .collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
@@ -431,10 +432,10 @@
         keep(dir, "fleet", title, "s of the day", "service", &series.collect::<Vec<_>>())?;
         let mut table = csv::Writer::from_path(dir.join("fleet-days.csv"))?;
         rows.iter().try_for_each(|row| table.serialize(row))?;
-        table.flush().map_err(|why| Fault::Io("a table", why))?;
+        table.flush().map_err(|why| Fault::Io("cannot write the table", why))?;
         let mut table = csv::Writer::from_path(dir.join("fleet-sizes.csv"))?;
         sizes.iter().try_for_each(|row| table.serialize(row))?;
-        table.flush().map_err(|why| Fault::Io("a table", why))?;
+        table.flush().map_err(|why| Fault::Io("cannot write the table", why))?;
     }
     close(how, serde_json::json!({"days": rows, "sizes": sizes}), &bounds)
 }
--- a/crates/lab/src/guard.rs
+++ b/crates/lab/src/guard.rs
@@ -1,5 +1,5 @@
-//! What the table guard says of batches beside brute force, what it costs, and what it holds back on days of the
-//! emulator, with decisions as they are and with a fault put into them.
+//! Compares the table guard's verdicts on batches with brute force, and measures its cost and what it holds back on
+//! emulated days, with unmodified decisions and with faults injected into them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -19,7 +19,7 @@
 use crate::chart::{keep, Series};
 use crate::{close, Bound, Fault, How};
 
-/// Aims of the issue.
+/// Targets that the issue sets.
 const BATCH_MS: f64 = 1.0;
 const FALSELY_REFUSED: f64 = 0.01;
 const LOST: f64 = 0.002;
@@ -28,7 +28,7 @@
 struct Words {
     fleets: u64,
     judged: u64,
-    /// By brute force.
+    /// Found by brute force.
     wrong: u64,
     falsely_accepted: u64,
     falsely_refused: u64,
@@ -53,7 +53,7 @@
     Small { hosts, proxies, at_home: chance.random_range(0..4), steps, late: None }
 }
 
-/// All proxies are bound at first and answer; then one falls silent.
+/// All proxies are bound at first and answer; then one stops answering.
 fn late(chance: &mut StdRng) -> Small {
     let small = small(chance);
     let lines: Vec<Order> = (0..chance.random_range(2..6))
@@ -117,7 +117,7 @@
     }
 }
 
-/// Fleets by seed over four threads, until so many batches were judged.
+/// Runs fleets by seed on four threads until the given number of batches has been judged.
 fn words(seed: u64, most: u64, draw: fn(&mut StdRng) -> Small) -> Words {
     let open = Facts {
         channel: Channel { max_backlog: 1e9, max_messages: 0, ..facts(&Shape::usual()).channel },
@@ -145,8 +145,9 @@
     Words { fleets, judged, wrong, falsely_accepted, falsely_refused, mended, falsely_mended, refused, late }
 }
 
-/// Every zone, product and host that is left alone, in fleets of two to four zones: it has to stay, however it would go,
-/// and may go once another serves. Cases, and those that were judged otherwise.
+/// Tries every zone, request class and last remaining host in fleets of two to four zones: the host has to stay in
+/// service whichever way it would be removed, and may be removed once another host serves. Returns the number of cases
+/// and of those that were judged otherwise.
 fn single_hosts() -> (u32, u32) {
     let (mut cases, mut otherwise) = (0, 0);
     for zones in 2..=4u16 {
@@ -155,7 +156,7 @@
         for (home, product, left) in
             (0..zones).flat_map(|z| (0..3u16).flat_map(move |p| (0..hosts).map(move |h| (z, p, h))))
         {
-            // The third product stays at home.
+            // The third request class stays at home.
             let serves = |host: u32| product < 2 || zone_of(host) == home;
             if !serves(left) {
                 continue;
@@ -276,7 +277,7 @@
     }
 }
 
-/// What the process holds, in bytes.
+/// Resident memory of this process, in bytes.
 fn bytes_a_proxy() -> f64 {
     let resident = || {
         let pages = std::fs::read_to_string("/proc/self/statm").ok();
@@ -292,8 +293,8 @@
     ((most - least) - (least - start)) / 9_900.0
 }
 
-/// What proxies really hold, one transit after it was ordered, and which rules that breaks: told by what the emulator
-/// knows and no decision does.
+/// The actual state of the proxies, one transit after each order, and the rules that it breaks, derived from what the
+/// emulator knows and the decisions don't.
 struct Truth {
     shape: Shape,
     faults: Vec<Gone>,
@@ -306,18 +307,19 @@
     uses: BTreeMap<(ProxyId, ClassId), TableId>,
     looked: f64,
     over_since: BTreeMap<HostId, f64>,
-    /// Proxies and products that are bare now, and whether an order that came to them made them so.
+    /// Proxies and request classes without a usable host now, and whether an order caused it.
     bare: BTreeMap<(ProxyId, ClassId), bool>,
     seen: Broken,
 }
 
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct Broken {
-    /// Proxies and products in a table in which nothing is open, while a warm host that answers is: seconds of them.
+    /// Seconds, summed over proxies and request classes, with a table that has no usable host while a warm host that
+    /// answers exists.
     bare_s: f64,
-    /// Of them those that an order made so, and not a host that ended.
+    /// The part of these seconds that an order caused, and not a host that ended.
     ordered_s: f64,
-    /// Cold hosts that got more than they survive for longer than they survive it.
+    /// Cold hosts whose load was above what they survive, for longer than they survive it.
     pushed: u32,
 }
 
@@ -366,34 +368,39 @@
             Order::Bind { proxy, table, classes } => {
                 let of = (0..self.shape.products.len() as u16).map(ClassId);
                 let of = of.filter(|id| *classes == ClassSet::ALL || classes.0 & ClassSet::one(*id).0 != 0);
-                self.uses.extend(of.map(|product| ((*proxy, product), *table)));
+                self.uses.extend(of.map(|class| ((*proxy, class), *table)));
             }
             _ => {}
         }
     }
 
-    /// Who is bare now; of those who are it newly, whether orders did it.
+    /// Finds the proxies and request classes without a usable host now; for new ones records whether orders caused it.
     fn find_bare(&mut self, now: f64, ordered: bool) {
         let warmup = self.shape.warmup.clone();
         let on = |listed: &&HostEntry| listed.availability == Availability::InService;
-        let warm = |listed: &HostEntry| listed.started_at.is_none_or(|born| now >= born + warmup.duration);
+        let warm = |listed: &HostEntry| {
+            listed.started_at.is_none_or(|started_at| now >= started_at + warmup.duration)
+        };
         let ready = self.hosts.values().filter(on).any(|listed| {
             warm(listed) && !self.out.contains(&listed.host) && !self.failing.contains(&listed.host)
         });
         let serves = |host: &HostId| !self.out.contains(host) && !self.failing.contains(host);
-        let bare =
-            |tbl: &TableId| ready && !self.lines.get(tbl).into_iter().flatten().any(|line| serves(line.0));
+        let bare = |table: &TableId| {
+            ready && !self.lines.get(table).into_iter().flatten().any(|line| serves(line.0))
+        };
         let of = self.uses.iter().filter(|used| bare(used.1)).map(|used| *used.0);
         let before = |who: &(ProxyId, ClassId)| self.bare.get(who).copied().unwrap_or(ordered);
         self.bare = of.map(|who| (who, before(&who))).collect();
     }
 
-    /// What has been so since the last look.
+    /// Adds up the violations since the last check.
     fn look(&mut self, now: f64) {
         let since = std::mem::replace(&mut self.looked, now);
         let warmup = self.shape.warmup.clone();
         let on = |listed: &&HostEntry| listed.availability == Availability::InService;
-        let warm = |listed: &HostEntry| listed.started_at.is_none_or(|born| now >= born + warmup.duration);
+        let warm = |listed: &HostEntry| {
+            listed.started_at.is_none_or(|started_at| now >= started_at + warmup.duration)
+        };
         let times: f64 = self
             .faults
             .iter()
@@ -405,9 +412,9 @@
         let each = 1_000.0 * cores / work;
         let proxy = each * hosts * self.shape.use_of_cores * times / f64::from(self.shape.proxies);
         let mut load = BTreeMap::<HostId, f64>::new();
-        for ((_, product), tbl) in &self.uses {
-            let rate = proxy * self.shape.products[usize::from(product.0)].1;
-            let lines = self.lines.get(tbl).into_iter().flatten();
+        for ((_, class), table) in &self.uses {
+            let rate = proxy * self.shape.products[usize::from(class.0)].1;
+            let lines = self.lines.get(table).into_iter().flatten();
             let open: Vec<(&HostId, &f64)> = lines.filter(|line| !self.out.contains(line.0)).collect();
             let sum: f64 = open.iter().map(|line| line.1).sum();
             open.iter().for_each(|(host, weight)| *load.entry(**host).or_default() += rate * **weight / sum);
@@ -424,7 +431,7 @@
             }
             let over = self.over_since.entry(listed.host).or_insert(now);
             if *over >= 0.0 && now >= *over + warmup.failure_after {
-                // Once for each time that it goes over.
+                // Counted once for each time that the load exceeds the limit.
                 *over = f64::MIN;
                 self.seen.pushed += 1;
             }
@@ -432,7 +439,7 @@
     }
 }
 
-/// Decisions whose orders are looked at as they come to the proxies.
+/// Decisions whose orders are checked as they reach the proxies.
 struct Seen {
     inner: Box<dyn Decide>,
     truth: Rc<RefCell<Truth>>,
@@ -456,13 +463,13 @@
     }
 }
 
-/// A fault put into the decisions.
+/// A fault injected into the decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 enum Seeded {
     None,
-    /// The line is gone by which nobody is moved before something serves: lines come half a second late.
+    /// The rule that nobody is moved before a host serves is disabled: lines arrive half a second late.
     BindsFirst,
-    /// Hosts that have just started get six times the weight that they should.
+    /// Hosts that have just started get six times their proper weight.
     Heavy,
 }
 
@@ -470,14 +477,15 @@
     inner: Box<dyn Decide>,
     how: Seeded,
     late: VecDeque<(f64, Vec<Order>)>,
-    born: BTreeMap<HostId, f64>,
+    started_at: BTreeMap<HostId, f64>,
 }
 
 impl Decide for Spoilt {
     fn decide(&mut self, now: f64, events: &[Event]) -> Vec<Order> {
         for event in events {
             if let Event::List { entries, .. } = event {
-                self.born.extend(entries.iter().filter_map(|entry| Some((entry.host, entry.started_at?))));
+                self.started_at
+                    .extend(entries.iter().filter_map(|entry| Some((entry.host, entry.started_at?))));
             }
         }
         let mut orders = self.inner.decide(now, events);
@@ -495,7 +503,8 @@
             Seeded::Heavy => {
                 for order in &mut orders {
                     if let Order::SetEntry { host, weight, .. } = order {
-                        let fresh = self.born.get(host).is_some_and(|born| now < born + 15_000.0);
+                        let fresh =
+                            self.started_at.get(host).is_some_and(|started_at| now < started_at + 15_000.0);
                         *weight *= if fresh { 6.0 } else { 1.0 };
                     }
                 }
@@ -511,7 +520,7 @@
     seeded: Seeded,
     service: [f64; 3],
     broken: [Broken; 3],
-    /// What watch would have held back, and what enforce did.
+    /// What `watch` would have held back, and what `enforce` did hold back.
     watched: [u64; 4],
     held_back: [u64; 4],
     batches: u64,
@@ -545,7 +554,7 @@
     let truth = Rc::new(RefCell::new(Truth::new(&shape, faults)));
     let (inside, seen) = (door.clone(), truth.clone());
     let world = World::new(shape, faults.to_vec(), Reports::Off, seed).behind(|inner| {
-        let spoilt = Spoilt { inner, how: seeded, late: VecDeque::new(), born: BTreeMap::new() };
+        let spoilt = Spoilt { inner, how: seeded, late: VecDeque::new(), started_at: BTreeMap::new() };
         Box::new(Seen { inner: Box::new(Guarded::new(spoilt, inside)), truth: seen })
     });
     let day = world.play();
--- a/crates/lab/src/histories.rs
+++ b/crates/lab/src/histories.rs
@@ -1,5 +1,6 @@
-//! A history of a million events, made up, read from files and judged: rate and memory. Faults planted in others and
-//! found, alarms that good ones raise, and the sweep over holds beside the plain check of each pair.
+//! Generates a history of a million events, reads it from files and checks it: rate and memory. Also counts the planted
+//! faults that are found and the alarms on good histories, and compares the sweep over holds with the plain check of
+//! each pair.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -17,9 +18,9 @@
 use crate::{close, Bound, Fault, How};
 
 const SIZES: [usize; 3] = [10_000, 100_000, 1_000_000];
-/// What a run of the rig writes in ten minutes must be judged while one waits for it.
+/// The history that a ten-minute run of the fault-injection harness writes must be checked while someone waits.
 const LEAST_RATE: f64 = 100_000.0;
-/// What a machine of the CI has to spare for a judge. MB.
+/// Memory that a CI machine can spare for the history checker, MB.
 const MOST_MB: f64 = 256.0;
 const SPOILT: usize = 40_000;
 const HELD: [usize; 4] = [2_000, 4_000, 8_000, 16_000];
@@ -29,12 +30,12 @@
 struct Size {
     events: usize,
     bytes: u64,
-    /// Events a second: read and judged, only read, only judged.
+    /// Events per second: read and checked, only read, only checked.
     per_s: f64,
     read_per_s: f64,
     judged_per_s: f64,
     peak_mb: f64,
-    /// Of it, what the judge brought.
+    /// The part of it that the history checker added.
     rise_mb: f64,
     violations: u64,
 }
@@ -52,21 +53,21 @@
     found: u64,
 }
 
-/// Histories of one run, of which each process has its own.
+/// History files of one run, one for each process.
 #[derive(Args)]
 pub struct Files {
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// From the end of faults until all stewards hold the same, ms.
+    /// Bound on the time from the end of the faults until all controllers hold the same, ms.
     #[arg(long, default_value_t = Bounds::default().everywhere)]
     everywhere: f64,
-    /// From a proxy's choice of a host until the host begins to serve, ms.
+    /// Bound on the time from a proxy's choice of a host until the host begins to serve, ms.
     #[arg(long, default_value_t = Bounds::default().transit)]
     transit: f64,
-    /// The longest time that a client waits, ms.
+    /// Bound on the time that a client waits for an answer, ms.
     #[arg(long, default_value_t = Bounds::default().answer)]
     answer: f64,
-    /// The report as one JSON object.
+    /// Prints the report as one JSON object.
     #[arg(long)]
     json: bool,
 }
@@ -75,7 +76,7 @@
     Fault::Other(format!("{why}; {}", why.advice()))
 }
 
-/// Shows what the checks find; true where they find nothing.
+/// Prints what the checks find. Returns true if they find nothing.
 pub fn judge_left(of: &Files) -> Result<bool, Fault> {
     let Files { everywhere, transit, answer, .. } = *of;
     let bounds = Bounds { everywhere, transit, answer, ..Bounds::default() };
@@ -91,7 +92,7 @@
     move |why| Fault::Io(what, why)
 }
 
-/// One file for each writer, as processes and stand-ins leave them.
+/// Writes one file for each writer, as processes and stand-ins do.
 fn write(dir: &Path, seed: u64, events: usize) -> Result<(Vec<PathBuf>, u64), Fault> {
     let mut files: BTreeMap<String, BufWriter<File>> = BTreeMap::new();
     let mut bytes = 0;
@@ -113,7 +114,7 @@
     Ok((paths, bytes))
 }
 
-/// A line of this process's memory, MB.
+/// A value from this process's memory status, MB.
 fn memory(of: &str) -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix(of));
@@ -124,7 +125,7 @@
 fn size(seed: u64, events: usize) -> Result<Size, Fault> {
     let dir = tempfile::tempdir().map_err(io("a folder for histories"))?;
     let (paths, bytes) = write(dir.path(), seed, events)?;
-    // proc(5): 5 sets the peak back to what is in use.
+    // proc(5): writing 5 resets the peak to the current use.
     fs::write("/proc/self/clear_refs", "5").map_err(io("the peak of memory"))?;
     let before = memory("VmRSS");
     let began = Instant::now();
@@ -154,7 +155,7 @@
     })
 }
 
-/// What was planted in the history of that seed and found, and what the good one raises.
+/// The faults planted in the history of the seed and those found, and the alarms that the good history raises.
 fn spoil(seed: u64) -> (BTreeMap<&'static str, Planted>, u64) {
     let good: Vec<Line> = Made::new(seed, SPOILT).collect();
     let report = judge(good.iter().cloned(), &Made::bounds());
--- a/crates/lab/src/intake.rs
+++ b/crates/lab/src/intake.rs
@@ -1,4 +1,4 @@
-//! One daemon beside stand-in reporters of 5,000 hosts: what it takes in, with how much of a core and of memory.
+//! One daemon with stand-in reporters of 5,000 hosts: its intake rate, and the processor time and memory it needs.
 
 use std::path::Path;
 use std::process::Command;
@@ -14,7 +14,7 @@
 const HOSTS: usize = 5_000;
 const REPORTERS: usize = 250;
 const CONNECTIONS: usize = 50;
-/// The aim is 50,000 a second; paces go by quarter octaves, and the next below 50,000 would fall short of it.
+/// The target is 50,000 per second; report rates come in quarter octaves, and the next one below 50,000 would miss it.
 const BUDGET: u32 = 56_000;
 const AIM: f64 = 50_000.0;
 
@@ -26,7 +26,7 @@
     seconds: f64,
     reports_per_s: f64,
     taken_per_s: f64,
-    /// Of one core, with the intake and, beside it, with the same list and no intake.
+    /// Processor time as a fraction of one core, with the intake and, for comparison, with the same list and no intake.
     cores: f64,
     cores_without: f64,
     reporters_cores: f64,
@@ -40,7 +40,7 @@
 }
 
 pub fn run(how: &How) -> Result<bool, Fault> {
-    let dir = tempfile::tempdir().map_err(|why| Fault::Io("a folder", why))?;
+    let dir = tempfile::tempdir().map_err(|why| Fault::Io("cannot create a folder", why))?;
     let (settle, lasts) = if how.quick { (12.0, 18.0) } else { (120.0, 480.0) };
     let (cores_without, resident_kib_without) = without(dir.path())?;
     let port = free_port()?;
@@ -111,7 +111,7 @@
     close(how, figures, &bounds)
 }
 
-/// The same daemon and list with the intake off.
+/// Measures the same daemon and list with the intake off.
 fn without(dir: &Path) -> Result<(f64, f64), Fault> {
     let steward = daemon(dir, "without", HOSTS, "")?;
     sleep(Duration::from_secs(2));
--- a/crates/lab/src/intake_error.rs
+++ b/crates/lab/src/intake_error.rs
@@ -1,4 +1,4 @@
-//! The same days with full, sampled and no reports: how far the tables are apart, and what service they give.
+//! The same days with full, sampled and no reports: how far the tables differ, and the service they give.
 
 use amberarch_core::ZoneId;
 use amberarch_emulator::{apart, Day, Fault as Gone, Reports, Shape, Trouble, World};
@@ -7,10 +7,10 @@
 use crate::chart::{keep, Series};
 use crate::{close, Bound, Fault, How};
 
-/// Reports a second of each host: a tenth of these is what sampling leaves.
+/// Reports per second from each host; sampling keeps a tenth of them.
 const FULL: f64 = 10.0;
 const SAMPLED: f64 = 1.0;
-/// The issue's aim: of the traffic, over time and hosts.
+/// The target that the issue sets: a fraction of the traffic, over time and hosts.
 const AIM: f64 = 0.02;
 
 #[derive(Serialize)]
@@ -18,11 +18,11 @@
     day: &'static str,
     reports_full: u64,
     reports_sampled: u64,
-    /// The part of the traffic that tables deal otherwise than with full intake where both see the same day.
+    /// The fraction of the traffic that tables assign otherwise than with full intake, where both see the same day.
     decided_sampled: f64,
     decided_none: f64,
-    /// The same where each steers a day of its own, and the mean of two days of full intake that chance alone
-    /// tells apart.
+    /// The same where each steers its own day, and the mean of two days of full intake that differ only in the random
+    /// draws.
     played_sampled: f64,
     played_none: f64,
     played_by_chance: f64,
@@ -55,7 +55,7 @@
     ]
 }
 
-/// The same day four times: full intake with the others beside it, sampled, none, and full by other chances.
+/// The same day four times: full intake with the others beside it, sampled, none, and full with other random draws.
 fn play(faults: &[Gone], seed: u64) -> [Day; 4] {
     let (full, sampled) = (Reports::On { each: FULL }, Reports::On { each: SAMPLED });
     let world = |reports| World::new(Shape::usual(), faults.to_vec(), reports, seed);
--- a/crates/lab/src/levels.rs
+++ b/crates/lab/src/levels.rs
@@ -1,4 +1,4 @@
-//! Election nights on the emulator: no levels, the module's own, and named levels beside each other.
+//! Election nights on the emulator: compares no levels, the module's own levels and named levels.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::chart::{keep, Series};
 use crate::{close, Bound, Fault, How};
 
-/// The night's trouble begins here and ends after that long, ms.
+/// Start and duration of the night's fault, ms.
 const BEGINS: f64 = 40_000.0;
 const LASTS: f64 = 80_000.0;
-/// The highest figures of the aims.
+/// The strictest figures of the targets.
 const SUBMITS: f64 = 0.99;
 const LESS: f64 = 0.01;
 const ENTER_WITHIN: f64 = 5_000.0;
@@ -62,9 +62,9 @@
 struct Night {
     name: &'static str,
     faults: Vec<Gone>,
-    /// All that comes can be served but for what may be shed: submits must be.
+    /// All traffic except what may be shed can be served, so submits must be.
     covered: bool,
-    /// A step of load that is to be answered and to end.
+    /// A step of load that has to raise the level and, after its end, to lower it again.
     step: bool,
 }
 
@@ -124,21 +124,21 @@
 #[derive(Serialize)]
 struct Row {
     night: &'static str,
-    /// Of what could be earned.
+    /// Fraction of the value that could be earned.
     service_none: f64,
     service_own: f64,
     service_named: f64,
-    /// Submits' revenue earned in time in the worst ten seconds, and overall.
+    /// Fraction of the submits' value earned in time, in the worst ten seconds and overall.
     submits_none: f64,
     submits_own: f64,
     submits_named: f64,
     submits_named_worst: f64,
-    /// The same without the twenty seconds from each beginning and end of a trouble on.
+    /// The same without the twenty seconds after each beginning and end of a fault.
     submits_named_settled: f64,
-    /// The part of the ten seconds in which 99 % of it was earned.
+    /// The fraction of the ten-second windows in which 99 % of it was earned.
     submits_named_held: f64,
     changes: usize,
-    /// The least time between two changes, s; none with under two.
+    /// The shortest time between two changes, s; none with fewer than two changes.
     closest_s: Option<f64>,
     entered_after_s: Option<f64>,
     full_after_s: Option<f64>,
@@ -157,7 +157,8 @@
     })
 }
 
-/// The part of the submits' revenue that was earned in each ten seconds, but for the last ones, which the end cuts.
+/// The fraction of the submits' value that was earned in each ten seconds, without the last windows, which the end of
+/// the day cuts short.
 fn submits(day: &Day) -> Vec<f64> {
     let whole = day.windows.len().saturating_sub(2);
     let part = |window: &Vec<amberarch_emulator::Window>| window[2].earned / window[2].offered.max(1e-9);
@@ -168,7 +169,7 @@
     of.iter().sum::<f64>() / (of.len() as f64).max(1.0)
 }
 
-/// When which level was taken up, by the log, and whether by an emergency.
+/// The level changes that the log shows: when, to which level, and whether by an emergency.
 fn taken_up(day: &Day) -> Vec<(f64, String, bool)> {
     let to = |text: &str| -> Option<String> {
         let rest = text.strip_prefix("level from=")?.split(" to=").nth(1)?;
@@ -187,12 +188,12 @@
     proxies: u16,
     level_lines: u64,
     most_in_a_reply: u64,
-    /// What the channel of the emulated site may hold, in lines.
+    /// Capacity of the emulated site's channel, in lines.
     backlog: f64,
     changes: usize,
 }
 
-/// What a change writes where many proxies must hear of it.
+/// Measures what a change writes when many proxies have to receive it.
 fn large(proxies: u16, seed: u64) -> Large {
     let shape = Shape { proxies, lasts: 70_000.0, ..Shape::election() };
     let burst = Gone { from: 20_000.0, until: 70_000.0, what: Trouble::Burst { times: 2.2 } };
@@ -300,7 +301,7 @@
     close(how, serde_json::json!({"nights": rows, "large": many}), &bounds)
 }
 
-/// Load, level and revenue by product.
+/// Load, level and value by request class.
 fn one_night(day: &Day) -> Vec<Series> {
     let middle = |at: usize| (at as f64 + 0.5) * WINDOW / 1e3;
     let series = |name: &str, points: Vec<(f64, f64)>| Series { name: name.into(), points };
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! `amberarch-lab`: experiments, each with the figures that a bound is set on. Text for people, or one JSON object
-//! as the last line for programs; `--out` keeps a table and a chart.
+//! `amberarch-lab`: runs experiments and compares their figures with bounds. Prints text for people; `--json` adds
+//! one JSON object as the last line for programs, and `--out` writes a table and a chart.
 
 mod accord;
 mod chart;
@@ -32,19 +32,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Names the experiments.
+    /// Lists the experiments.
     List,
-    /// Runs one.
+    /// Runs one experiment.
     Run {
         name: String,
         #[command(flatten)]
         how: How,
     },
-    /// One run of `faults`, by the seed that a failing one told; its histories are kept in that folder.
+    /// Repeats one run of `faults` by the seed that a failed run printed; keeps its histories in the given folder.
     Fault { seed: u64, folder: PathBuf },
-    /// Judges the histories that processes and stand-ins left.
+    /// Checks the histories that processes and stand-ins wrote.
     Judge(histories::Files),
-    /// Stand-in reporters, a process of their own; started by the experiments.
+    /// Stand-in reporters in a separate process; started by the experiments.
     #[command(hide = true)]
     Reporters(reporters::Crowd),
 }
@@ -53,18 +53,18 @@
 pub struct How {
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Ends within 40 s on four cores.
+    /// A shorter run, which ends within 40 s on four cores.
     #[arg(long)]
     pub quick: bool,
-    /// One JSON object as the last line.
+    /// Prints one JSON object as the last line.
     #[arg(long)]
     pub json: bool,
-    /// Leaves a table (CSV) and a chart (SVG) in this folder.
+    /// Writes a table (CSV) and a chart (SVG) into this folder.
     #[arg(long, value_name = "DIR")]
     pub out: Option<PathBuf>,
 }
 
-/// What an experiment found; its figures stand beside the bounds that hold or do not.
+/// A figure that an experiment measured, the bound on it, and whether the bound holds.
 #[derive(Serialize)]
 pub struct Bound {
     pub what: &'static str,
@@ -82,14 +82,14 @@
     }
 }
 
-/// Why an experiment ended early.
+/// The reason why an experiment ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("{0}: {1}")]
     Io(&'static str, std::io::Error),
-    #[error("a table: {0}")]
+    #[error("cannot write the table: {0}")]
     Table(#[from] csv::Error),
-    #[error("a chart: {0}")]
+    #[error("cannot draw the chart: {0}")]
     Chart(String),
     #[error("{0}")]
     Other(String),
@@ -145,7 +145,7 @@
     }
 }
 
-/// Shows the bounds, and all figures as one object where programs read; true where all hold.
+/// Prints the bounds and, with `--json`, all figures as one object. Returns true if all bounds hold.
 pub fn close(how: &How, figures: impl Serialize, bounds: &[Bound]) -> Result<bool, Fault> {
     let holds = bounds.iter().all(|bound| bound.holds);
     for Bound { what, found, bound, holds } in bounds {
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,5 +1,5 @@
-//! Processes that an experiment starts: a daemon of this build and the stand-ins beside it. Each ends with the
-//! experiment.
+//! Processes that an experiment starts: a daemon of this build and its stand-ins. Each is killed when the experiment
+//! ends.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -11,6 +11,7 @@
 
 use crate::Fault;
 
+/// A child process whose standard error goes to a log file; it is killed on drop.
 pub struct Process {
     child: Child,
     log: PathBuf,
@@ -23,9 +24,9 @@
     }
 }
 
-/// A program that stands beside this one.
+/// Path of a program in the same folder as this one.
 pub fn beside(name: &str) -> Result<PathBuf, Fault> {
-    let me = std::env::current_exe().map_err(|why| Fault::Io("this program's place", why))?;
+    let me = std::env::current_exe().map_err(|why| Fault::Io("cannot find the path of this program", why))?;
     let path = me.with_file_name(name);
     match path.exists() {
         true => Ok(path),
@@ -35,9 +36,9 @@
 
 impl Process {
     pub fn start(command: &mut Command, log: PathBuf) -> Result<Process, Fault> {
-        let out = File::create(&log).map_err(|why| Fault::Io("a log", why))?;
+        let out = File::create(&log).map_err(|why| Fault::Io("cannot create a log file", why))?;
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(out).spawn();
-        Ok(Process { child: child.map_err(|why| Fault::Io("a process", why))?, log })
+        Ok(Process { child: child.map_err(|why| Fault::Io("cannot start a process", why))?, log })
     }
 
     pub fn log(&self) -> String {
@@ -48,9 +49,9 @@
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Seconds of a core used so far.
+    /// Processor time used so far, in seconds of one core.
     pub fn core_s(&self) -> f64 {
-        /// The kernel counts in hundredths (proc(5): USER_HZ).
+        /// The kernel counts in hundredths of a second (proc(5): USER_HZ).
         const TICKS: f64 = 100.0;
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let after_name = stat.rsplit(')').next().unwrap_or("");
@@ -65,18 +66,18 @@
         line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0.0)
     }
 
-    /// Files, sockets and the like that it holds.
+    /// Number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, |all| all.count())
     }
 
-    /// What the daemon says of itself when asked: the last line that holds `word`.
+    /// Asks the daemon for its status by SIGUSR1 and returns the last log line that contains `word`.
     pub fn asked(&self, word: &str) -> Result<String, Fault> {
         let count = |log: &str| log.matches(word).count();
         let before = count(&self.log());
         let pid = Pid::from_child(&self.child);
-        kill_process(pid, Signal::USR1).map_err(|why| Fault::Io("a signal", why.into()))?;
-        // On a machine with more work than cores a decision of a fleet takes seconds.
+        kill_process(pid, Signal::USR1).map_err(|why| Fault::Io("cannot send a signal", why.into()))?;
+        // On an overloaded machine a decision for a fleet takes seconds, so the wait is up to 30 s.
         for _ in 0..1_500 {
             std::thread::sleep(Duration::from_millis(20));
             let log = self.log();
@@ -84,23 +85,23 @@
                 return Ok(log.lines().rev().find(|line| line.contains(word)).unwrap_or("").to_string());
             }
         }
-        Err(Fault::Other(format!("the daemon does not answer a signal:\n{}", self.log())))
+        Err(Fault::Other(format!("the daemon did not answer SIGUSR1 within 30 s:\n{}", self.log())))
     }
 }
 
-/// A figure of a line of counters; one of two that are joined by a slash by its place.
+/// The value of the counter `name` in a log line. Of values joined by slashes, `place` selects one.
 pub fn figure(line: &str, name: &str, place: usize) -> f64 {
     let found = line.split([' ', ',']).find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
     found.and_then(|value| value.split('/').nth(place)?.parse().ok()).unwrap_or(f64::NAN)
 }
 
-/// A port that was free a moment ago.
+/// A port that was free when it was checked.
 pub fn free_port() -> Result<u16, Fault> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    listener.map(|at| at.port()).map_err(|why| Fault::Io("a port", why))
+    listener.map(|at| at.port()).map_err(|why| Fault::Io("cannot find a free port", why))
 }
 
-/// A daemon with so many hosts in its list, and an operator's file; nobody else is there.
+/// Starts a daemon with `hosts` hosts in its list and an operator's file, without any peers.
 pub fn daemon(dir: &Path, name: &str, hosts: usize, operator: &str) -> Result<Process, Fault> {
     let ports = [free_port()?, free_port()?, free_port()?];
     daemon_with(dir, name, operator, |config| alone(config, hosts, ports))
@@ -117,7 +118,7 @@
     config["known"] = json!({"seq": 1, "whole": true, "hosts": (0..hosts).map(row).collect::<Vec<_>>()});
 }
 
-/// A daemon with the example's configuration, changed as said, and an operator's file.
+/// Starts a daemon with the example's configuration, modified by `change`, and an operator's file.
 pub fn daemon_with(
     dir: &Path,
     name: &str,
@@ -129,7 +130,9 @@
     change(&mut config);
     let write = |file: &str, text: &str| {
         let path = dir.join(file);
-        fs::write(&path, text).map(|()| path).map_err(|why| Fault::Io("a file of the experiment", why))
+        fs::write(&path, text)
+            .map(|()| path)
+            .map_err(|why| Fault::Io("cannot write a file of the experiment", why))
     };
     let config = write(&format!("{name}.json"), &config.to_string())?;
     let operator = write(&format!("{name}.toml"), operator)?;
--- a/crates/lab/src/reporters.rs
+++ b/crates/lab/src/reporters.rs
@@ -1,5 +1,5 @@
-//! Stand-in reporters: agents that speak for some hosts each, heed the paces that they are told, and answer each
-//! message of paces at once.
+//! Stand-in reporters: agents that each report for some hosts, follow the report rates they are sent, and answer each
+//! rate message at once.
 
 use std::time::{Duration, Instant};
 
@@ -31,12 +31,12 @@
     pub seed: u64,
 }
 
-/// Until it is told a pace.
+/// Used until the agent is sent a rate.
 const FIRST: Duration = Duration::from_millis(1_000);
 
 pub fn run(crowd: Crowd) -> Result<(), Fault> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|why| Fault::Io("a runtime", why))?.block_on(async {
+    runtime.map_err(|why| Fault::Io("cannot start the async runtime", why))?.block_on(async {
         let endpoint = Endpoint::from_shared(format!("http://{}", crowd.to));
         let endpoint = endpoint.map_err(|why| Fault::Other(why.to_string()))?;
         let channels: Vec<Channel> = (0..crowd.connections).map(|_| endpoint.connect_lazy()).collect();
@@ -45,7 +45,7 @@
             let channel = channels[number % channels.len()].clone();
             let crowd = crowd.clone();
             all.spawn(async move {
-                // One whose stream broke comes back, as agents do.
+                // An agent whose stream broke reconnects, as real agents do.
                 let until = Instant::now() + Duration::from_secs(crowd.seconds);
                 while Instant::now() < until {
                     if let Err(status) = reporter(number, channel.clone(), &crowd, until).await {
--- a/crates/lab/src/residency.rs
+++ b/crates/lab/src/residency.rs
@@ -1,5 +1,5 @@
-//! What it costs to judge each reply, what the judge says falsely of relays and proxies that do whatever a channel
-//! can, and what a governed day loses.
+//! Measures the cost of judging each reply, the judge's false verdicts when relays and proxies show any behaviour that
+//! a channel allows, and the service that a day under residency rules loses.
 
 use std::time::Instant;
 
@@ -14,16 +14,17 @@
 use crate::chart::{keep, Series};
 use crate::{close, Bound, Fault, How};
 
-/// Aims of the issue.
+/// Targets that the issue sets.
 const REPLY_MS: f64 = 1.0;
-/// Of drawn replies that would have broken nothing had each call been carried out once, where calls are answered, no
-/// mark is lost and the front tells of answers as a steward's does. The replies set and unset the same few lines within
-/// one transit, and proxies come and go within the linger, far more than decisions do.
+/// Bound on the fraction of random replies that are refused although they would have broken no rule had each call been
+/// carried out once. Here calls are answered, no mark is lost, and the front reports answers as a controller's does. The
+/// replies set and unset the same few lines within one transit, and proxies join and leave within the linger, both far
+/// more often than decisions do.
 const REFUSED: f64 = 0.01;
-/// The same with what is refused for proxies that left or came back: whether a bind on its way finds them gone, a judge
-/// that hears of it later can't know.
+/// The same, including refusals for proxies that left or came back. A judge that learns of this later can't know
+/// whether a bind in transit finds them gone.
 const REFUSED_ALL: f64 = 0.02;
-/// Of what the decisions order on days without trouble.
+/// Bound on the refused fraction of the decisions' orders on days without faults.
 const REFUSED_ON_DAYS: f64 = 0.001;
 const LOST: f64 = 0.005;
 
@@ -42,14 +43,14 @@
     lines: usize,
 }
 
-/// What the process holds, in bytes.
+/// Resident memory of this process, in bytes.
 fn resident() -> f64 {
     let pages = std::fs::read_to_string("/proc/self/statm").ok();
     let pages = pages.and_then(|text| text.split_whitespace().nth(1)?.parse::<f64>().ok());
     pages.unwrap_or(0.0) * rustix::param::page_size() as f64
 }
 
-/// What a proxy more takes: two judges that stay, so that none is built in what another left.
+/// Memory per additional proxy, in bytes. Both judges are kept alive, so that neither reuses memory the other freed.
 fn bytes_a_proxy(hosts: u32) -> f64 {
     let (few, many) = (100u16, 10_000u16);
     let start = resident();
@@ -79,7 +80,7 @@
         answers += begun.elapsed().as_secs_f64() * 1e6;
     }
     let mut plain = standing_plain(proxies, hosts);
-    // As many looks as fit, the last one whole: one at the largest size takes seconds.
+    // As many checks as fit, the last one in full: one at the largest size takes seconds.
     let (begun, longest, mut looks) = (Instant::now(), if quick { 0.2 } else { 5.0 }, 0u32);
     while looks < 200 && begun.elapsed().as_secs_f64() < longest {
         looks += 1;
@@ -106,12 +107,12 @@
 #[derive(Serialize)]
 struct Words {
     runs: u64,
-    /// Calls are answered and no mark is lost; the front tells of answers, or of three in ten.
+    /// Calls are answered and no mark is lost; the front reports all answers, or three in ten.
     told: Tried,
     calm: Tried,
     troubled: Tried,
     changing: Tried,
-    /// Judges spoilt on purpose, and those that were found out.
+    /// Judges corrupted on purpose, and how many of them were detected.
     spoilt: usize,
     found_out: usize,
 }
@@ -128,7 +129,7 @@
     repeats: u64,
 }
 
-/// The part refused falsely for calls that were not carried out again, though they might have been.
+/// The fraction refused falsely because of calls that might have been carried out again but were not.
 fn for_calls(tried: &Tried) -> f64 {
     (tried.refused_falsely - tried.for_gone) as f64 / tried.replies as f64
 }
@@ -148,7 +149,7 @@
     }
 }
 
-/// Small worlds by seed, over four threads.
+/// Small simulations by seed, on four threads.
 fn trials(seeds: std::ops::Range<u64>, play: impl Fn(u64) -> Trial + Sync) -> Trial {
     let mut all = Trial::default();
     std::thread::scope(|scope| {
@@ -196,9 +197,8 @@
 #[derive(Serialize)]
 struct Row {
     day: &'static str,
-    /// Service held to the first revision all day, and with a change at half the day: the judge away, the joint
-    /// stage away, both there.
-    /// Nothing is governed.
+    /// Service without any rules. The fields below are the service under the first revision all day, and with a change
+    /// at half the day: without the judge, without the joint stage, and with both.
     free: f64,
     one_unjudged: f64,
     one_judged: f64,
@@ -213,11 +213,11 @@
     settled_after_worst_ms: f64,
 }
 
-/// From when the second revision is to hold, ms.
+/// When the second revision comes into force, ms.
 const CHANGE: f64 = 40_000.0;
 
-/// Pages may be served at home and in the next zone. Submits, wherever they come in, in two zones, of which the
-/// second revision changes one: while both hold, in a single one.
+/// Pages may be served at home and in the next zone. Submits may be served in two zones, wherever they arrive; the
+/// second revision changes one of the two, so while both revisions are in force a single zone is left.
 fn reach(first: u16) -> Reach {
     let zones = 3;
     let permit = |product: u16, zone: u16| {
@@ -249,7 +249,7 @@
     ]
 }
 
-/// The same day under five kinds of care, and free.
+/// The same day under five combinations of revisions, judge and joint stage, and without rules.
 fn govern(faults: &[Gone], seed: u64) -> [Day; 6] {
     let play = |plan: Vec<(f64, Reach)>, judged, joint| {
         let world = World::new(Shape::usual(), faults.to_vec(), Reports::Off, seed);
@@ -271,7 +271,7 @@
     })
 }
 
-/// Of each day.
+/// Number of draws of each day.
 fn draws(how: &How) -> u64 {
     if how.quick {
         2
@@ -286,7 +286,7 @@
     for (day, faults) in days() {
         let played: Vec<[Day; 6]> = (0..draws).map(|draw| govern(&faults, how.seed * 1_000 + draw)).collect();
         let service = |at: usize| played.iter().map(|days| days[at].service()).sum::<f64>() / draws as f64;
-        // What is judged and what is not heeded beside it: nothing may be outside in the former.
+        // The days with the judge on: none of their tries may be outside the rules.
         let ruled: Vec<&Ruled> = played.iter().flat_map(|days| [&days[1].ruled, &days[4].ruled]).collect();
         let row = Row {
             day,
@@ -316,7 +316,7 @@
     rows
 }
 
-/// Decisions that never hear of it, with the judge and without: orders refused, and tries outside, of each.
+/// Decisions that are never sent the rules, with the judge and without it: refused orders, and tries outside, of each.
 fn deaf(seed: u64) -> [(u64, u64); 2] {
     [true, false].map(|judged| {
         let world = World::new(Shape::usual(), vec![], Reports::Off, seed);
@@ -326,19 +326,19 @@
     })
 }
 
-/// What turning txns away by a bound earns where a permitted zone is lost.
+/// The value gained by rejecting txns above a bound while a permitted zone is lost.
 #[derive(Serialize)]
 struct Confined {
     bound: &'static str,
-    /// The part of all revenue, of the whole day and while the zone is lost, and of each product's then.
+    /// Fraction of all value, over the whole day and while the zone is lost, and of each request class's value then.
     service: f64,
     lost: f64,
     pages: f64,
     submits: f64,
 }
 
-/// The second zone is lost and submits may be served in it and the third alone: the third has them all, and pages
-/// that came to the second.
+/// The second zone is lost, and submits may be served only in it and in the third. The third zone gets all submits, and
+/// the pages that came to the second.
 fn confined(how: &How) -> Vec<Confined> {
     const ALL: [u16; 3] = [0, 1, 2];
     let cases: [(&str, LevelKind, u16, &[u16], f64); 9] = [
@@ -364,7 +364,7 @@
         }
         world.governed(vec![(0.0, reach(1))], Care { judged: true, joint: true, deaf: false }).play()
     };
-    // Once it is bound and what had piled up is gone, as far as it goes.
+    // Windows after the bound is set and the queues have drained, as far as they do.
     let part = |day: &Day, products: std::ops::Range<usize>| {
         let windows = day.windows[4..9].iter().flat_map(|window| &window[products.clone()]);
         let sum = |sum: (f64, f64), one: &Window| (sum.0 + one.earned, sum.1 + one.offered);
--- a/crates/lab/src/resident.rs
+++ b/crates/lab/src/resident.rs
@@ -1,5 +1,5 @@
-//! One daemon that steers 1,600 proxies while its hosts are replaced over and over: whether its memory stays where it
-//! is. Relay, discovery, hosts and collectors are threads here that say what the protocol asks of them and no more.
+//! Checks that the memory of one daemon that steers 1,600 proxies stays constant while its hosts are replaced over and
+//! over. Relay, discovery, hosts and collectors are threads that send only what the protocol requires.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -19,14 +19,14 @@
 const HOSTS: usize = 120;
 const ZONES: [&str; 2] = ["east", "west"];
 const PRODUCTS: [&str; 2] = ["look", "pay"];
-/// So many hosts leave and as many come, that often: all of them are others after 20 s.
+/// This many hosts leave and as many join at each replacement, so that all hosts have been replaced after 20 s.
 const REPLACED: usize = 12;
 const REPLACE_EVERY: Duration = Duration::from_secs(2);
 const SUMS_EVERY: Duration = Duration::from_secs(2);
-/// From a call to the answers of its proxies.
+/// Time from a call to the answers of its proxies.
 const TRANSIT: Duration = Duration::from_millis(100);
 
-/// A row of the list with the version in which it changed last.
+/// A row of the host list with the version in which it changed last.
 #[derive(Clone)]
 struct Row {
     name: String,
@@ -40,7 +40,7 @@
     seq: u64,
     rows: Vec<Row>,
     named: usize,
-    /// Rows that changed last in this version were let go of: who asks from before it gets the whole list.
+    /// Rows that last changed in this version have been dropped: a request from an earlier version gets the whole list.
     let_go: u64,
 }
 
@@ -57,7 +57,7 @@
         self.named += 1;
     }
 
-    /// Those that drained are gone, the oldest drain, and new ones come.
+    /// Removes the drained hosts, starts to drain the oldest, and adds new ones.
     fn replace(&mut self) {
         self.seq += 1;
         let seq = self.seq;
@@ -85,7 +85,7 @@
     }
 }
 
-/// The next request on a connection: its first line and its body.
+/// Reads the next request on a connection: its first line and its body.
 fn request(from: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let (mut first, mut length) = (String::new(), 0);
     from.read_line(&mut first).ok().filter(|count| *count > 0)?;
@@ -107,9 +107,9 @@
     write!(to, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).ok()
 }
 
-/// A thread for each connection that is taken at a port of its own.
+/// Serves a port with one thread for each accepted connection.
 fn serve(each: impl Fn(TcpStream) -> Option<()> + Send + Sync + 'static) -> Result<u16, Fault> {
-    let io = |why| Fault::Io("a stand-in's address", why);
+    let io = |why| Fault::Io("cannot open a stand-in's address", why);
     let listener = TcpListener::bind("127.0.0.1:0").map_err(io)?;
     let port = listener.local_addr().map_err(io)?.port();
     let each = Arc::new(each);
@@ -122,7 +122,7 @@
     Ok(port)
 }
 
-/// The watches that stand, to which news goes.
+/// The open relay watches, to which updates are sent.
 type News = Arc<Mutex<Vec<TcpStream>>>;
 
 fn say(news: &News, lines: &str) {
@@ -130,7 +130,7 @@
     watches.retain_mut(|watch| watch.write_all(lines.as_bytes()).is_ok());
 }
 
-/// All proxies answer each mark.
+/// Answers each mark for all proxies.
 fn answers(news: News) -> Sender<(Instant, u64)> {
     let (to, marks) = channel::<(Instant, u64)>();
     spawn(move || {
@@ -198,7 +198,7 @@
     })
 }
 
-/// A collector that sends sums of its zone, with as many good tries as there are hosts.
+/// A collector that sends traffic reports of its zone, with as many successful tries as there are hosts.
 fn collect(zone: usize, steward: u16, list: Arc<Mutex<List>>) {
     let talk = move |mut to: TcpStream| -> Option<()> {
         write!(to, "SOURCE zone={}\r\n", ZONES[zone]).ok()?;
@@ -234,11 +234,11 @@
     hosts: usize,
     seconds: f64,
     hosts_replaced: usize,
-    /// Means of the first and the last fifth after settling, and the most of all.
+    /// Means of the first and the last fifth after settling, and the maximum.
     resident_kib_first: f64,
     resident_kib_last: f64,
     resident_kib_most: f64,
-    /// Descriptors that it held, at the most of all looks.
+    /// The highest number of open descriptors over all checks.
     descriptors_most: usize,
     cores: f64,
     timers: f64,
@@ -253,10 +253,10 @@
 }
 
 pub fn run(how: &How) -> Result<bool, Fault> {
-    let dir = tempfile::tempdir().map_err(|why| Fault::Io("a folder", why))?;
+    let dir = tempfile::tempdir().map_err(|why| Fault::Io("cannot create a folder", why))?;
     let (settle, lasts) = if how.quick { (12.0, 23.0) } else { (60.0, 600.0) };
     let list = Arc::new(Mutex::new(List::new()));
-    // Each host's probes come to the one address.
+    // The probes of all hosts go to this one address.
     let probed = serve(|mut stream| {
         let mut from = BufReader::new(stream.try_clone().ok()?);
         while request(&mut from).is_some() {
@@ -275,7 +275,7 @@
         config["known"] = known;
         let family = &mut config["settings"]["familyInfo"];
         family["agents"] = json!(PROXIES);
-        // As many lines a proxy as in a fleet of 200 on the usual channel, and sums of all in each period.
+        // As many lines per proxy as in a fleet of 200 on the usual channel, and reports of all in each period.
         (family["egressPerS"], family["backlog"]) = (json!(16_000.0), json!(16_000.0));
         family["reportsPerS"] = json!(4_000.0);
     })?;
@@ -339,7 +339,7 @@
         )?;
     }
     let grown = figures.resident_kib_last - figures.resident_kib_first;
-    // What each proxy keeps, some 4 KiB, is still filling up in the first half minute.
+    // The state kept for each proxy, about 4 KiB, is still growing in the first half minute.
     let most = if how.quick { 4.0 * PROXIES as f64 } else { 1_024.0 };
     let bounds = [
         Bound::under("memory grown from the first fifth to the last, KiB", grown, most),
@@ -366,8 +366,8 @@
             .collect()
     }
 
-    /// Told only what changed since, one that asked after two changes never heard of hosts that had gone between: a daemon on
-    /// a slow machine went on to steer and probe thousands.
+    /// A client that is sent only the latest changes, and asks after two of them, never learns of the hosts that left in
+    /// between: a daemon on a slow machine went on to steer and probe thousands of them.
     #[test]
     fn who_asks_for_the_list_after_rows_were_let_go_of_is_told_it_whole() {
         let mut list = List::new();
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -1,5 +1,5 @@
-//! A steward that restarts at the peak, with and without a snapshot, beside a discovery that is silent for a while;
-//! and what it costs to keep the roster.
+//! A controller that restarts at the peak load, with and without a snapshot, while discovery is silent for a while;
+//! and the cost of keeping the membership.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,19 +19,19 @@
 }
 
 fn world(seed: u64) -> World {
-    // Slow hosts that a steward has learnt, and two that are down.
+    // Slow hosts that the controller has learnt, and two that are down.
     let slow = Gone {
         from: 8_000.0,
         until: 140_000.0,
         what: Trouble::Slow { hosts: vec![0, 4, 8, 13], part: 0.45 },
     };
     let down = Gone { from: 30_000.0, until: 139_000.0, what: Trouble::Restart { hosts: vec![2, 3] } };
-    // They leave while the steward is away.
+    // These hosts leave while the controller is down.
     let leave = Gone { from: PEAK + 50.0, until: 139_000.0, what: Trouble::Leave { hosts: vec![5, 11] } };
     World::new(shape(), vec![slow, down, leave], Reports::Off, seed)
 }
 
-/// The part of what could be earned in the windows from there to there.
+/// The fraction earned of the value that was offered in the windows between `from` and `until`.
 fn service(day: &Day, from: f64, until: f64) -> f64 {
     let range = (from / WINDOW) as usize..(until / WINDOW) as usize;
     let windows = || day.windows[range.clone()].iter().flatten();
@@ -43,7 +43,8 @@
     way: String,
     first_10_s: f64,
     first_60_s: f64,
-    /// Tries sent to hosts that had left, after the grace, a day; and ms until every proxy has a host, the longest.
+    /// Tries per day sent to hosts that had left, after the grace; and the longest time until every proxy has a host,
+    /// ms.
     to_gone: f64,
     bare_for_ms: Option<f64>,
 }
@@ -51,12 +52,12 @@
 #[derive(Serialize)]
 struct Cost {
     hosts: u32,
-    /// One period: a hundredth of the hosts changed.
+    /// One period, in which a hundredth of the hosts change.
     kept_bytes: u64,
     hand_over_us_worst: f64,
     keep_ms: f64,
     start_ms: f64,
-    /// After an hour of such periods, one a second, and its members alone.
+    /// Size after an hour of such periods, one per second, and that of the members alone.
     bytes_after_an_hour: u64,
     bytes_of_members: u64,
 }
@@ -181,10 +182,10 @@
     Member::new(format!("host-{number:06}"), told)
 }
 
-/// Keeps a list with one host in a hundred changed each period.
+/// Stores a list in which one host in a hundred changes each period.
 fn cost(hosts: u32, periods: u64) -> Result<Cost, Fault> {
     let fault = |why: amberarch_snapshot::Fault| Fault::Other(why.to_string());
-    let dir = tempfile::tempdir().map_err(|why| Fault::Io("a folder", why))?;
+    let dir = tempfile::tempdir().map_err(|why| Fault::Io("cannot create a folder", why))?;
     let (mut store, _) = Store::open(dir.path()).map_err(fault)?;
     let mut roster = Roster::new(1e12);
     roster.restore((0..hosts).map(|number| member(number, 0)));
@@ -199,13 +200,13 @@
             let Member { host, told, .. } = member(number as u32, period);
             (host, Row { weight: 1.0 + (period % 7) as f64, ..told.row })
         });
-        // Discovery's changes confirm nothing else here, so that churn alone is measured.
+        // Discovery's changes confirm no other hosts here, so that only churn is measured.
         for (host, row) in rows {
             let told =
                 Told { epoch: 0, seq: period, at: 1e12 + period as f64, source: Source::Discovery, row };
             roster.restore([Member::new(host, told)]);
         }
-        // What the desk does once in half a second.
+        // The event loop does this once every half second.
         let at = Instant::now();
         let changed = roster.to_keep();
         worst = worst.max(at.elapsed().as_secs_f64() * 1e6);
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -1,4 +1,4 @@
-//! Fleets of the program itself under faults by seed: many runs, each judged by its histories.
+//! Runs fleets of real daemons under faults drawn by seed, and checks each run by its histories.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,35 +12,35 @@
 use crate::process::beside;
 use crate::{close, Bound, Fault, How};
 
-/// Runs sleep most of the time.
+/// Many runs go at once, since each sleeps most of the time.
 const AT_ONCE: usize = 6;
 const RUNS: u64 = 200;
 const RUNS_QUICK: u64 = 12;
-/// Runs between two lines on how far it has come.
+/// Number of runs between two progress lines.
 const SHOWN: u64 = 20;
 
-/// With more of them than this the machine was no place for the experiment.
+/// With a larger fraction of inconclusive runs than this, the machine is unsuitable for the experiment.
 const UNSAID: f64 = 0.05;
 
-/// Sums over all runs.
+/// Totals over all runs.
 #[derive(Default)]
 struct Found {
     runs: u64,
     thrown: BTreeMap<String, u64>,
-    /// Found, looked at, not judged.
+    /// Violations found, cases checked, and cases not judged.
     by_check: BTreeMap<String, (u64, u64, u64)>,
     late: u64,
     missed: u64,
     failed: u64,
-    /// Runs of which nothing could be said, for want of cores; they were played again.
+    /// Runs that were inconclusive for lack of cores; they were played again.
     starved: Vec<u64>,
-    /// Runs of which nothing could be said each time; they count for nothing else.
+    /// Runs that were inconclusive each time; they are counted nowhere else.
     unsaid: Vec<u64>,
-    /// Until a lent guarantee was back, ms.
+    /// Times until a lent guarantee was restored, ms.
     back: Vec<f64>,
     no_core: f64,
     stalled: f64,
-    /// From proposal to in force at all that run, by whether all were up.
+    /// Time from the proposal until it is in force at all running controllers, by whether all were up.
     took: BTreeMap<&'static str, Vec<f64>>,
     asked: u64,
     settled: u64,
@@ -90,7 +90,7 @@
     Ok(json!({"changes": times.len(), "p50_ms": at(0.5), "p99_ms": at(0.99)}))
 }
 
-/// Each change by its place among all.
+/// The distribution of the changes: each at its rank.
 fn curve(whom: &str, times: &[f64]) -> Series {
     let mut sorted = times.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -165,9 +165,9 @@
     close(how, figures, &bounds)
 }
 
-/// One run by its seed, shown.
+/// Plays one run by its seed and prints the result.
 pub fn alone(seed: u64, folder: &std::path::Path) -> Result<bool, Fault> {
-    std::fs::create_dir_all(folder).map_err(|why| Fault::Io("a folder", why))?;
+    std::fs::create_dir_all(folder).map_err(|why| Fault::Io("cannot create a folder", why))?;
     let plan = Plan::of(seed);
     println!("{plan:?}");
     let ran = amberarch_rig::run(&beside("amberarch")?, plan, folder);
@@ -182,7 +182,7 @@
     Ok(ran.wrong().is_empty())
 }
 
-/// One run; what is wrong with it, and where its histories are kept.
+/// Plays one run; returns what is wrong with it and where its histories are kept.
 fn one(binary: &std::path::Path, plan: Plan, found: &Mutex<Found>) -> Result<(), String> {
     let dir = tempfile::tempdir().map_err(|why| why.to_string())?;
     let ran = amberarch_rig::until_said(binary, plan, dir.path()).map_err(|why| why.to_string());
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -1,5 +1,6 @@
-//! Fair shares: what a round costs beside a plain deal, how far it is from an exact program's, how soon a guarantee
-//! is back under a burst, and whether grants rest at steady load. Stewards and the chair run in virtual time.
+//! Fair quotas: the cost of a round compared with a plain allocation, its distance from an exact linear program, how
+//! soon a guarantee is restored under a burst, and whether grants stay unchanged at steady load. Controllers and the
+//! leader run in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -27,8 +28,8 @@
     Ok(Arc::new(compile(&file.shares, facts).map_err(|why| Fault::Other(why.to_string()))?))
 }
 
-/// Tenants under parents over ten zones, each in one; a zone's txns may go to its neighbour too. Two thirds of what
-/// is asked for fits.
+/// Tenants under parents in ten zones, each tenant in one zone; a zone's txns may also go to its neighbour. Capacity
+/// covers two thirds of the demand.
 struct Large {
     plan: Arc<Plan>,
     asks: Vec<f64>,
@@ -79,25 +80,26 @@
     tenants: usize,
     compile_ms: f64,
     round_ms: f64,
-    /// The least, and the processor time of the middle one, which other work on the machine moves little.
+    /// The shortest round, and the processor time of the median one, which other work on the machine affects little.
     round_least_ms: f64,
     round_processor_ms: f64,
     round_p99_ms: f64,
     plain_ms: f64,
-    /// All words of a turn heard, dealt and answered; each tenant comes to five stewards. They say what they took up.
+    /// Time to receive all messages of a turn, issue the grants and answer; each tenant's txns arrive at five
+    /// controllers, which acknowledge the grants that they apply.
     turn_5_stewards_ms: f64,
     turn_500_stewards_ms: f64,
-    /// The same where no steward ever says so, and all that was dealt counts until it is over.
+    /// The same where no controller ever acknowledges, so that every grant counts until it expires.
     turn_5_untaken_ms: f64,
     turn_500_untaken_ms: f64,
     /// Processor time of the first two.
     turn_5_processor_ms: f64,
     turn_500_processor_ms: f64,
-    /// Mean part by which what was dealt is off the plain deal, of all that was dealt.
+    /// Mean deviation of the grants from the plain allocation, as a fraction of all grants.
     off_plain: f64,
 }
 
-/// Processor time of this thread, ms.
+/// Processor time used by this thread, ms.
 fn spent() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e3 + time.tv_nsec as f64 / 1e6
@@ -198,7 +200,7 @@
     })
 }
 
-/// One tenant of the exact program.
+/// One tenant of the exact linear program.
 struct One {
     reach: [bool; 4],
     ask: f64,
@@ -206,7 +208,7 @@
     guarantee: f64,
 }
 
-/// The highest level, or the most that one may have, where each has at least so much.
+/// The highest common level, or the most that tenant `goal` can get, while each tenant gets at least `least`.
 fn program(rooms: &[f64], ones: &[One], least: &[f64], stopped: &[bool], goal: Option<usize>) -> Option<f64> {
     let mut problem = Problem::new(OptimizationDirection::Maximize);
     let level = problem.add_var(f64::from(u8::from(goal.is_none())), (0.0, 1e6));
@@ -235,7 +237,8 @@
     }
 }
 
-/// Max-min by programs: the level is raised as far as it goes, who can't go on stops, and so on.
+/// Max-min fairness by repeated linear programs: raises the level as far as possible, fixes the tenants that can't get
+/// more, and repeats.
 fn exact(rooms: &[f64], ones: &[One]) -> Option<Vec<f64>> {
     let floor: Vec<f64> = ones.iter().map(|one| one.guarantee.min(one.ask)).collect();
     let (mut x, mut stopped) = (floor.clone(), vec![false; ones.len()]);
@@ -259,7 +262,8 @@
 #[derive(Serialize)]
 struct Fairness {
     instances: usize,
-    /// Part of all that was dealt, worst and mean: of a round, and of rounds that settled after other demands.
+    /// Deviation as a fraction of all grants, worst and mean: of one round, and of rounds that converged after other
+    /// demands.
     worst: f64,
     mean: f64,
     settled_worst: f64,
@@ -303,7 +307,7 @@
         let asks: Vec<f64> = ones.iter().map(|one| one.ask).collect();
         let mut round = Round::new(plan);
         off.push(apart(round.fair(&asks, &rooms, None), &exact));
-        // Other demands before, then these until nothing changes.
+        // Other demands are served first, then these until nothing changes.
         for turn in 0..60u32 {
             let other: Vec<f64> = asks.iter().map(|_| rng.random_range(0.0..150.0)).collect();
             let asks = if turn < 5 { &other } else { &asks };
@@ -316,13 +320,13 @@
     Ok(Fairness { instances: off.len(), worst: worst(&off), mean, settled_worst: worst(&settled) })
 }
 
-/// Five stewards and a chair on one virtual clock; words take up to 40 ms, and a majority confirms each 50 ms.
+/// Five controllers and a leader on one virtual clock. Messages take up to 40 ms, and a majority confirms every 50 ms.
 struct Fleet {
     now: f64,
     plan: Arc<Plan>,
     chair: Chair,
     stewards: Vec<Held>,
-    /// Words under way: when they arrive, to the chair or to a steward.
+    /// Messages in transit, with their arrival time, to the leader or to a controller.
     under_way: Vec<(f64, usize, bool, Said)>,
     cut: Option<usize>,
     rooms: Vec<f64>,
@@ -357,13 +361,13 @@
         }
     }
 
-    /// By claim, all that stewards may let in.
+    /// By claim, all that the controllers may admit.
     fn in_force(&self) -> Vec<f64> {
         let sum = |claim| self.stewards.iter().map(|steward| steward.may(self.now, claim)).sum();
         self.plan.claims().map(|(claim, ..)| sum(claim)).collect()
     }
 
-    /// In steps of 10 ms.
+    /// Advances in steps of 10 ms.
     fn live(&mut self, until: f64, rng: &mut StdRng) {
         while self.now < until {
             self.now += 10.0;
@@ -395,7 +399,7 @@
                     self.steward(at, Heard::Tick, rng.random_range(0.0..30.0));
                 }
             }
-            // Every zone's txns are served at home here, so what is in force adds up zone by zone.
+            // Every zone's txns are served at home here, so the quotas in force add up zone by zone.
             let mut sums: BTreeMap<Zone, f64> = BTreeMap::new();
             for ((_, _, zone), per_s) in self.plan.claims().zip(self.in_force()) {
                 *sums.entry(zone).or_default() += per_s;
@@ -406,13 +410,13 @@
         }
     }
 
-    /// Tells each steward what came in the last second: a fifth each, as chance has it.
+    /// Reports to each controller the txns of the last second: a fifth each, with random variation.
     fn came(&mut self, rates: &[f64], rng: &mut StdRng) {
         let owned: Vec<(ZoneId, ClassId, Claim)> = self.plan.owned().collect();
         for at in 0..STEWARDS {
             let came = owned.iter().map(|(zone, product, claim)| {
                 let mean = rates[claim.0 as usize] / STEWARDS as f64;
-                // Twelve draws make a deviation of one.
+                // The sum of twelve uniform draws has a standard deviation of one.
                 let chance = (0..12).map(|_| rng.random_range(0.0..1.0)).sum::<f64>() - 6.0;
                 (*zone, *product, (mean + chance * mean.sqrt()).max(0.0))
             });
@@ -422,7 +426,7 @@
     }
 }
 
-/// Twenty tenants in two zones: the first has a guarantee that the others borrow.
+/// Twenty tenants in two zones; the first has a guarantee that the others borrow.
 fn night() -> Result<(Arc<Plan>, Vec<f64>), Fault> {
     let mut text = "[shares]\nfloor = { part = 0.1, stewards = 5 }\n".to_string();
     for at in 0..20 {
@@ -448,7 +452,7 @@
     Ok((compiled(&text, &facts)?, vec![1_000.0; 2]))
 }
 
-/// Demand of each claim while the first tenant rests: more than there is in all.
+/// Demand of each claim while the first tenant is idle; the total exceeds the capacity.
 fn crowd(plan: &Plan, rng: &mut StdRng) -> Vec<f64> {
     plan.claims()
         .map(|(_, tenant, _)| if tenant.0 == 0 { 0.0 } else { rng.random_range(40.0..120.0) })
@@ -458,10 +462,10 @@
 #[derive(Serialize)]
 struct Burst {
     nights: usize,
-    /// From the second sum that shows the burst being told, ms: half and worst, all stewards up.
+    /// Time from the second report that shows the burst, ms: median and worst, with all controllers up.
     back_ms: f64,
     back_worst_ms: f64,
-    /// The same with one steward cut off that holds a fifth of what was lent.
+    /// The same with one controller cut off that holds a fifth of what was lent.
     back_cut_worst_ms: f64,
     grant_longest_ms: f64,
     over_grants: u64,
@@ -502,7 +506,7 @@
                 if ((fleet.now - begun) as u64).is_multiple_of(50) {
                     points.push(((fleet.now - begun) / 1e3, has));
                 }
-                // The steward that is cut off takes up nothing: four fifths come to the others.
+                // The controller that is cut off applies nothing; the others get four fifths.
                 let wanted = if cut_off { 0.8 } else { 1.0 } * 600.0 * 0.99;
                 if back.is_none() && has >= wanted {
                     back = Some(fleet.now - begun);
@@ -532,16 +536,17 @@
 struct Steady {
     fleets: usize,
     minutes: f64,
-    /// Changes of what a claim may let in over all stewards, a minute, from the second minute on: of all fleets, and of
-    /// the worst of them.
+    /// Changes per minute of what a claim may admit over all controllers, from the second minute on: of all fleets, and
+    /// of the worst fleet.
     changes_a_minute: f64,
     changes_a_minute_worst: f64,
-    /// The same where each round deals what is fair for the last sums, nothing held in bands.
+    /// The same where each round issues the fair quotas for the last reports, without bands.
     plain_changes_a_minute: f64,
-    /// Part of all that is dealt, at the end of each minute, the worst: off what is fair by what is asked with its bands.
+    /// Worst deviation, at the end of each minute, from the fair quotas for the demand with its bands, as a fraction of
+    /// all grants.
     off_fair_worst: f64,
-    /// The part of what would be let in, on average, by a deal of what comes on average, that is not: the room that bands
-    /// keep, the last part of capacity, and floors of those who rest. The worst fleet.
+    /// The fraction not admitted of what an allocation by the average demand would admit on average: the room that bands
+    /// keep, the last part of capacity, and the floors of idle tenants. Of the worst fleet.
     kept_worst: f64,
     over_grants: u64,
 }
@@ -554,7 +559,7 @@
         let (plan, rooms) = night()?;
         let lengths = Lengths::new(3_000.0, 0.01, 300.0).map_err(|why| Fault::Other(why.to_string()))?;
         let mut fleet = Fleet::new(plan.clone(), rooms.clone(), lengths);
-        // Some zones' worth of room for all but the busiest, so that many hover at the line.
+        // Capacity suffices for all but the busiest, so that many tenants stay close to the limit.
         let rates: Vec<f64> = crowd(&plan, rng).into_iter().map(|rate| 0.75 * rate).collect();
         let mut changes = 0u64;
         let (mut before, mut plain_before) = (fleet.in_force(), vec![0.0; rates.len()]);
@@ -605,8 +610,8 @@
 #[derive(Serialize)]
 struct Fall {
     nights: usize,
-    /// From the moment at which hosts of both zones can do a tenth, each steward seeing it within 200 ms, until no more
-    /// than that is in force: half and worst, ms.
+    /// Time from the drop of both zones' hosts to a tenth of their capacity, which each controller sees within 200 ms,
+    /// until no more than that is in force: median and worst, ms.
     within_ms: f64,
     within_worst_ms: f64,
 }
