--- a/crates/lab/src/accord.rs
+++ b/crates/lab/src/accord.rs
@@ -22,13 +22,13 @@
 const MOST_OVER: f64 = 1_000.0;
 const REVISIONS: u64 = 100_000;
 /// Number of exhaustive explorations in a quick run; a full run does all of them.
-const SMALL_QUICK: usize = 3;
+const EXPLORATIONS_QUICK: usize = 3;
 /// An exploration that has to be complete has fewer states than this; the largest has 664,902.
 const MOST_STATES: usize = 1_000_000;
 /// Time limit for all explorations, s, also on a shared machine: the whole run has to end within a quarter of an hour.
-const MOST_EXPLORING: f64 = 600.0;
+const MOST_EXPLORING_S: f64 = 600.0;
 /// Number of explorations at once: the machines that this is meant for have four cores.
-const HANDS: usize = 4;
+const THREADS: usize = 4;
 /// A longer start would have the effect of a controller that is down, ms.
 const MOST_REPLAY: f64 = 5_000.0;
 
@@ -199,12 +199,15 @@
 fn small_worlds(quick: bool) -> Result<(Vec<Explored>, f64), Fault> {
     let (begun, _) = begin(None).map_err(late)?;
     let began = Instant::now();
-    let plans: Vec<_> =
-        small_plans().into_iter().take(if quick { SMALL_QUICK } else { usize::MAX }).enumerate().collect();
+    let plans: Vec<_> = small_plans()
+        .into_iter()
+        .take(if quick { EXPLORATIONS_QUICK } else { usize::MAX })
+        .enumerate()
+        .collect();
     let next = Mutex::new(plans.into_iter());
     let explored = Mutex::new(vec![]);
     thread::scope(|scope| {
-        for _ in 0..HANDS {
+        for _ in 0..THREADS {
             scope.spawn(|| loop {
                 let taken = next.lock().unwrap_or_else(PoisonError::into_inner).next();
                 let Some((place, SmallPlan { what, plan, most })) = taken else { return };
@@ -317,7 +320,7 @@
             small.iter().filter(|one| !one.whole && one.most.is_none()).count() as f64,
             0.5,
         ),
-        Bound::under("s to explore them", exploring, MOST_EXPLORING),
+        Bound::under("s to explore them", exploring, MOST_EXPLORING_S),
         Bound::under("ms to replay a long log", replay.read_ms + replay.stands_ms, MOST_REPLAY),
         Bound::under("breaches in storms", storms.breaches as f64, 0.5),
         Bound::under("storms that did not end in one stage", storms.unended as f64, 0.5),
--- a/crates/lab/src/guard.rs
+++ b/crates/lab/src/guard.rs
@@ -153,11 +153,11 @@
     for zones in 2..=4u16 {
         let hosts = 3 * u32::from(zones);
         let zone_of = |host: u32| (host % u32::from(zones)) as u16;
-        for (home, product, left) in
+        for (home, class, left) in
             (0..zones).flat_map(|z| (0..3u16).flat_map(move |p| (0..hosts).map(move |h| (z, p, h))))
         {
             // The third request class stays at home.
-            let serves = |host: u32| product < 2 || zone_of(host) == home;
+            let serves = |host: u32| class < 2 || zone_of(host) == home;
             if !serves(left) {
                 continue;
             }
@@ -178,7 +178,7 @@
             let (table, share) =
                 (TableId(0), |host, weight| Order::SetEntry { table: TableId(0), host, weight });
             let lines = (0..hosts).filter(|host| serves(*host)).map(|host| share(HostId(host), 1.0));
-            let bind = Order::Bind { proxy, table, classes: ClassSet::one(ClassId(product)) };
+            let bind = Order::Bind { proxy, table, classes: ClassSet::one(ClassId(class)) };
             let place = guard.commit(0.0, &lines.chain([bind]).collect::<Vec<_>>());
             guard.answered(0.0, place);
             let gate = |host, withdrawn| Order::Withdraw { host: HostId(host), withdrawn };
@@ -473,14 +473,14 @@
     Heavy,
 }
 
-struct Spoilt {
+struct Corrupted {
     inner: Box<dyn Decide>,
     how: Seeded,
     late: VecDeque<(f64, Vec<Order>)>,
     started_at: BTreeMap<HostId, f64>,
 }
 
-impl Decide for Spoilt {
+impl Decide for Corrupted {
     fn decide(&mut self, now: f64, events: &[Event]) -> Vec<Order> {
         for event in events {
             if let Event::List { entries, .. } = event {
@@ -554,7 +554,7 @@
     let truth = Rc::new(RefCell::new(Truth::new(&shape, faults)));
     let (inside, seen) = (door.clone(), truth.clone());
     let world = World::new(shape, faults.to_vec(), Reports::Off, seed).behind(|inner| {
-        let spoilt = Spoilt { inner, how: seeded, late: VecDeque::new(), started_at: BTreeMap::new() };
+        let spoilt = Corrupted { inner, how: seeded, late: VecDeque::new(), started_at: BTreeMap::new() };
         Box::new(Seen { inner: Box::new(Guarded::new(spoilt, inside)), truth: seen })
     });
     let day = world.play();
--- a/crates/lab/src/intake.rs
+++ b/crates/lab/src/intake.rs
@@ -45,7 +45,7 @@
     let (cores_without, resident_kib_without) = without(dir.path())?;
     let port = free_port()?;
     let operator = format!("[intake]\nlisten = \"127.0.0.1:{port}\"\nreports_per_s = {BUDGET}\n");
-    let mut steward = daemon(dir.path(), "with", HOSTS, &operator)?;
+    let mut controller = daemon(dir.path(), "with", HOSTS, &operator)?;
     sleep(Duration::from_millis(500));
     let mut crowd = Command::new(beside("amberarch-lab")?);
     crowd.arg("reporters").args(["--to", &format!("127.0.0.1:{port}")]);
@@ -59,23 +59,23 @@
 
     let start = Instant::now();
     let mut memory = Vec::new();
-    let mut watch = |until: f64, steward: &mut Process| -> Result<(), Fault> {
+    let mut watch = |until: f64, controller: &mut Process| -> Result<(), Fault> {
         while start.elapsed().as_secs_f64() < until {
-            if steward.ended() {
-                return Err(Fault::Other(format!("the daemon ended:\n{}", steward.log())));
+            if controller.ended() {
+                return Err(Fault::Other(format!("the daemon ended:\n{}", controller.log())));
             }
-            memory.push((start.elapsed().as_secs_f64(), steward.resident_kib()));
+            memory.push((start.elapsed().as_secs_f64(), controller.resident_kib()));
             sleep(Duration::from_millis(500));
         }
         Ok(())
     };
-    watch(settle, &mut steward)?;
+    watch(settle, &mut controller)?;
     let (before, core, crowd_core, at) =
-        (steward.asked("intake: ")?, steward.core_s(), crowd.core_s(), Instant::now());
-    let resident_before = steward.resident_kib();
-    watch(settle + lasts, &mut steward)?;
-    let (after, seconds) = (steward.asked("intake: ")?, at.elapsed().as_secs_f64());
-    let cores = (steward.core_s() - core) / seconds;
+        (controller.asked("intake: ")?, controller.core_s(), crowd.core_s(), Instant::now());
+    let resident_before = controller.resident_kib();
+    watch(settle + lasts, &mut controller)?;
+    let (after, seconds) = (controller.asked("intake: ")?, at.elapsed().as_secs_f64());
+    let cores = (controller.core_s() - core) / seconds;
     let more = |name: &str| figure(&after, name, 0) - figure(&before, name, 0);
     let figures = Figures {
         hosts: HOSTS,
@@ -87,9 +87,9 @@
         cores,
         cores_without,
         reporters_cores: (crowd.core_s() - crowd_core) / seconds,
-        resident_kib: steward.resident_kib(),
+        resident_kib: controller.resident_kib(),
         resident_kib_without,
-        grown_kib: steward.resident_kib() - resident_before,
+        grown_kib: controller.resident_kib() - resident_before,
         to_belief_us: [0, 1].map(|place| figure(&after, "to_belief_us", place)),
         to_decision_ms: [0, 1].map(|place| figure(&after, "to_decision_us", place) / 1e3),
         fresh: figure(&after, "fresh", 0),
@@ -113,9 +113,9 @@
 
 /// Measures the same daemon and list with the intake off.
 fn without(dir: &Path) -> Result<(f64, f64), Fault> {
-    let steward = daemon(dir, "without", HOSTS, "")?;
+    let controller = daemon(dir, "without", HOSTS, "")?;
     sleep(Duration::from_secs(2));
-    let (core, at) = (steward.core_s(), Instant::now());
+    let (core, at) = (controller.core_s(), Instant::now());
     sleep(Duration::from_secs(4));
-    Ok(((steward.core_s() - core) / at.elapsed().as_secs_f64(), steward.resident_kib()))
+    Ok(((controller.core_s() - core) / at.elapsed().as_secs_f64(), controller.resident_kib()))
 }
--- a/crates/lab/src/residency.rs
+++ b/crates/lab/src/residency.rs
@@ -220,12 +220,12 @@
 /// second revision changes one of the two, so while both revisions are in force a single zone is left.
 fn reach(first: u16) -> Reach {
     let zones = 3;
-    let permit = |product: u16, zone: u16| {
-        let from = if product == 0 { zone } else { first };
+    let permit = |class: u16, zone: u16| {
+        let from = if class == 0 { zone } else { first };
         Permit { tiers: vec![[ZoneId(from), ZoneId((from + 1) % zones)].into_iter().collect::<Zones>()] }
     };
-    let pairs = (0..2).flat_map(|product| (0..zones).map(move |zone| (product, zone)));
-    let permits = pairs.map(|(product, zone)| ((ClassId(product), ZoneId(zone)), permit(product, zone)));
+    let pairs = (0..2).flat_map(|class| (0..zones).map(move |zone| (class, zone)));
+    let permits = pairs.map(|(class, zone)| ((ClassId(class), ZoneId(zone)), permit(class, zone)));
     Reach { permits: permits.collect(), parts: vec![] }
 }
 
@@ -365,8 +365,8 @@
         world.governed(vec![(0.0, reach(1))], Care { judged: true, joint: true, deaf: false }).play()
     };
     // Windows after the bound is set and the queues have drained, as far as they do.
-    let part = |day: &Day, products: std::ops::Range<usize>| {
-        let windows = day.windows[4..9].iter().flat_map(|window| &window[products.clone()]);
+    let part = |day: &Day, classes: std::ops::Range<usize>| {
+        let windows = day.windows[4..9].iter().flat_map(|window| &window[classes.clone()]);
         let sum = |sum: (f64, f64), one: &Window| (sum.0 + one.earned, sum.1 + one.offered);
         let (earned, offered) = windows.fold((0.0, 0.0), sum);
         earned / offered
--- a/crates/lab/src/resident.rs
+++ b/crates/lab/src/resident.rs
@@ -18,11 +18,11 @@
 const PROXIES: usize = 1_600;
 const HOSTS: usize = 120;
 const ZONES: [&str; 2] = ["east", "west"];
-const PRODUCTS: [&str; 2] = ["look", "pay"];
+const CLASSES: [&str; 2] = ["look", "pay"];
 /// This many hosts leave and as many join at each replacement, so that all hosts have been replaced after 20 s.
 const REPLACED: usize = 12;
 const REPLACE_EVERY: Duration = Duration::from_secs(2);
-const SUMS_EVERY: Duration = Duration::from_secs(2);
+const REPORT_EVERY: Duration = Duration::from_secs(2);
 /// Time from a call to the answers of its proxies.
 const TRANSIT: Duration = Duration::from_millis(100);
 
@@ -41,12 +41,12 @@
     rows: Vec<Row>,
     named: usize,
     /// Rows that last changed in this version have been dropped: a request from an earlier version gets the whole list.
-    let_go: u64,
+    dropped: u64,
 }
 
 impl List {
     fn new() -> List {
-        let mut list = List { seq: 1, rows: vec![], named: 0, let_go: 0 };
+        let mut list = List { seq: 1, rows: vec![], named: 0, dropped: 0 };
         (0..HOSTS).for_each(|_| list.comes(0.0));
         list
     }
@@ -62,7 +62,7 @@
         self.seq += 1;
         let seq = self.seq;
         let gone = self.rows.iter().filter(|row| row.health == "terminated");
-        self.let_go = gone.map(|row| row.seq).max().unwrap_or(self.let_go);
+        self.dropped = gone.map(|row| row.seq).max().unwrap_or(self.dropped);
         self.rows.retain(|row| row.health != "terminated");
         let drained = self.rows.iter_mut().filter(|row| row.health == "terminating");
         drained.for_each(|row| (row.health, row.seq) = ("terminated", seq));
@@ -73,7 +73,7 @@
     }
 
     fn tells(&self, after: Option<u64>, dial: &str) -> Value {
-        let after = after.filter(|after| *after >= self.let_go);
+        let after = after.filter(|after| *after >= self.dropped);
         let new = self.rows.iter().filter(|row| after.is_none_or(|after| row.seq > after));
         let rows: Vec<Value> = new
             .map(|row| {
@@ -199,12 +199,12 @@
 }
 
 /// A collector that sends traffic reports of its zone, with as many successful tries as there are hosts.
-fn collect(zone: usize, steward: u16, list: Arc<Mutex<List>>) {
+fn collect(zone: usize, port: u16, list: Arc<Mutex<List>>) {
     let talk = move |mut to: TcpStream| -> Option<()> {
         write!(to, "SOURCE zone={}\r\n", ZONES[zone]).ok()?;
         loop {
-            sleep(SUMS_EVERY);
-            let over = SUMS_EVERY.as_millis();
+            sleep(REPORT_EVERY);
+            let over = REPORT_EVERY.as_millis();
             let hosts = list.lock().expect("the list").rows.clone();
             let load = |row: &Row| {
                 let (zone, host) = (ZONES[zone], &row.name);
@@ -213,7 +213,7 @@
             let rate = |proxy| {
                 let of =
                     |class| format!("RATE proxy={proxy} class={class} tries=4 failed=0 span_ms={over}\r\n");
-                PRODUCTS.map(of).concat()
+                CLASSES.map(of).concat()
             };
             let loads = hosts.iter().filter(|row| row.health == "in_service").map(load);
             let rates = (zone..PROXIES).step_by(ZONES.len()).map(rate);
@@ -221,7 +221,7 @@
         }
     };
     spawn(move || loop {
-        if let Ok(to) = TcpStream::connect(("127.0.0.1", steward)) {
+        if let Ok(to) = TcpStream::connect(("127.0.0.1", port)) {
             talk(to);
         }
         sleep(Duration::from_millis(200));
@@ -267,7 +267,7 @@
     let dial = format!("127.0.0.1:{probed}");
     let (relay, discovery, listen) = (relay()?, discovery(list.clone(), dial.clone())?, free_port()?);
     let known = list.lock().expect("the list").tells(None, &dial);
-    let mut steward = daemon_with(dir.path(), "resident", "", |config| {
+    let mut controller = daemon_with(dir.path(), "resident", "", |config| {
         let address = |port: u16| json!(format!("127.0.0.1:{port}"));
         config["listen"] = address(listen);
         config["discovery"] = address(discovery);
@@ -284,25 +284,25 @@
     let (mut core, mut descriptors) = (None, 0);
     while start.elapsed().as_secs_f64() < settle + lasts {
         sleep(Duration::from_millis(250));
-        if steward.ended() {
-            return Err(Fault::Other(format!("the daemon ended:\n{}", steward.log())));
+        if controller.ended() {
+            return Err(Fault::Other(format!("the daemon ended:\n{}", controller.log())));
         }
         if start.elapsed() >= replaced + REPLACE_EVERY {
             replaced += REPLACE_EVERY;
             list.lock().expect("the list").replace();
         }
         let at = start.elapsed().as_secs_f64();
-        memory.push((at, steward.resident_kib()));
-        descriptors = descriptors.max(steward.descriptors());
+        memory.push((at, controller.resident_kib()));
+        descriptors = descriptors.max(controller.descriptors());
         if at >= settle {
-            core.get_or_insert((at, steward.core_s()));
+            core.get_or_insert((at, controller.core_s()));
         }
     }
     let (from, core_s) = core.unwrap_or_default();
     let settled: Vec<f64> = memory.iter().filter(|row| row.0 >= settle).map(|row| row.1).collect();
     let fifth = settled.len() / 5;
     let mean = |part: &[f64]| part.iter().sum::<f64>() / part.len().max(1) as f64;
-    let counters = steward.asked("counters: ")?;
+    let counters = controller.asked("counters: ")?;
     let count = |name: &str| figure(&counters, name, 0);
     let figures = Figures {
         proxies: PROXIES,
@@ -312,7 +312,7 @@
         resident_kib_first: mean(&settled[..fifth]),
         resident_kib_last: mean(&settled[settled.len() - fifth..]),
         resident_kib_most: settled.iter().copied().fold(0.0, f64::max),
-        cores: (steward.core_s() - core_s) / (start.elapsed().as_secs_f64() - from),
+        cores: (controller.core_s() - core_s) / (start.elapsed().as_secs_f64() - from),
         descriptors_most: descriptors,
         timers: count("timers"),
         orders: count("orders"),
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -17,10 +17,10 @@
 const RUNS: u64 = 200;
 const RUNS_QUICK: u64 = 12;
 /// Number of runs between two progress lines.
-const SHOWN: u64 = 20;
+const PROGRESS_EVERY: u64 = 20;
 
 /// With a larger fraction of inconclusive runs than this, the machine is unsuitable for the experiment.
-const UNSAID: f64 = 0.05;
+const MOST_INCONCLUSIVE: f64 = 0.05;
 
 /// Totals over all runs.
 #[derive(Default)]
@@ -152,7 +152,7 @@
         Bound::under(
             "part of runs of which nothing could be said",
             found.unsaid.len() as f64 / runs as f64,
-            UNSAID,
+            MOST_INCONCLUSIVE,
         ),
         Bound::under("violations", broken as f64, 1.0),
         Bound::under("bounds missed", found.missed as f64, 1.0),
@@ -198,7 +198,7 @@
                 return Ok(());
             }
             found.add(&ran);
-            if found.runs.is_multiple_of(SHOWN) {
+            if found.runs.is_multiple_of(PROGRESS_EVERY) {
                 println!("{} runs", found.runs);
             }
             ran.wrong()
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -59,8 +59,8 @@
     };
     for zone in 0..zones as u16 {
         let near: Zones = [zone, (zone + 1) % zones as u16].into_iter().map(ZoneId).collect();
-        for product in 0..facts.products.len() as u16 {
-            facts.permits.insert((ClassId(product), ZoneId(zone)), near);
+        for class in 0..facts.products.len() as u16 {
+            facts.permits.insert((ClassId(class), ZoneId(zone)), near);
         }
     }
     let begun = Instant::now();
@@ -100,7 +100,7 @@
 }
 
 /// Processor time used by this thread, ms.
-fn spent() -> f64 {
+fn thread_processor_ms() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e3 + time.tv_nsec as f64 / 1e6
 }
@@ -117,9 +117,9 @@
     let (mut took, mut processor) = (Vec::new(), Vec::new());
     for turn in 0..times {
         let asks: Vec<f64> = asks.iter().map(|ask| ask * rng.random_range(0.7..1.3)).collect();
-        let (begun, before) = (Instant::now(), spent());
+        let (begun, before) = (Instant::now(), thread_processor_ms());
         round.deal(100.0 * f64::from(turn), &asks, &rooms, None);
-        processor.push(spent() - before);
+        processor.push(thread_processor_ms() - before);
         took.push(1e3 * begun.elapsed().as_secs_f64());
     }
     let round_least_ms = took.iter().copied().fold(f64::INFINITY, f64::min);
@@ -162,7 +162,7 @@
                 })
                 .collect();
             let now = 200.0 * turn as f64;
-            let (begun, before) = (Instant::now(), spent());
+            let (begun, before) = (Instant::now(), thread_processor_ms());
             for (at, seen) in words.into_iter().enumerate() {
                 chair.handle(now, Input::Heard { from: Holder(at as u16), said: Said::Seen(seen) });
             }
@@ -174,7 +174,7 @@
                 _ => None,
             });
             taken.for_each(|input| drop(chair.handle(now + 90.0, input)));
-            processor.push(spent() - before);
+            processor.push(thread_processor_ms() - before);
             took.push(1e3 * begun.elapsed().as_secs_f64());
         }
         (middle(took).0, middle(processor).0)
@@ -414,11 +414,11 @@
     fn came(&mut self, rates: &[f64], rng: &mut StdRng) {
         let owned: Vec<(ZoneId, ClassId, Claim)> = self.plan.owned().collect();
         for at in 0..STEWARDS {
-            let came = owned.iter().map(|(zone, product, claim)| {
+            let came = owned.iter().map(|(zone, class, claim)| {
                 let mean = rates[claim.0 as usize] / STEWARDS as f64;
                 // The sum of twelve uniform draws has a standard deviation of one.
                 let chance = (0..12).map(|_| rng.random_range(0.0..1.0)).sum::<f64>() - 6.0;
-                (*zone, *product, (mean + chance * mean.sqrt()).max(0.0))
+                (*zone, *class, (mean + chance * mean.sqrt()).max(0.0))
             });
             let came = came.collect();
             self.steward(at, Heard::Came(came), 0.0);
@@ -445,8 +445,8 @@
         ..Facts::default()
     };
     for zone in 0..2u16 {
-        (0..20u16).for_each(|product| {
-            facts.permits.insert((ClassId(product), ZoneId(zone)), Zones::one(ZoneId(zone)));
+        (0..20u16).for_each(|class| {
+            facts.permits.insert((ClassId(class), ZoneId(zone)), Zones::one(ZoneId(zone)));
         });
     }
     Ok((compiled(&text, &facts)?, vec![1_000.0; 2]))
