--- a/crates/lab/src/intake.rs
+++ b/crates/lab/src/intake.rs
@@ -1,4 +1,4 @@
-//! One daemon beside stand-in reporters of 5,000 hosts: what it takes in, with how much of a core and of memory.
+//! One daemon with stand-in reporters of 5,000 hosts: its intake rate, and the processor time and memory it needs.
 
 use std::path::Path;
 use std::process::Command;
@@ -14,7 +14,7 @@
 const HOSTS: usize = 5_000;
 const REPORTERS: usize = 250;
 const CONNECTIONS: usize = 50;
-/// The aim is 50,000 a second; paces go by quarter octaves, and the next below 50,000 would fall short of it.
+/// The target is 50,000 per second; report rates come in quarter octaves, and the next one below 50,000 would miss it.
 const BUDGET: u32 = 56_000;
 const AIM: f64 = 50_000.0;
 
@@ -26,7 +26,7 @@
     seconds: f64,
     reports_per_s: f64,
     taken_per_s: f64,
-    /// Of one core, with the intake and, beside it, with the same list and no intake.
+    /// Processor time as a fraction of one core, with the intake and, for comparison, with the same list and no intake.
     cores: f64,
     cores_without: f64,
     reporters_cores: f64,
@@ -40,12 +40,12 @@
 }
 
 pub fn run(how: &How) -> Result<bool, Fault> {
-    let dir = tempfile::tempdir().map_err(|why| Fault::Io("a folder", why))?;
+    let dir = tempfile::tempdir().map_err(|why| Fault::Io("cannot create a folder", why))?;
     let (settle, lasts) = if how.quick { (12.0, 18.0) } else { (120.0, 480.0) };
     let (cores_without, resident_kib_without) = without(dir.path())?;
     let port = free_port()?;
     let operator = format!("[intake]\nlisten = \"127.0.0.1:{port}\"\nreports_per_s = {BUDGET}\n");
-    let mut steward = daemon(dir.path(), "with", HOSTS, &operator)?;
+    let mut controller = daemon(dir.path(), "with", HOSTS, &operator)?;
     sleep(Duration::from_millis(500));
     let mut crowd = Command::new(beside("amberarch-lab")?);
     crowd.arg("reporters").args(["--to", &format!("127.0.0.1:{port}")]);
@@ -59,23 +59,23 @@
 
     let start = Instant::now();
     let mut memory = Vec::new();
-    let mut watch = |until: f64, steward: &mut Process| -> Result<(), Fault> {
+    let mut watch = |until: f64, controller: &mut Process| -> Result<(), Fault> {
         while start.elapsed().as_secs_f64() < until {
-            if steward.ended() {
-                return Err(Fault::Other(format!("the daemon ended:\n{}", steward.log())));
+            if controller.ended() {
+                return Err(Fault::Other(format!("the daemon ended:\n{}", controller.log())));
             }
-            memory.push((start.elapsed().as_secs_f64(), steward.resident_kib()));
+            memory.push((start.elapsed().as_secs_f64(), controller.resident_kib()));
             sleep(Duration::from_millis(500));
         }
         Ok(())
     };
-    watch(settle, &mut steward)?;
+    watch(settle, &mut controller)?;
     let (before, core, crowd_core, at) =
-        (steward.asked("intake: ")?, steward.core_s(), crowd.core_s(), Instant::now());
-    let resident_before = steward.resident_kib();
-    watch(settle + lasts, &mut steward)?;
-    let (after, seconds) = (steward.asked("intake: ")?, at.elapsed().as_secs_f64());
-    let cores = (steward.core_s() - core) / seconds;
+        (controller.asked("intake: ")?, controller.core_s(), crowd.core_s(), Instant::now());
+    let resident_before = controller.resident_kib();
+    watch(settle + lasts, &mut controller)?;
+    let (after, seconds) = (controller.asked("intake: ")?, at.elapsed().as_secs_f64());
+    let cores = (controller.core_s() - core) / seconds;
     let more = |name: &str| figure(&after, name, 0) - figure(&before, name, 0);
     let figures = Figures {
         hosts: HOSTS,
@@ -87,9 +87,9 @@
         cores,
         cores_without,
         reporters_cores: (crowd.core_s() - crowd_core) / seconds,
-        resident_kib: steward.resident_kib(),
+        resident_kib: controller.resident_kib(),
         resident_kib_without,
-        grown_kib: steward.resident_kib() - resident_before,
+        grown_kib: controller.resident_kib() - resident_before,
         to_belief_us: [0, 1].map(|place| figure(&after, "to_belief_us", place)),
         to_decision_ms: [0, 1].map(|place| figure(&after, "to_decision_us", place) / 1e3),
         fresh: figure(&after, "fresh", 0),
@@ -111,11 +111,11 @@
     close(how, figures, &bounds)
 }
 
-/// The same daemon and list with the intake off.
+/// Measures the same daemon and list with the intake off.
 fn without(dir: &Path) -> Result<(f64, f64), Fault> {
-    let steward = daemon(dir, "without", HOSTS, "")?;
+    let controller = daemon(dir, "without", HOSTS, "")?;
     sleep(Duration::from_secs(2));
-    let (core, at) = (steward.core_s(), Instant::now());
+    let (core, at) = (controller.core_s(), Instant::now());
     sleep(Duration::from_secs(4));
-    Ok(((steward.core_s() - core) / at.elapsed().as_secs_f64(), steward.resident_kib()))
+    Ok(((controller.core_s() - core) / at.elapsed().as_secs_f64(), controller.resident_kib()))
 }
--- a/crates/lab/src/resident.rs
+++ b/crates/lab/src/resident.rs
@@ -1,5 +1,5 @@
-//! One daemon that steers 1,600 proxies while its hosts are replaced over and over: whether its memory stays where it
-//! is. Relay, discovery, hosts and collectors are threads here that say what the protocol asks of them and no more.
+//! Checks that the memory of one daemon that steers 1,600 proxies stays constant while its hosts are replaced over and
+//! over. Relay, discovery, hosts and collectors are threads that send only what the protocol requires.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -18,15 +18,15 @@
 const PROXIES: usize = 1_600;
 const HOSTS: usize = 120;
 const ZONES: [&str; 2] = ["east", "west"];
-const PRODUCTS: [&str; 2] = ["look", "pay"];
-/// So many hosts leave and as many come, that often: all of them are others after 20 s.
+const CLASSES: [&str; 2] = ["look", "pay"];
+/// This many hosts leave and as many join at each replacement, so that all hosts have been replaced after 20 s.
 const REPLACED: usize = 12;
 const REPLACE_EVERY: Duration = Duration::from_secs(2);
-const SUMS_EVERY: Duration = Duration::from_secs(2);
-/// From a call to the answers of its proxies.
+const REPORT_EVERY: Duration = Duration::from_secs(2);
+/// Time from a call to the answers of its proxies.
 const TRANSIT: Duration = Duration::from_millis(100);
 
-/// A row of the list with the version in which it changed last.
+/// A row of the host list with the version in which it changed last.
 #[derive(Clone)]
 struct Row {
     name: String,
@@ -40,13 +40,13 @@
     seq: u64,
     rows: Vec<Row>,
     named: usize,
-    /// Rows that changed last in this version were let go of: who asks from before it gets the whole list.
-    let_go: u64,
+    /// Rows that last changed in this version have been dropped: a request from an earlier version gets the whole list.
+    dropped: u64,
 }
 
 impl List {
     fn new() -> List {
-        let mut list = List { seq: 1, rows: vec![], named: 0, let_go: 0 };
+        let mut list = List { seq: 1, rows: vec![], named: 0, dropped: 0 };
         (0..HOSTS).for_each(|_| list.comes(0.0));
         list
     }
@@ -57,12 +57,12 @@
         self.named += 1;
     }
 
-    /// Those that drained are gone, the oldest drain, and new ones come.
+    /// Removes the drained hosts, starts to drain the oldest, and adds new ones.
     fn replace(&mut self) {
         self.seq += 1;
         let seq = self.seq;
         let gone = self.rows.iter().filter(|row| row.health == "terminated");
-        self.let_go = gone.map(|row| row.seq).max().unwrap_or(self.let_go);
+        self.dropped = gone.map(|row| row.seq).max().unwrap_or(self.dropped);
         self.rows.retain(|row| row.health != "terminated");
         let drained = self.rows.iter_mut().filter(|row| row.health == "terminating");
         drained.for_each(|row| (row.health, row.seq) = ("terminated", seq));
@@ -73,7 +73,7 @@
     }
 
     fn tells(&self, after: Option<u64>, dial: &str) -> Value {
-        let after = after.filter(|after| *after >= self.let_go);
+        let after = after.filter(|after| *after >= self.dropped);
         let new = self.rows.iter().filter(|row| after.is_none_or(|after| row.seq > after));
         let rows: Vec<Value> = new
             .map(|row| {
@@ -85,7 +85,7 @@
     }
 }
 
-/// The next request on a connection: its first line and its body.
+/// Reads the next request on a connection: its first line and its body.
 fn request(from: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let (mut first, mut length) = (String::new(), 0);
     from.read_line(&mut first).ok().filter(|count| *count > 0)?;
@@ -107,9 +107,9 @@
     write!(to, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).ok()
 }
 
-/// A thread for each connection that is taken at a port of its own.
+/// Serves a port with one thread for each accepted connection.
 fn serve(each: impl Fn(TcpStream) -> Option<()> + Send + Sync + 'static) -> Result<u16, Fault> {
-    let io = |why| Fault::Io("a stand-in's address", why);
+    let io = |why| Fault::Io("cannot open a stand-in's address", why);
     let listener = TcpListener::bind("127.0.0.1:0").map_err(io)?;
     let port = listener.local_addr().map_err(io)?.port();
     let each = Arc::new(each);
@@ -122,7 +122,7 @@
     Ok(port)
 }
 
-/// The watches that stand, to which news goes.
+/// The open relay watches, to which updates are sent.
 type News = Arc<Mutex<Vec<TcpStream>>>;
 
 fn say(news: &News, lines: &str) {
@@ -130,7 +130,7 @@
     watches.retain_mut(|watch| watch.write_all(lines.as_bytes()).is_ok());
 }
 
-/// All proxies answer each mark.
+/// Answers each mark for all proxies.
 fn answers(news: News) -> Sender<(Instant, u64)> {
     let (to, marks) = channel::<(Instant, u64)>();
     spawn(move || {
@@ -198,13 +198,13 @@
     })
 }
 
-/// A collector that sends sums of its zone, with as many good tries as there are hosts.
-fn collect(zone: usize, steward: u16, list: Arc<Mutex<List>>) {
+/// A collector that sends traffic reports of its zone, with as many successful tries as there are hosts.
+fn collect(zone: usize, port: u16, list: Arc<Mutex<List>>) {
     let talk = move |mut to: TcpStream| -> Option<()> {
         write!(to, "SOURCE zone={}\r\n", ZONES[zone]).ok()?;
         loop {
-            sleep(SUMS_EVERY);
-            let over = SUMS_EVERY.as_millis();
+            sleep(REPORT_EVERY);
+            let over = REPORT_EVERY.as_millis();
             let hosts = list.lock().expect("the list").rows.clone();
             let load = |row: &Row| {
                 let (zone, host) = (ZONES[zone], &row.name);
@@ -213,7 +213,7 @@
             let rate = |proxy| {
                 let of =
                     |class| format!("RATE proxy={proxy} class={class} tries=4 failed=0 span_ms={over}\r\n");
-                PRODUCTS.map(of).concat()
+                CLASSES.map(of).concat()
             };
             let loads = hosts.iter().filter(|row| row.health == "in_service").map(load);
             let rates = (zone..PROXIES).step_by(ZONES.len()).map(rate);
@@ -221,7 +221,7 @@
         }
     };
     spawn(move || loop {
-        if let Ok(to) = TcpStream::connect(("127.0.0.1", steward)) {
+        if let Ok(to) = TcpStream::connect(("127.0.0.1", port)) {
             talk(to);
         }
         sleep(Duration::from_millis(200));
@@ -234,11 +234,11 @@
     hosts: usize,
     seconds: f64,
     hosts_replaced: usize,
-    /// Means of the first and the last fifth after settling, and the most of all.
+    /// Means of the first and the last fifth after settling, and the maximum.
     resident_kib_first: f64,
     resident_kib_last: f64,
     resident_kib_most: f64,
-    /// Descriptors that it held, at the most of all looks.
+    /// The highest number of open descriptors over all checks.
     descriptors_most: usize,
     cores: f64,
     timers: f64,
@@ -253,10 +253,10 @@
 }
 
 pub fn run(how: &How) -> Result<bool, Fault> {
-    let dir = tempfile::tempdir().map_err(|why| Fault::Io("a folder", why))?;
+    let dir = tempfile::tempdir().map_err(|why| Fault::Io("cannot create a folder", why))?;
     let (settle, lasts) = if how.quick { (12.0, 23.0) } else { (60.0, 600.0) };
     let list = Arc::new(Mutex::new(List::new()));
-    // Each host's probes come to the one address.
+    // The probes of all hosts go to this one address.
     let probed = serve(|mut stream| {
         let mut from = BufReader::new(stream.try_clone().ok()?);
         while request(&mut from).is_some() {
@@ -267,7 +267,7 @@
     let dial = format!("127.0.0.1:{probed}");
     let (relay, discovery, listen) = (relay()?, discovery(list.clone(), dial.clone())?, free_port()?);
     let known = list.lock().expect("the list").tells(None, &dial);
-    let mut steward = daemon_with(dir.path(), "resident", "", |config| {
+    let mut controller = daemon_with(dir.path(), "resident", "", |config| {
         let address = |port: u16| json!(format!("127.0.0.1:{port}"));
         config["listen"] = address(listen);
         config["discovery"] = address(discovery);
@@ -275,7 +275,7 @@
         config["known"] = known;
         let family = &mut config["settings"]["familyInfo"];
         family["agents"] = json!(PROXIES);
-        // As many lines a proxy as in a fleet of 200 on the usual channel, and sums of all in each period.
+        // As many lines per proxy as in a fleet of 200 on the usual channel, and reports of all in each period.
         (family["egressPerS"], family["backlog"]) = (json!(16_000.0), json!(16_000.0));
         family["reportsPerS"] = json!(4_000.0);
     })?;
@@ -284,25 +284,25 @@
     let (mut core, mut descriptors) = (None, 0);
     while start.elapsed().as_secs_f64() < settle + lasts {
         sleep(Duration::from_millis(250));
-        if steward.ended() {
-            return Err(Fault::Other(format!("the daemon ended:\n{}", steward.log())));
+        if controller.ended() {
+            return Err(Fault::Other(format!("the daemon ended:\n{}", controller.log())));
         }
         if start.elapsed() >= replaced + REPLACE_EVERY {
             replaced += REPLACE_EVERY;
             list.lock().expect("the list").replace();
         }
         let at = start.elapsed().as_secs_f64();
-        memory.push((at, steward.resident_kib()));
-        descriptors = descriptors.max(steward.descriptors());
+        memory.push((at, controller.resident_kib()));
+        descriptors = descriptors.max(controller.descriptors());
         if at >= settle {
-            core.get_or_insert((at, steward.core_s()));
+            core.get_or_insert((at, controller.core_s()));
         }
     }
     let (from, core_s) = core.unwrap_or_default();
     let settled: Vec<f64> = memory.iter().filter(|row| row.0 >= settle).map(|row| row.1).collect();
     let fifth = settled.len() / 5;
     let mean = |part: &[f64]| part.iter().sum::<f64>() / part.len().max(1) as f64;
-    let counters = steward.asked("counters: ")?;
+    let counters = controller.asked("counters: ")?;
     let count = |name: &str| figure(&counters, name, 0);
     let figures = Figures {
         proxies: PROXIES,
@@ -312,7 +312,7 @@
         resident_kib_first: mean(&settled[..fifth]),
         resident_kib_last: mean(&settled[settled.len() - fifth..]),
         resident_kib_most: settled.iter().copied().fold(0.0, f64::max),
-        cores: (steward.core_s() - core_s) / (start.elapsed().as_secs_f64() - from),
+        cores: (controller.core_s() - core_s) / (start.elapsed().as_secs_f64() - from),
         descriptors_most: descriptors,
         timers: count("timers"),
         orders: count("orders"),
@@ -339,7 +339,7 @@
         )?;
     }
     let grown = figures.resident_kib_last - figures.resident_kib_first;
-    // What each proxy keeps, some 4 KiB, is still filling up in the first half minute.
+    // The state kept for each proxy, about 4 KiB, is still growing in the first half minute.
     let most = if how.quick { 4.0 * PROXIES as f64 } else { 1_024.0 };
     let bounds = [
         Bound::under("memory grown from the first fifth to the last, KiB", grown, most),
@@ -366,8 +366,8 @@
             .collect()
     }
 
-    /// Told only what changed since, one that asked after two changes never heard of hosts that had gone between: a daemon on
-    /// a slow machine went on to steer and probe thousands.
+    /// A client that is sent only the latest changes, and asks after two of them, never learns of the hosts that left in
+    /// between: a daemon on a slow machine went on to steer and probe thousands of them.
     #[test]
     fn who_asks_for_the_list_after_rows_were_let_go_of_is_told_it_whole() {
         let mut list = List::new();
